--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -53,6 +53,7 @@
 JOB_REFUSALS = "tests/serving/test_job_refusals.py::"
 ENTRIES = "tests/serving/test_replica_entries.py::"
 RESTARTED = "tests/serving/test_restarted_replicas.py::"
+NAMES = "tests/unit/test_interface_names.py::test_the_interface_has_the_names_that_are_kept"
 SOAK = "tests/soak/test_soak_short.py::test_a_short_soak_breaks_no_promise"
 MUTANTS = [
     Mutant(
@@ -1337,6 +1338,14 @@
         "        return True",
         SOAK,
     ),
+    Mutant(
+        "interface: a field of the configuration has another name on the wire",
+        "platform/documents.py",
+        "    gap_aim_ms: float = 1_000.0",
+        "    gap_ms: float = 1_000.0",
+        NAMES,
+        (("platform/documents.py", "wire.gap_aim_ms", "wire.gap_ms"),),
+    ),
 ]
 
 
