--- a/src/cloverwalk/fleet/case_keeper.py
+++ b/src/cloverwalk/fleet/case_keeper.py
@@ -78,7 +78,7 @@
     async def _repeat(self, call: Callable[[], Awaitable[bool]]) -> None:
         """Repeat a call until the store has answered it, at least as long as the store is away."""
         while not await call():
-            await self._health.pause(RETRY_MS)
+            await self._health.backoff(RETRY_MS)
 
     # --- reading ---
 
--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -303,7 +303,7 @@
     def _store_serves_another(self, node: str) -> bool:
         """Whether the store has lately answered a node other than this one."""
         own = self._identity.node
-        if node != own and not self._health.is_lost:
+        if node != own and not self._health.is_unavailable:
             return True
         return any(
             one.report.store_age_ms < STORE_SERVES_MS
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -202,7 +202,7 @@
                 rank == 0
                 and told is not None
                 and told.store_age_ms > STORE_LOST_MS
-                and self._health.age_ms() < STORE_FRESH_MS
+                and self._health.ms_since_answer() < STORE_FRESH_MS
             )
         weak_s = WEAK_WAIT_S if self._identity.cores < FULL_CORE else 0.0
         if self._leader.is_unheard:
--- a/src/cloverwalk/fleet/follower.py
+++ b/src/cloverwalk/fleet/follower.py
@@ -77,7 +77,7 @@
                 self._log.write(catalogue.HISTORY_LOST, table=self.table)
             except StoreError as error:
                 self._note_lost(error)
-                await self._health.pause(retry_s * 1000 * (0.5 + self._random.random()))
+                await self._health.backoff(retry_s * 1000 * (0.5 + self._random.random()))
                 retry_s = min(LONGEST_RETRY_S, 2 * retry_s)
 
     async def _step(self) -> None:
--- a/src/cloverwalk/fleet/link.py
+++ b/src/cloverwalk/fleet/link.py
@@ -301,7 +301,7 @@
             self._settled.get(host, ("", 0))[1],
             self._configuration.version,
             self._directory.fingerprint,
-            NEVER_MS if self._health.is_lost else int(min(NEVER_MS, self._health.age_ms())),
+            NEVER_MS if self._health.is_unavailable else int(min(NEVER_MS, self._health.ms_since_answer())),
             self._identity.cores,
             loads,
             self.waiting,
--- a/src/cloverwalk/fleet/snapshots.py
+++ b/src/cloverwalk/fleet/snapshots.py
@@ -31,7 +31,7 @@
         times = scheduler.times.figures()
         return Snapshot(
             current,
-            int(min(MOST_STORE_AGE_MS, self._health.age_ms())),
+            int(min(MOST_STORE_AGE_MS, self._health.ms_since_answer())),
             scheduler.totals(),
             {route: RouteFigures(*figures) for route, figures in times.items()},
             [one.contact for one in live] if self._made % NODES_EVERY == 0 else [],
--- a/src/cloverwalk/jobs/checkpoint.py
+++ b/src/cloverwalk/jobs/checkpoint.py
@@ -51,7 +51,7 @@
         """Save until cancelled; at once when the store is back after an outage."""
         while True:
             await self._runner.until_jobs()
-            await self._health.pause(SAVE_EVERY_MS)
+            await self._health.backoff(SAVE_EVERY_MS)
             await self.save()
 
     async def save(self) -> None:
--- a/src/cloverwalk/jobs/commit.py
+++ b/src/cloverwalk/jobs/commit.py
@@ -55,5 +55,5 @@
             if self._clock() + pause_s >= limit:
                 status = CommitStatus.UNKNOWN if was_lost else CommitStatus.NOT_DONE
                 return CommitOutcome(status)
-            await self._health.pause(pause_s * 1000)
+            await self._health.backoff(pause_s * 1000)
             pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
--- a/src/cloverwalk/jobs/evidence.py
+++ b/src/cloverwalk/jobs/evidence.py
@@ -81,7 +81,7 @@
     is_kept_for_good = kept_ms <= 0
     if is_kept_for_good or time.earliest_ms <= give_up_ms:
         return None
-    return PastRetention(record.accepted_ms, give_up_ms, time.earliest_ms, time.width_ms)
+    return PastRetention(record.accepted_ms, give_up_ms, time.earliest_ms, time.uncertainty_ms)
 
 
 def attempts_used(
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -351,7 +351,7 @@
             due_ms=round(record.due_ms),
             give_up_ms=round(record.give_up_ms),
             store_ms=None if time is None else round(time.earliest_ms),
-            unsure_ms=None if time is None else round(time.width_ms),
+            unsure_ms=None if time is None else round(time.uncertainty_ms),
             configuration=record.configuration,
         )
 
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -99,7 +99,7 @@
             log,
             self._on_taken,
             fleet.link.store_serves_others,
-            lambda: health.lost_for_ms() > REFUSED_FOR_MS,
+            lambda: health.unavailable_for_ms() > REFUSED_FOR_MS,
             random,
         )
         self.service = JobService(
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -174,8 +174,8 @@
             case ConfigurationCopy():
                 self._knowledge.take_configuration(message.configuration, "peer")
             case StoreReturned():
-                await self._health.note_hint()
-                if self.coordinator.is_active and not self._health.is_lost:
+                await self._health.hint_recovery()
+                if self.coordinator.is_active and not self._health.is_unavailable:
                     self.coordinator.tell_store_returned()
             case _:
                 await self.link.take(message, host)
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -34,7 +34,7 @@
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.serving.store_watch import StoreWatch
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.startup import Stage, StartupLog
@@ -91,7 +91,7 @@
         self._health = StoreHealth(Clock(self._clock))
         self._health.on_call = self._note_store_call
         self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
-        self._store = WatchedStore(
+        self._store = MonitoredStore(
             self._adapter.store(self._settings), self._health, self._store_clock
         )
         self._pool = ReplicaPool(self._adapter.codec, self._clock)
--- a/src/cloverwalk/serving/store_watch.py
+++ b/src/cloverwalk/serving/store_watch.py
@@ -31,10 +31,10 @@
         """Watch until cancelled."""
         while True:
             await self._health.wait_until_lost()
-            while self._health.is_lost:
+            while self._health.is_unavailable:
                 is_near = self._fleet.coordinator.is_active
                 pause_ms = PROBE_EVERY_MS if is_near else FAR_PROBE_EVERY_MS
-                await self._health.wait_for_hint(pause_ms)
+                await self._health.wait_for_recovery_hint(pause_ms)
                 await self._probe()
             self._tell_returned()
 
--- a/src/cloverwalk/store/clock.py
+++ b/src/cloverwalk/store/clock.py
@@ -24,7 +24,7 @@
     latest_ms: float
 
     @property
-    def width_ms(self) -> float:
+    def uncertainty_ms(self) -> float:
         """How far the time is unsure."""
         return self.latest_ms - self.earliest_ms
 
@@ -54,7 +54,7 @@
         """Return this machine's steady time, to be noted before a call."""
         return self._clock.now_ms()
 
-    def note(self, store_ms: float, asked_at_ms: float) -> None:
+    def record_answer(self, store_ms: float, asked_at_ms: float) -> None:
         """Take the time that the answer to a call sent at ``asked_at_ms`` (steady) told."""
         at_ms = self._clock.now_ms()
         least_ms, most_ms = store_ms - at_ms, store_ms - asked_at_ms
--- a/src/cloverwalk/store/health.py
+++ b/src/cloverwalk/store/health.py
@@ -45,20 +45,20 @@
         self.on_call: Callable[[bool], None] = _ignore
         """Told of each call whether it was answered."""
 
-    def lost_for_ms(self) -> float:
+    def unavailable_for_ms(self) -> float:
         """Return for how long the store has not answered, 0 while it does."""
         return 0.0 if self.lost_at_ms is None else self._clock.now_ms() - self.lost_at_ms
 
-    def age_ms(self) -> float:
+    def ms_since_answer(self) -> float:
         """Return the time since the store last answered."""
         return self._clock.now_ms() - self.answered_at_ms
 
     @property
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the last call got no answer, or a refusal."""
         return self.lost_at_ms is not None
 
-    async def note_failure(self) -> None:
+    async def record_failure(self) -> None:
         """A call got no answer, or a refusal."""
         self.on_call(False)
         if self.lost_at_ms is not None:
@@ -67,7 +67,7 @@
         self._returned = curio.Event()
         await self._lost.set()
 
-    async def note_answer(self) -> None:
+    async def record_answer(self) -> None:
         """A call was answered."""
         self.on_call(True)
         self.answered_at_ms = self._clock.now_ms()
@@ -77,12 +77,12 @@
         self._lost = curio.Event()
         await self._returned.set()
 
-    async def note_hint(self) -> None:
+    async def hint_recovery(self) -> None:
         """Another node was answered: the store may answer this one too."""
-        if self.is_lost:
+        if self.is_unavailable:
             await self._hint.set()
 
-    async def wait_for_hint(self, longest_ms: float) -> None:
+    async def wait_for_recovery_hint(self, longest_ms: float) -> None:
         """Return with the next hint, or after ``longest_ms``."""
         async with curio.ignore_after(longest_ms / 1000):
             await self._hint.wait()
@@ -92,9 +92,9 @@
         """Return once a call fails; at once while the store is lost."""
         await self._lost.wait()
 
-    async def pause(self, pause_ms: float) -> None:
+    async def backoff(self, pause_ms: float) -> None:
         """Sleep, but not beyond the return of the store when it is lost now."""
-        returned = self._returned if self.is_lost else None
+        returned = self._returned if self.is_unavailable else None
         least_ms = min(LEAST_PAUSE_MS, pause_ms)
         await curio.sleep(least_ms / 1000)
         rest_ms = pause_ms - least_ms
@@ -105,7 +105,7 @@
             await returned.wait()
 
 
-class WatchedStore:
+class MonitoredStore:
     """A store whose answers and failures are noted, and the time that answers tell."""
 
     def __init__(self, store: Store, health: StoreHealth, time: StoreClock) -> None:
@@ -115,8 +115,8 @@
 
     async def _note_answer(self, now_ms: float | None, asked_at_ms: float) -> None:
         if now_ms is not None:
-            self._time.note(now_ms, asked_at_ms)
-        await self._health.note_answer()
+            self._time.record_answer(now_ms, asked_at_ms)
+        await self._health.record_answer()
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
         """Try once to commit; never raises."""
@@ -125,7 +125,7 @@
         if outcome.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT):
             await self._note_answer(outcome.now_ms, asked_at_ms)
         else:
-            await self._health.note_failure()
+            await self._health.record_failure()
         return outcome
 
     async def read(
@@ -136,7 +136,7 @@
         try:
             page = await self._store.read(table, part, start, end, limit)
         except StoreError:
-            await self._health.note_failure()
+            await self._health.record_failure()
             raise
         await self._note_answer(page.now_ms, asked_at_ms)
         return page
@@ -147,7 +147,7 @@
         try:
             page = await self._store.read_table(table)
         except StoreError:
-            await self._health.note_failure()
+            await self._health.record_failure()
             raise
         await self._note_answer(page.now_ms, asked_at_ms)
         return page
@@ -158,10 +158,10 @@
         try:
             page = await self._store.changes(table, since, wait_s)
         except HistoryLostError:
-            await self._health.note_answer()
+            await self._health.record_answer()
             raise
         except StoreError:
-            await self._health.note_failure()
+            await self._health.record_failure()
             raise
         await self._note_answer(page.now_ms, asked_at_ms)
         return page
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -39,7 +39,7 @@
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.tenants.directory import Tenant
 
@@ -120,7 +120,7 @@
         self.directory = ReplicaDirectory()
         self.health = StoreHealth(Clock(clock))
         store_clock = StoreClock(Clock(clock))
-        self.store = WatchedStore(world.store, self.health, store_clock)
+        self.store = MonitoredStore(world.store, self.health, store_clock)
         self.leader = LeaderView(self.identity, world.now)
         transport = world.wire.sender(self.host)
         self.ledger = CrashLedger()
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -19,7 +19,7 @@
 from cloverwalk.jobs.view import JobView
 from cloverwalk.jobs.writes import JobWrites
 from cloverwalk.store.clock import StoreTime
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.telemetry.log import ServingLog
 
 
@@ -79,7 +79,7 @@
     def __init__(
         self,
         name: str,
-        store: MemoryStore | WatchedStore,
+        store: MemoryStore | MonitoredStore,
         clock: Callable[[], float],
         told: Callable[[], StoreTime | None] | None = None,
     ) -> None:
@@ -106,7 +106,7 @@
             log,
             self._taken,
             lambda: self.is_served_elsewhere,
-            lambda: health.is_lost,
+            lambda: health.is_unavailable,
             Random(1),
         )
         self.lister = ResultLister(self.committer, self.view, self.cache, self._drop, log, clock)
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -41,7 +41,7 @@
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.serving.store_watch import StoreWatch
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.store.types import CommitStatus, Put, RowKey, Transaction
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.startup import StartupLog
@@ -307,7 +307,7 @@
         self.health = StoreHealth(Clock(time))
         client = PlatformStore("store:1")
         client._pool = _Pool(world.store, self.host)  # type: ignore[assignment]
-        self.store = WatchedStore(client, self.health, StoreClock(Clock(time)))
+        self.store = MonitoredStore(client, self.health, StoreClock(Clock(time)))
         self.fleet = FleetParts(
             settings,
             f"r{run}",
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -168,7 +168,7 @@
             await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] == 0
         assert world.wire.bytes_by_kind[DirectoryUpdate] == 0
-        await new.health.note_failure()
+        await new.health.record_failure()
         await new.link._report()
         await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] > 0
@@ -562,7 +562,7 @@
 def test_a_long_list_reaches_a_node_that_the_store_refuses_in_parts(is_lost: bool) -> None:
     async def test(world: CoordinationWorld) -> None:
         node = plain_node(world)
-        await node.health.note_failure()
+        await node.health.record_failure()
         node.directory.remove("r0", 99)
         world.replicas = [
             msgspec.structs.replace(one, slots=9, version=120) for one in world.replicas
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -45,7 +45,7 @@
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.store.types import CommitOutcome, RowPage, Transaction
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.story import parse_line, story_of
@@ -116,7 +116,7 @@
         log_path: str = os.devnull,
     ) -> None:
         self.heard = StoreClock(Clock(time))
-        store = WatchedStore(inner, StoreHealth(Clock(time)), self.heard)
+        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
         super().__init__(name, store, time, self.heard.now)
         self.configuration = ConfigurationHolder()
         self.configuration.offer(Configuration(configuration, (batch_route(),), {}, ClientLimits()))
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -84,7 +84,7 @@
     async def pause(pause_ms: float) -> None:
         await curio.sleep(0)
 
-    node.health.pause = pause  # type: ignore[method-assign]
+    node.health.backoff = pause  # type: ignore[method-assign]
     return node
 
 
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -164,7 +164,7 @@
         tries = 200 - len(store.commit_faults)
         assert tries <= 3 if is_elsewhere else tries >= 4
         assert (refused.value.retry_after_s or 1.0) <= (0.05 if is_elsewhere else 0.3)
-        await node.health.note_failure()
+        await node.health.record_failure()
         left = len(store.commit_faults)
         with pytest.raises(RefusedError) as again:
             await node.submit(submission("k"), batch_route())
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -18,7 +18,7 @@
 from cloverwalk.serving import store_watch
 from cloverwalk.serving.node import ServingNode
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.store.types import CommitStatus, Put, RowKey, StoreError, Transaction
 
 HOUR_MS = 3_600_000.0
@@ -36,13 +36,13 @@
 def test_a_long_pause_ends_with_the_return_of_the_store() -> None:
     async def test() -> None:
         health = StoreHealth(Clock(HandClock()))
-        await health.note_failure()
-        task = await curio.spawn(health.pause, HOUR_MS)
+        await health.record_failure()
+        task = await curio.spawn(health.backoff, HOUR_MS)
         await curio.sleep(0)
-        assert health.is_lost
-        await health.note_answer()
+        assert health.is_unavailable
+        await health.record_answer()
         await task.join()
-        assert not health.is_lost
+        assert not health.is_unavailable
 
     in_time(test)
 
@@ -67,12 +67,12 @@
         healths = [node._health for node in world.nodes]
         # A feed that was under way is answered, after another one of its node may have failed.
         await world.until(lambda: all(have_all_feeds_failed(node) for node in world.nodes))
-        assert all(one.is_lost for one in healths)
+        assert all(one.is_unavailable for one in healths)
         world.store.is_busy = False
         # One that is no coordinator learns it first: the others hear of it by way of that one.
         first = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        await first._health.note_hint()
-        await world.until(lambda: not any(one.is_lost for one in healths))
+        await first._health.hint_recovery()
+        await world.until(lambda: not any(one.is_unavailable for one in healths))
 
     in_world(test)
 
@@ -81,7 +81,7 @@
     async def test() -> None:
         inner = MemoryStore()
         health = StoreHealth(Clock(HandClock()))
-        store = WatchedStore(inner, health, StoreClock(Clock(HandClock())))
+        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         for call in (
             lambda: store.commit(put, 1.0),
@@ -92,10 +92,10 @@
             inner.is_down = True
             with contextlib.suppress(StoreError):
                 await call()
-            assert health.is_lost
+            assert health.is_unavailable
             inner.is_down = False
             await call()
-            assert not health.is_lost
+            assert not health.is_unavailable
 
     in_time(test)
 
@@ -108,7 +108,7 @@
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
             time = StoreClock(Clock(lambda: 1.0))
-            store = WatchedStore(inner, StoreHealth(Clock(HandClock())), time)
+            store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
             assert time.now() is None
             arguments = {
                 "commit": (put, 1.0),
@@ -128,7 +128,7 @@
         inner = MemoryStore()
         inner.is_down = True
         time = StoreClock(Clock(HandClock()))
-        store = WatchedStore(inner, StoreHealth(Clock(HandClock())), time)
+        store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         await store.commit(put, 1.0)
         assert time.now() is None
@@ -139,9 +139,9 @@
 def test_an_answer_that_lay_unread_does_not_set_the_time_back() -> None:
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.note(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
     now.now += 4.0
-    time.note(1100.0, asked_at_ms=time.steady_ms() - 3900.0)
+    time.record_answer(1100.0, asked_at_ms=time.steady_ms() - 3900.0)
     estimate = time.now()
     assert estimate is not None and 4990.0 < estimate.earliest_ms <= 5000.0
     assert 5000.0 <= estimate.latest_ms < 5010.0
@@ -151,14 +151,14 @@
     """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.note(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
     now.now += 1.0
-    time.note(32_000.0, asked_at_ms=time.steady_ms() - 4.0)
+    time.record_answer(32_000.0, asked_at_ms=time.steady_ms() - 4.0)
     known = time.now()
     assert known is not None
     assert (known.earliest_ms, known.latest_ms) == (32_000.0, 32_004.0)
     now.now += 1.0
-    time.note(1_000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1_000.0, asked_at_ms=time.steady_ms())
     assert time.now() == exactly(1_000.0)
 
 
@@ -184,7 +184,7 @@
         told_ms = store_ms
         now.now += back_s
         store_ms += back_s * 1000
-        time.note(told_ms, asked_at_ms)
+        time.record_answer(told_ms, asked_at_ms)
         now.now += rest_s
         store_ms += rest_s * 1000 * (1 + drift)
         known = time.now()
@@ -198,11 +198,11 @@
         inner = MemoryStore()
         inner.is_down = True
         health = StoreHealth(Clock(HandClock()))
-        store = WatchedStore(inner, health, StoreClock(Clock(HandClock())))
+        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
         committer = commit.Committer(store, health, lambda: 0.0)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         task = await curio.spawn(committer.settle, put, 2 * HOUR_MS)
-        while not health.is_lost:
+        while not health.is_unavailable:
             await curio.sleep(0)
         inner.is_down = False
         await store.read("t", "")
@@ -232,11 +232,11 @@
             raise AssertionError("nobody else has changed the job")
 
         health = StoreHealth(Clock(HandClock()))
-        await health.note_failure()
+        await health.record_failure()
         saver = Checkpointer(OneJob(), node.committer, health, no_conflict)  # type: ignore[arg-type]
         task = await curio.spawn(saver.run, daemon=True)
         await curio.sleep(0.1)
-        await health.note_answer()
+        await health.record_answer()
         while not (await store.read_table(PARTIAL_TABLE)).rows:
             await curio.sleep(0)
         await task.cancel()
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -171,7 +171,7 @@
         await started(world, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        await other._configuration_follower._health.note_failure()
+        await other._configuration_follower._health.record_failure()
         other._configuration_follower._on_changes = nothing
         other._configuration_follower._on_whole = nothing
         await put(world, with_tenants(3, [SECOND]))
