--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -33,7 +33,7 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.refusals import QuotaRefusalCache
 
 MAX_REFUSALS = 8
 """Replicas that may be unreachable or say 'not run' before the request is refused. Each costs some
@@ -56,7 +56,7 @@
         metrics: ServingMetrics,
         clock: Callable[[], float],
         link: CoordinatorLink,
-        refusals: RefusalMemory,
+        refusals: QuotaRefusalCache,
         containment: ContainmentGate,
     ) -> None:
         self._codec = codec
@@ -148,7 +148,7 @@
             case Verdict.NONE:
                 raise refusals.no_replica("no_replica", progress.last_failure)
             case Verdict.OVER_QUOTA:
-                self._refusals.learn(request.tenant, place.placement.retry_after_s)
+                self._refusals.record(request.tenant, place.placement.retry_after_s)
                 raise refusals.over_quota(place.placement.retry_after_s)
             case Verdict.QUOTA_UNKNOWN:
                 raise refusals.quota_unknown()
@@ -163,7 +163,7 @@
         """Raise the refusal of a tenant that the coordinator has refused just now."""
         if ask.token is not TokenUse.NEW:
             return
-        rest_s = self._refusals.rest_s(ask.tenant)
+        rest_s = self._refusals.remaining_s(ask.tenant)
         if rest_s > 0:
             raise refusals.over_quota(rest_s)
 
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -252,7 +252,7 @@
 
     def _depth(self, tenant: Tenant, now: float) -> float:
         if self._is_coordinator:
-            return max(1.0, self._share * tenant.depth)
+            return max(1.0, self._share * tenant.bucket_size)
         if tenant.name in self._near or now - self._near_at > NEAR_FRESH_S:
             return self._share * self._careful(tenant)
         return self._share * self._careful(tenant) / ALONE_SHARE
@@ -267,7 +267,7 @@
         return sorted(
             name
             for name, one in self._accounts.items()
-            if not one.bucket.has(now, NEAR_SHARE * one.tenant.depth)
+            if not one.bucket.has(now, NEAR_SHARE * one.tenant.bucket_size)
         )
 
     def take_near_limit(self, names: list[str], now: float) -> None:
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -38,7 +38,7 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.startup import Stage, StartupLog
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.refusals import QuotaRefusalCache
 
 CONFIGURATION_PAUSE_S = 0.05
 HOUSEKEEPING_S = 2.0
@@ -178,7 +178,7 @@
 
     def _build_gateway(self) -> None:
         settings = self._settings
-        self._refusals = RefusalMemory(self._log, self._clock)
+        self._refusals = QuotaRefusalCache(self._log, self._clock)
         relay = OnlineRelay(
             self._adapter.codec,
             self._directory,
--- a/src/cloverwalk/tenants/directory.py
+++ b/src/cloverwalk/tenants/directory.py
@@ -42,7 +42,7 @@
         return self.rate_per_s > 0
 
     @property
-    def depth(self) -> float:
+    def bucket_size(self) -> float:
         """Requests that it may send at once."""
         return max(1.0, self.burst)
 
--- a/src/cloverwalk/tenants/refusals.py
+++ b/src/cloverwalk/tenants/refusals.py
@@ -22,7 +22,7 @@
     count: int = 0
 
 
-class RefusalMemory:
+class QuotaRefusalCache:
     """Tenants that the coordinator has refused a request lately, by name.
 
     There is one line in the log when a tenant is first refused, and one when that is over.
@@ -33,7 +33,7 @@
         self._clock = clock
         self._by_name: dict[str, _Refused] = {}
 
-    def rest_s(self, tenant: str) -> float:
+    def remaining_s(self, tenant: str) -> float:
         """Return for how long requests of a tenant are refused without asking; 0 is not."""
         known = self._by_name.get(tenant)
         if known is None:
@@ -44,7 +44,7 @@
         self._note(known)
         return rest_s
 
-    def learn(self, tenant: str, retry_after_s: float) -> None:
+    def record(self, tenant: str, retry_after_s: float) -> None:
         """The coordinator has refused a request."""
         now = self._clock()
         known = self._by_name.get(tenant)
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -190,6 +190,6 @@
         node.link._try_silent()
         await world.deliver()
         levels = world.coordinator.scheduler.quotas.levels(world.now)
-        assert levels["steady"] <= STEADY.depth - 1 + 0.5
+        assert levels["steady"] <= STEADY.bucket_size - 1 + 0.5
 
     in_fleet(15, test)
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -36,7 +36,7 @@
 from cloverwalk.serving.calls import CallHandler
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.refusals import QuotaRefusalCache
 
 PROMISES = (408, 421, 429, 503)
 REPLICAS = 3
@@ -137,7 +137,7 @@
             metrics,
             time.monotonic,
             link,
-            RefusalMemory(log, time.monotonic),
+            QuotaRefusalCache(log, time.monotonic),
             ContainmentGate(witness, metrics),
         )
         self.may_begin = True
