--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -6,7 +6,7 @@
 
 from cloverwalk.cli.api import json_option, print_json
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
-from cloverwalk.telemetry.story import LogLine, known_of_work, parse_line, story_of
+from cloverwalk.telemetry.story import LogLine, describe_work_state, parse_line, request_history
 
 NOTE_INDENT = "    "
 
@@ -29,7 +29,7 @@
     for path in logs:
         with path.open(encoding="utf-8", errors="replace") as file:
             lines += [line for text in file if (line := parse_line(text)) is not None]
-    story = story_of(lines, request_id)
+    story = request_history(lines, request_id)
     if not story:
         message = f"{request_id}: no line of {len(lines)} names it; it may have reached no node"
         raise CommandError(message, EXIT_USAGE, "not_logged")
@@ -49,6 +49,6 @@
         return
     for line in story:
         click.echo(line.text())
-        known = known_of_work(line)
+        known = describe_work_state(line)
         if known:
             click.echo(f"{NOTE_INDENT}{known}")
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -15,9 +15,9 @@
     late_counts_of,
     slot_seconds_of,
 )
-from cloverwalk.telemetry.starts import StageTimes, stages_of
+from cloverwalk.telemetry.starts import StageTimes, startup_stages
 from cloverwalk.telemetry.story import LogLine, parse_line
-from cloverwalk.telemetry.timeline import NINETY_FIFTH, Second, timeline_of
+from cloverwalk.telemetry.timeline import P95, SecondStats, timeline_of
 
 HEAD = "second  answered  first p50 ms  p95 ms  online  batch  unlisted  given up"
 LATE_HEAD = "second  kind     cause           count  tenant"
@@ -57,7 +57,7 @@
         with path.open(encoding="utf-8", errors="replace") as file:
             lines += [line for text in file if (line := parse_line(text)) is not None]
     if starts:
-        _show_starts(stages_of(lines), as_json)
+        _show_starts(startup_stages(lines), as_json)
         return
     if slots:
         _show_slots(slot_seconds_of(lines), as_json)
@@ -110,8 +110,8 @@
     click.echo(STARTS_HEAD)
     for one in stages:
         click.echo(
-            f"{one.stage:32}  {len(one.after_ms):6}  {one.at(0.5):6.0f}"
-            f"  {one.at(NINETY_FIFTH):6.0f}  {one.after_ms[-1]:7.0f}"
+            f"{one.stage:32}  {len(one.after_ms):6}  {one.quantile(0.5):6.0f}"
+            f"  {one.quantile(P95):6.0f}  {one.after_ms[-1]:7.0f}"
         )
 
 
@@ -119,18 +119,18 @@
     return {
         "stage": one.stage,
         "starts": len(one.after_ms),
-        "p50_ms": one.at(0.5),
-        "p95_ms": one.at(NINETY_FIFTH),
+        "p50_ms": one.quantile(0.5),
+        "p95_ms": one.quantile(P95),
         "last_ms": one.after_ms[-1],
     }
 
 
-def _document(one: Second) -> dict[str, Any]:
+def _document(one: SecondStats) -> dict[str, Any]:
     return {
         "at_s": one.at_s,
         "answered": one.answered,
-        "first_p50_ms": one.first_ms_at(0.5),
-        "first_p95_ms": one.first_ms_at(NINETY_FIFTH),
+        "first_p50_ms": one.first_event_quantile_ms(0.5),
+        "first_p95_ms": one.first_event_quantile_ms(P95),
         "online": one.online,
         "batch": one.batch,
         "unlisted": one.unlisted,
@@ -138,8 +138,8 @@
     }
 
 
-def _row(one: Second) -> str:
-    median, high = one.first_ms_at(0.5), one.first_ms_at(NINETY_FIFTH)
+def _row(one: SecondStats) -> str:
+    median, high = one.first_event_quantile_ms(0.5), one.first_event_quantile_ms(P95)
     given_up = " ".join(f"{code}={count}" for code, count in sorted(one.given_up_by_code.items()))
     return (
         f"{one.at_s:6}  {one.answered:8}  {_number(median):>12}  {_number(high):>6}"
@@ -151,7 +151,7 @@
     return "-" if value is None else f"{value:.0f}"
 
 
-def _plot(seconds: list[Second], path: Path) -> None:
+def _plot(seconds: list[SecondStats], path: Path) -> None:
     try:
         import matplotlib
     except ImportError as error:
@@ -162,8 +162,8 @@
 
     times = [one.at_s for one in seconds]
     figure, (first, work, lost) = pyplot.subplots(3, 1, figsize=(9, 9), sharex=True)
-    for share, label in ((0.5, "median"), (NINETY_FIFTH, "95 in 100")):
-        first.plot(times, [one.first_ms_at(share) for one in seconds], label=label)
+    for share, label in ((0.5, "median"), (P95, "95 in 100")):
+        first.plot(times, [one.first_event_quantile_ms(share) for one in seconds], label=label)
     first.set_ylabel("first event, ms")
     work.plot(times, [one.online for one in seconds], label="online at replicas")
     work.plot(times, [one.batch for one in seconds], label="items at replicas")
--- a/src/cloverwalk/gateway/containment.py
+++ b/src/cloverwalk/gateway/containment.py
@@ -36,7 +36,7 @@
     def refusal(self, request: ClientRequest, progress: RequestProgress) -> GatewayError:
         """Return the answer to a request that goes to no replica any more."""
         content = progress.contained = content_id(request)
-        self._metrics.containment("refused")
+        self._metrics.containment_changed("refused")
         return refusals.contained(content, self._witness.ledger.crashes(content))
 
     async def note_failure(
--- a/src/cloverwalk/gateway/crash_witness.py
+++ b/src/cloverwalk/gateway/crash_witness.py
@@ -157,12 +157,12 @@
         contained when several replicas end at once.
         """
         if self.ledger.note_answer(content, self._clock()):
-            self._metrics.containment("answered")
+            self._metrics.containment_changed("answered")
             self._log.write(catalogue.CONTAINMENT_ENDED, contents=[content], reason="answered")
 
     def note_contained(self, content: str, source: str) -> None:
         """A request is contained from now on; ``source`` tells in the log how this node knows."""
-        self._metrics.containment("contained")
+        self._metrics.containment_changed("contained")
         crashes = self.ledger.crashes(content)
         self._log.write(
             catalogue.REQUEST_CONTAINED, contents=[content], replicas=crashes, source=source
@@ -172,7 +172,7 @@
         """Forget old cases."""
         ended = self.ledger.expire(self._clock())
         if ended:
-            self._metrics.containment("old")
+            self._metrics.containment_changed("old")
             self._log.write(catalogue.CONTAINMENT_ENDED, contents=ended, reason="old")
 
     def is_contained(self, content: str) -> bool:
--- a/src/cloverwalk/gateway/late_watch.py
+++ b/src/cloverwalk/gateway/late_watch.py
@@ -36,5 +36,5 @@
             if not failures and progress.expected_wait_ms == 0:
                 self._usual.note_start(route.name, (first_at - sent_at) * 1000)
             return None
-        self._metrics.late(route.name, cause.value)
+        self._metrics.request_late(route.name, cause.value)
         return cause.value
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -387,7 +387,7 @@
         took_s = self._clock() - request.received_at
         first = progress.first_event_at
         self._metrics.request_ended(progress.route.name, outcome, took_s)
-        self._metrics.tenants.note(request.tenant, _tenant_outcome(outcome))
+        self._metrics.tenants.request_ended(request.tenant, _tenant_outcome(outcome))
         number = catalogue.REQUEST_ANSWERED if outcome == "answered" else catalogue.REQUEST_ENDED
         self._log.write(
             number,
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -481,7 +481,7 @@
         if cause is None:
             return None
         route = self._route(job)
-        self._metrics.late("" if route is None else route.name, cause.value)
+        self._metrics.request_late("" if route is None else route.name, cause.value)
         return cause.value
 
     def _give_way(self, replica_id: str, count: int) -> list[_Running]:
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -104,7 +104,7 @@
         self.shares = ShareWatch(shares, item_shares, self._note_held_back)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
-        self.link.on_placed = knowledge.startup.note_placed
+        self.link.on_placed = knowledge.startup.record_placement
         self.election = Election(
             self.identity,
             self.leader,
@@ -165,7 +165,7 @@
 
     async def take(self, message: Datagram, host: str) -> None:
         """Pass a datagram to the part that it is for."""
-        self._knowledge.startup.note(Stage.PEER)
+        self._knowledge.startup.record_stage(Stage.PEER)
         match message:
             case Report():
                 await self.coordinator.hear(message, host)
@@ -182,7 +182,7 @@
                 self._knowledge.note_directory("peer")
 
     async def _on_leadership(self) -> None:
-        self._knowledge.startup.note(Stage.COORDINATOR)
+        self._knowledge.startup.record_stage(Stage.COORDINATOR)
         await self._take_leadership()
 
     async def _deliver_locally(self, orders: object) -> None:
--- a/src/cloverwalk/serving/knowledge.py
+++ b/src/cloverwalk/serving/knowledge.py
@@ -65,7 +65,7 @@
             tenants=None if configuration.tenants is None else len(configuration.tenants),
             source=source,
         )
-        self.startup.note(Stage.CONFIGURATION, source)
+        self.startup.record_stage(Stage.CONFIGURATION, source)
 
     async def on_all_replicas(self, page: RowPage) -> None:
         """Take the whole list of replicas; entries that can't be read are not in it."""
@@ -129,4 +129,4 @@
     def note_directory(self, source: str) -> None:
         """The list of replicas was told; ``source`` tells in the log by whom."""
         if not self.directory.is_empty:
-            self.startup.note(Stage.REPLICAS, source)
+            self.startup.record_stage(Stage.REPLICAS, source)
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -360,7 +360,7 @@
     async def _answer_metrics(self, request: ClientRequest, reply: Reply) -> None:
         metrics = self._metrics
         now = self._clock()
-        metrics.directory = self._configuration.tenants
+        metrics.tenant_directory = self._configuration.tenants
         metrics.gauge("cloverwalk_configuration_version", "In force", self._configuration.version)
         age_s = min(1e6, now - self._directory.confirmed_at)
         metrics.gauge("cloverwalk_replica_list_age_seconds", "Since confirmed", age_s)
@@ -372,7 +372,7 @@
         known = len(coordinator.roster.live()) if coordinator.is_active else 0
         uses = self._fleet.slots.time.seconds
         paces = self._fleet.scheduler.paces
-        metrics.replica_paces = paces.classes()
+        metrics.replica_slowdowns = paces.classes()
         metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.dropped)
         metrics.slot_seconds = {use.value: seconds for use, seconds in uses.items()}
         metrics.share_ms = self._fleet.shares.slot_ms()
@@ -398,7 +398,7 @@
 
     def _note_store_call(self, is_answered: bool) -> None:
         stage = Stage.STORE_ANSWER if is_answered else Stage.STORE_REFUSAL
-        self._startup.note(stage)
+        self._startup.record_stage(stage)
 
     async def _housekeeping(self) -> None:
         while True:
--- a/src/cloverwalk/serving/room_watch.py
+++ b/src/cloverwalk/serving/room_watch.py
@@ -74,7 +74,7 @@
 
     def tell(self, metrics: ServingMetrics) -> None:
         """Set the figures of this machine's room."""
-        metrics.fullness = {one.value: share for one, share in self.room.by_resource.items()}
+        metrics.utilization = {one.value: share for one, share in self.room.by_resource.items()}
         metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.held.total)
         given_up = self.held.given_up_total
         metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
--- a/src/cloverwalk/telemetry/lateness.py
+++ b/src/cloverwalk/telemetry/lateness.py
@@ -27,7 +27,7 @@
     SLOW_REPLICA = "slow_replica"
     """Its replica took longer than usual."""
 
-    GAVE_WAY = "gave_way"
+    PREEMPTED = "gave_way"
     """An item: its runs were suspended for online requests."""
 
     OTHER = "other"
@@ -51,7 +51,7 @@
     usual_start_ms: float
     """What requests of its route usually take from sending to their first event."""
 
-    was_held: bool = False
+    was_queued: bool = False
     """Whether the coordinator held it for a slot."""
 
     failures: int = 0
@@ -71,7 +71,7 @@
         return LateCause.REPLICA_FAILED
     if times.objective_ms < times.usual_start_ms:
         return LateCause.CAME_LATE
-    if times.was_held or times.expected_wait_ms > 0:
+    if times.was_queued or times.expected_wait_ms > 0:
         return LateCause.NO_SLOT
     start_ms = times.took_ms - times.placed_after_ms
     if times.placed_after_ms > start_ms:
@@ -114,7 +114,7 @@
     if times.failures:
         return LateCause.REPLICA_FAILED
     if times.suspensions and times.ran_ms > times.last_run_ms:
-        return LateCause.GAVE_WAY
+        return LateCause.PREEMPTED
     if times.last_run_ms > times.given_ms / 2:
         return LateCause.SLOW_REPLICA
     return LateCause.NO_SLOT
--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         self.tenants = TenantMetrics()
-        self.directory = TenantDirectory()
+        self.tenant_directory = TenantDirectory()
         """The tenants in force, whose quotas are told."""
 
         self.share_ms: Mapping[tuple[str, str], int] = {}
@@ -63,7 +63,7 @@
         self.slot_seconds: Mapping[str, float] = {}
         """Slot-seconds of the replicas by use, as counted by this node while it coordinated."""
 
-        self.fullness: Mapping[str, float] = {}
+        self.utilization: Mapping[str, float] = {}
         """How full this node's machine is, by resource; empty where nobody measures it."""
 
         self._late: Counter[tuple[str, str]] = Counter()
@@ -75,7 +75,7 @@
         self._invalid_entries = 0
         self._restarts = 0
         self._odd_figures: Counter[str] = Counter()
-        self.replica_paces: Mapping[str, int] = {}
+        self.replica_slowdowns: Mapping[str, int] = {}
         """Replicas by pace class, as this node has learnt it while it coordinated."""
 
         self._durations: dict[str, Latencies] = {}
@@ -88,7 +88,7 @@
         self._requests[route, outcome] += 1
         self._durations.setdefault(route, Latencies()).observe(took_s)
 
-    def late(self, route: str, cause: str) -> None:
+    def request_late(self, route: str, cause: str) -> None:
         """A request or an item was late."""
         self._late[route, cause] += 1
 
@@ -104,7 +104,7 @@
         """A replica broke connections off, and its address was looked at."""
         self._broken_off[found] += 1
 
-    def containment(self, event: str) -> None:
+    def containment_changed(self, event: str) -> None:
         """A request was contained, was refused for it, or is free again."""
         self._containments[event] += 1
 
@@ -163,11 +163,11 @@
         for (work, share), slot_ms in self.share_ms.items():
             shares.add_metric([work, share], slot_ms)
         yield shares
-        if self.fullness:
+        if self.utilization:
             fullness = GaugeMetricFamily(
                 "cloverwalk_machine_fullness", "Part in use, by resource", labels=["resource"]
             )
-            for resource, part in self.fullness.items():
+            for resource, part in self.utilization.items():
                 fullness.add_metric([resource], part)
             yield fullness
         for name, help_text, counts, label in (
@@ -211,12 +211,12 @@
             running.add_metric([replica_id], count)
         yield running
         paces = GaugeMetricFamily("cloverwalk_replica_paces", "Replicas by pace", labels=["pace"])
-        for name, count in self.replica_paces.items():
+        for name, count in self.replica_slowdowns.items():
             paces.add_metric([name], count)
         yield paces
         for name, (help_text, figure) in self._gauges.items():
             yield GaugeMetricFamily(name, help_text, value=figure)
-        yield from self.tenants.collect(self.directory)
+        yield from self.tenants.collect(self.tenant_directory)
 
     def render(self) -> bytes:
         """Return all figures as text."""
--- a/src/cloverwalk/telemetry/starts.py
+++ b/src/cloverwalk/telemetry/starts.py
@@ -20,7 +20,7 @@
     stage: str
     after_ms: tuple[float, ...]
 
-    def at(self, share: float) -> float:
+    def quantile(self, share: float) -> float:
         """Return the time within which ``share`` of the starts had reached the stage.
 
         >>> StageTimes("ready", (10.0, 20.0, 30.0)).at(0.5)
@@ -32,7 +32,7 @@
         return cuts[round(share * PERCENT) - 1]
 
 
-def stages_of(lines: Iterable[LogLine]) -> list[StageTimes]:
+def startup_stages(lines: Iterable[LogLine]) -> list[StageTimes]:
     """Return the stages by their median, from the lines of starts that became ready.
 
     The source of configuration and replicas is part of a stage's name. Stages that come after
@@ -51,7 +51,7 @@
         for stage, stage_ms in start.items():
             after_ms.setdefault(stage, []).append(stage_ms)
     found = [StageTimes(stage, tuple(sorted(times))) for stage, times in after_ms.items()]
-    return sorted(found, key=lambda one: (one.at(0.5), one.stage))
+    return sorted(found, key=lambda one: (one.quantile(0.5), one.stage))
 
 
 def _stages(line: LogLine) -> dict[str, float]:
--- a/src/cloverwalk/telemetry/startup.py
+++ b/src/cloverwalk/telemetry/startup.py
@@ -42,7 +42,7 @@
 
         self._has_placed = False
 
-    def note(self, stage: Stage, source: str = "") -> None:
+    def record_stage(self, stage: Stage, source: str = "") -> None:
         """A stage is reached; only its first time counts."""
         if stage in self._after_ms:
             return
@@ -52,7 +52,7 @@
             self.is_ready = True
             self._write(catalogue.NODE_READY)
 
-    def note_placed(self) -> None:
+    def record_placement(self) -> None:
         """An online request got its place."""
         if not self._has_placed:
             self._has_placed = True
--- a/src/cloverwalk/telemetry/story.py
+++ b/src/cloverwalk/telemetry/story.py
@@ -58,14 +58,14 @@
         return f"{self.time_s:.3f} {self.node} {self.number} {self.event} {shown}"
 
 
-def known_of_work(line: LogLine) -> str:
+def describe_work_state(line: LogLine) -> str:
     """Return what was known of the work when a call was refused; empty for other lines.
 
     >>> fields = {"work": "may_have_begun", "tried": 2, "refused": 1, "status": 502}
-    >>> known_of_work(LogLine(1.0, "n1", 313, "request_ended", "warning", fields))
+    >>> describe_work_state(LogLine(1.0, "n1", 313, "request_ended", "warning", fields))
     'the work may have begun: 2 replicas may have run it, 1 did not; 502 promises nothing'
     >>> fields = {"work": "not_begun", "status": 503}
-    >>> known_of_work(LogLine(1.0, "n1", 314, "call_refused", "warning", fields))
+    >>> describe_work_state(LogLine(1.0, "n1", 314, "call_refused", "warning", fields))
     'the work had not begun: nothing was sent; 503 promises that it never will'
     """
     work = line.fields.get("work")
@@ -115,7 +115,7 @@
     return LogLine(time_s, node, int(raw["number"]), event, level, fields)
 
 
-def story_of(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
+def request_history(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
     """Return the lines about ``wanted`` and what its nodes learned meanwhile, in order of time.
 
     An item's story has the lines of its job as far as they name no other item. Where replicas have
--- a/src/cloverwalk/telemetry/tenant_metrics.py
+++ b/src/cloverwalk/telemetry/tenant_metrics.py
@@ -12,7 +12,7 @@
 
     from prometheus_client.metrics_core import Metric
 
-MOST_LABELS = 20
+MAX_LABELS = 20
 """Tenants told by name, those with the most requests; the others are told as one. A node's answer
 grows by some 3 KB at this number, whatever the number of tenants."""
 
@@ -42,13 +42,13 @@
     _counts: Counter[tuple[str, str]] = attrs.Factory(Counter)
     _totals: Counter[str] = attrs.Factory(Counter)
 
-    def note(self, tenant: str, outcome: str) -> None:
+    def request_ended(self, tenant: str, outcome: str) -> None:
         """Count a request that has ended; requests without a tenant are not counted here."""
         if tenant:
             self._counts[tenant, outcome] += 1
             self._totals[tenant] += 1
 
-    def counts(self, most: int = MOST_LABELS) -> dict[tuple[str, str], int]:
+    def counts(self, most: int = MAX_LABELS) -> dict[tuple[str, str], int]:
         """Return counts by tenant and outcome, of the ``most`` largest tenants by name."""
         named = {name for name, _ in self._totals.most_common(most)}
         told: Counter[tuple[str, str]] = Counter()
--- a/src/cloverwalk/telemetry/timeline.py
+++ b/src/cloverwalk/telemetry/timeline.py
@@ -10,11 +10,11 @@
 from cloverwalk.telemetry.story import LogLine
 
 PERCENT = 100
-NINETY_FIFTH = 0.95
+P95 = 0.95
 
 
 @attrs.define
-class Second:
+class SecondStats:
     """One second of a fleet. Work in flight is that at the end of the second."""
 
     at_s: int
@@ -28,11 +28,11 @@
     unlisted: int = 0
     """Items of jobs that are open and whose results are not listed yet."""
 
-    def first_ms_at(self, share: float) -> float | None:
+    def first_event_quantile_ms(self, share: float) -> float | None:
         """Return the time within which ``share`` of the first events came, None without any.
 
-        >>> second = Second(0, first_ms=[10.0, 20.0, 30.0, 40.0])
-        >>> second.first_ms_at(0.5), Second(1).first_ms_at(0.5)
+        >>> second = SecondStats(0, first_ms=[10.0, 20.0, 30.0, 40.0])
+        >>> second.first_event_quantile_ms(0.5), SecondStats(1).first_event_quantile_ms(0.5)
         (25.0, None)
         """
         if not self.first_ms:
@@ -77,7 +77,7 @@
                 self.unlisted_by_job.pop(request, None)
 
 
-def timeline_of(lines: Iterable[LogLine]) -> list[Second]:
+def timeline_of(lines: Iterable[LogLine]) -> list[SecondStats]:
     """Return every second from the first line to the last.
 
     Lines that a node left out under load are missing: the figures are then too low.
@@ -86,24 +86,24 @@
     if not ordered:
         return []
     fleet = _Fleet()
-    seconds = [Second(int(ordered[0].time_s // 1))]
+    seconds = [SecondStats(int(ordered[0].time_s // 1))]
     for line in ordered:
         while line.time_s >= seconds[-1].at_s + 1:
             _close(seconds[-1], fleet)
-            seconds.append(Second(seconds[-1].at_s + 1))
+            seconds.append(SecondStats(seconds[-1].at_s + 1))
         fleet.take(line)
         _count(seconds[-1], line)
     _close(seconds[-1], fleet)
     return seconds
 
 
-def _close(second: Second, fleet: _Fleet) -> None:
+def _close(second: SecondStats, fleet: _Fleet) -> None:
     second.online = len(fleet.online)
     second.batch = len(fleet.batch)
     second.unlisted = sum(fleet.unlisted_by_job.values())
 
 
-def _count(second: Second, line: LogLine) -> None:
+def _count(second: SecondStats, line: LogLine) -> None:
     match line.number:
         case catalogue.REQUEST_ANSWERED:
             second.answered += 1
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -48,7 +48,7 @@
 from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.store.types import CommitOutcome, RowPage, Transaction
 from cloverwalk.telemetry.log import ServingLog
-from cloverwalk.telemetry.story import parse_line, story_of
+from cloverwalk.telemetry.story import parse_line, request_history
 
 RETENTION_S = 60.0
 LOOK_S = 0.5
@@ -322,7 +322,7 @@
         await owner.run_job("j")
         await owner.look_for(RETENTION_S + 2.0)
         lines = [parse_line(text) for text in log_path.read_text().splitlines()]
-        dead = story_of([one for one in lines if one is not None], "j-1")
+        dead = request_history([one for one in lines if one is not None], "j-1")
         assert [one.event for one in dead] == ["items_dead"]
         told = dead[0].fields
         assert (told["reason"], told["job"]) == ("past_retention", "j")
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -14,7 +14,7 @@
 from cloverwalk.fleet.messages import Ask, Placement
 from cloverwalk.fleet.places import Place
 from cloverwalk.scheduling.admission import Verdict
-from cloverwalk.telemetry.story import known_of_work, parse_line
+from cloverwalk.telemetry.story import describe_work_state, parse_line
 
 PROMISES = (408, 421, 429, 503)
 SENDS = 2
@@ -148,7 +148,7 @@
             await world.ask("/once/a", request_id)
         lines = [line for text in log.read_text().splitlines() if (line := parse_line(text))]
         ended = {one.fields["request"]: one for one in lines if one.number == REQUEST_ENDED}
-        assert known_of_work(ended["not"]).startswith("the work had not begun")
-        assert known_of_work(ended["may"]).startswith("the work may have begun")
+        assert describe_work_state(ended["not"]).startswith("the work had not begun")
+        assert describe_work_state(ended["may"]).startswith("the work may have begun")
 
     in_world(test)
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -26,7 +26,7 @@
 from cloverwalk.fleet import messages, transport
 from cloverwalk.platform import names
 from cloverwalk.telemetry.tenant_metrics import (
-    MOST_LABELS,
+    MAX_LABELS,
     OTHERS,
     TenantMetrics,
     TenantOutcome,
@@ -432,8 +432,8 @@
     metrics = TenantMetrics()
     for number in range(100):
         for _ in range(number + 1):
-            metrics.note(f"t{number}", TenantOutcome.ANSWERED)
+            metrics.request_ended(f"t{number}", TenantOutcome.ANSWERED)
     counts = metrics.counts()
-    assert len(counts) == MOST_LABELS + 1
+    assert len(counts) == MAX_LABELS + 1
     assert counts["t99", TenantOutcome.ANSWERED] == 100
     assert counts[OTHERS, TenantOutcome.ANSWERED] == sum(range(1, 81))
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -102,7 +102,7 @@
         (ItemTimes(0, 18_000, 5_000, 5_000), None),
         (ItemTimes(1, 2_000, 5_000, 5_000), LateCause.CAME_LATE),
         (ItemTimes(1, 18_000, 9_000, 5_000, failures=1, suspensions=1), LateCause.REPLICA_FAILED),
-        (ItemTimes(1, 18_000, 9_000, 5_000, suspensions=1), LateCause.GAVE_WAY),
+        (ItemTimes(1, 18_000, 9_000, 5_000, suspensions=1), LateCause.PREEMPTED),
         (ItemTimes(1, 18_000, 12_000, 12_000), LateCause.SLOW_REPLICA),
         (ItemTimes(1, 18_000, 5_000, 5_000), LateCause.NO_SLOT),
     ],
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -8,7 +8,7 @@
 
 from cloverwalk.cli.main import cli
 from cloverwalk.telemetry.log import ServingLog
-from cloverwalk.telemetry.starts import stages_of
+from cloverwalk.telemetry.starts import startup_stages
 from cloverwalk.telemetry.startup import Stage, StartupLog
 from cloverwalk.telemetry.story import parse_line
 
@@ -24,7 +24,7 @@
 
     def note(self, at_ms: int, stage: Stage, source: str = "") -> None:
         self.now = 50.0 + at_ms / 1000
-        self.startup.note(stage, source)
+        self.startup.record_stage(stage, source)
 
 
 def lines_of(path: Path) -> list[dict[str, object]]:
@@ -52,7 +52,7 @@
     start = Start("n1", path)
     start.note(40, Stage.COORDINATOR)
     for _ in range(3):
-        start.startup.note_placed()
+        start.startup.record_placement()
     (line,) = lines_of(path)
     assert line["event"] == "first_request_placed"
     assert line["stages_ms"] == {"coordinator": 40}
@@ -65,7 +65,7 @@
         start.note(ready_ms // 2, Stage.CONFIGURATION, "store")
         start.note(ready_ms, Stage.REPLICAS, "peer" if number == 2 else "store")
     lines = [line for text in path.read_text().splitlines() if (line := parse_line(text))]
-    by_stage = {one.stage: one.after_ms for one in stages_of(lines)}
+    by_stage = {one.stage: one.after_ms for one in startup_stages(lines)}
     assert by_stage["ready"] == (100, 200, 900)
     assert by_stage["replicas from peer"] == (900,)
     told = CliRunner().invoke(cli, ["report", "--starts", "--json", str(path)])
