--- a/src/cloverwalk/core/clock.py
+++ b/src/cloverwalk/core/clock.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-LEAST_SUSPENSION_S = 0.05
+MIN_SUSPENSION_S = 0.05
 """A shorter difference of the two clocks may lie between the two readings."""
 
 
@@ -38,11 +38,11 @@
         self._awake = awake
         self._ahead_s = steady() - awake()
 
-    def look(self) -> float:
+    def check(self) -> float:
         """Return for how long the machine was suspended since the last look, in seconds."""
         ahead_s = self._steady() - self._awake()
         slept_s, self._ahead_s = ahead_s - self._ahead_s, ahead_s
-        return slept_s if slept_s >= LEAST_SUSPENSION_S else 0.0
+        return slept_s if slept_s >= MIN_SUSPENSION_S else 0.0
 
 
 @attrs.frozen
--- a/src/cloverwalk/core/final_answer.py
+++ b/src/cloverwalk/core/final_answer.py
@@ -12,7 +12,7 @@
 
 from cloverwalk.core.errors import CloverwalkError
 
-PROMISING_STATUSES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses by which a caller knows that its request has not run and never will (users' pages)."""
 
 
@@ -97,7 +97,7 @@
 }
 
 
-class AnswerError(CloverwalkError):
+class CallError(CloverwalkError):
     """A call ends with an answer of this node's own.
 
     It tells why, and when to come back if that makes sense. It has no status: ``final_answer``
@@ -115,7 +115,7 @@
 
 
 @attrs.frozen
-class FinalAnswer:
+class ErrorResponse:
     """What a caller is told at the end of a call. Its status can't be chosen."""
 
     reason: Reason
@@ -126,7 +126,7 @@
 
     @property
     def status(self) -> int:
-        """The status; one of ``PROMISING_STATUSES`` only where the work has not begun."""
+        """The status; one of ``NOT_RUN_STATUSES`` only where the work has not begun."""
         return _STATUSES[self.work][self.reason]
 
     @property
@@ -140,12 +140,12 @@
         return f"{self.code}: {self.message}\n".encode()
 
 
-def final_answer(error: AnswerError, work: Work) -> FinalAnswer:
+def error_response(error: CallError, work: Work) -> ErrorResponse:
     """Turn an error into the answer that is true of the work.
 
-    >>> full = AnswerError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
+    >>> full = CallError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
     >>> answer = final_answer(full, NOTHING_SENT)
     >>> answer.status, answer.retry_after_s
     (503, 0.3)
     """
-    return FinalAnswer(error.reason, error.code, str(error), work.state, error.wait_s)
+    return ErrorResponse(error.reason, error.code, str(error), work.state, error.wait_s)
--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from cloverwalk.core.final_answer import PROMISING_STATUSES
+from cloverwalk.core.final_answer import NOT_RUN_STATUSES
 from cloverwalk.gateway.errors import SILENT, ClientGoneError, ReplicaError
 from cloverwalk.gateway.event_stream import EventOrder, EventSplitter, StreamEvent
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
@@ -52,7 +52,7 @@
         """Pass on an answer that is no stream, whole where it fits into the buffer."""
         if reply.has_begun:
             raise ReplicaError(f"the resumed run answered {head.status}", True, "not_resumed")
-        if head.status in PROMISING_STATUSES:
+        if head.status in NOT_RUN_STATUSES:
             # Handed on it would promise for the replica what the replica has not proved.
             raise ReplicaError(f"{head.status} without its proof", True, "unproved_refusal")
         can_repeat = progress.route.may_repeat and head.status >= 500
--- a/src/cloverwalk/gateway/errors.py
+++ b/src/cloverwalk/gateway/errors.py
@@ -1,7 +1,7 @@
 """Errors of the gateway."""
 
 from cloverwalk.core.errors import CloverwalkError
-from cloverwalk.core.final_answer import AnswerError
+from cloverwalk.core.final_answer import CallError
 
 SILENT = "silent"
 """Code of an exchange that was given up since nothing came."""
@@ -11,7 +11,7 @@
 """Code of an exchange whose replica has started again meanwhile."""
 
 
-class GatewayError(AnswerError):
+class GatewayError(CallError):
     """A request ends with an answer of this node's own."""
 
     default_code = "gateway"
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -9,7 +9,7 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import final_answer
+from cloverwalk.core.final_answer import error_response
 from cloverwalk.fleet.link import CoordinatorLink
 from cloverwalk.fleet.load import LoadBook
 from cloverwalk.fleet.messages import Ask, TokenUse
@@ -374,7 +374,7 @@
     async def _give_up(
         self, request: ClientRequest, progress: RequestProgress, reply: Reply, error: GatewayError
     ) -> None:
-        answer = final_answer(error, progress)
+        answer = error_response(error, progress)
         self._note_end(request, progress, answer.code, answer.status)
         if reply.has_begun:
             raise ClientGoneError(f"the answer is broken off: {answer.code}")
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -11,7 +11,7 @@
 import h11
 from curio import socket
 
-from cloverwalk.core.final_answer import NOTHING_SENT, FinalAnswer, Reason, final_answer
+from cloverwalk.core.final_answer import NOTHING_SENT, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.errors import ClientGoneError, GatewayError
 from cloverwalk.gateway.held_bytes import HeldBytes
@@ -237,7 +237,7 @@
         """Answer a request that could not be read, then close. Nobody has heard of it yet."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        answer = final_answer(error, NOTHING_SENT)
+        answer = error_response(error, NOTHING_SENT)
         self._server.on_refused(answer)
         reply = Reply(self._sock, self._http, closes_after=True)
         headers = self._server.codec.own_headers("", answer.retry_after_s)
@@ -269,7 +269,7 @@
         codec: GatewayCodec,
         limits: Callable[[], ClientLimits],
         on_request: OnRequest,
-        on_refused: Callable[[FinalAnswer], None],
+        on_refused: Callable[[ErrorResponse], None],
         clock: Callable[[], float],
         max_connections: int,
     ) -> None:
--- a/src/cloverwalk/jobs/errors.py
+++ b/src/cloverwalk/jobs/errors.py
@@ -1,10 +1,10 @@
 """Errors of the batch side."""
 
-from cloverwalk.core.final_answer import AnswerError, Reason
+from cloverwalk.core.final_answer import CallError, Reason
 from cloverwalk.store.types import CommitStatus
 
 
-class JobError(AnswerError):
+class JobError(CallError):
     """A call on a job ends with an answer that is not a success."""
 
     default_code = "job_refused"
--- a/src/cloverwalk/pipeline/problem.py
+++ b/src/cloverwalk/pipeline/problem.py
@@ -7,7 +7,7 @@
 from cloverwalk.core.constants import RETRY_AFTER_S
 from cloverwalk.core.errors import CloverwalkError
 from cloverwalk.core.events import Header, SendReply
-from cloverwalk.core.final_answer import PROMISING_STATUSES
+from cloverwalk.core.final_answer import NOT_RUN_STATUSES
 from cloverwalk.core.types import Outcome
 
 UNPROMISING_STATUS = 502
@@ -41,7 +41,7 @@
     @property
     def status(self) -> int:
         """The status that is true of the outcome."""
-        if self.outcome is not Outcome.NOT_RUN and self._wanted_status in PROMISING_STATUSES:
+        if self.outcome is not Outcome.NOT_RUN and self._wanted_status in NOT_RUN_STATUSES:
             return UNPROMISING_STATUS
         return self._wanted_status
 
--- a/src/cloverwalk/serving/calls.py
+++ b/src/cloverwalk/serving/calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import AnswerError, FinalAnswer, Reason, final_answer
+from cloverwalk.core.final_answer import CallError, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route, RouteKind
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest, EndJob, JobCall, ReadItem, ReadJob
@@ -57,17 +57,17 @@
         writes = JobWrites()
         try:
             route = await self._dispatch(request, reply, writes)
-        except AnswerError as error:
+        except CallError as error:
             if error.code == NODE_FULL:
                 # On the same connection its client would come back to this node.
                 reply.close_after()
-            await self._refuse(request, reply, final_answer(error, writes))
+            await self._refuse(request, reply, error_response(error, writes))
             return
         if route is not None:
             # The relay knows what it sends, and makes the final answer by that.
             await self._relay.handle(request, route, reply)
 
-    async def _refuse(self, request: ClientRequest, reply: Reply, answer: FinalAnswer) -> None:
+    async def _refuse(self, request: ClientRequest, reply: Reply, answer: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED,
             request=request.fields.request_id,
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -10,7 +10,7 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.core.clock import Clock, SuspensionWatch, steady_s
-from cloverwalk.core.final_answer import FinalAnswer
+from cloverwalk.core.final_answer import ErrorResponse
 from cloverwalk.core.once_flag import OnceFlag
 from cloverwalk.fleet.case_keeper import CaseKeeper
 from cloverwalk.fleet.follower import TableFollower
@@ -385,7 +385,7 @@
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         await reply.respond(200, [content_type], metrics.render())
 
-    def _on_refused(self, answer: FinalAnswer) -> None:
+    def _on_refused(self, answer: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED, status=answer.status, code=answer.code, work=answer.work.value
         )
@@ -408,7 +408,7 @@
             await self._pool.close_expired()
             self._refusals.expire()
             self._witness.expire()
-            slept_s = self._suspensions.look()
+            slept_s = self._suspensions.check()
             if slept_s > 0:
                 # Ages and leases have gone on: the node is as one that stood still for so long.
                 self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(slept_s, 3))
--- a/src/cloverwalk/telemetry/story.py
+++ b/src/cloverwalk/telemetry/story.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import PROMISING_STATUSES, WorkState
+from cloverwalk.core.final_answer import NOT_RUN_STATUSES, WorkState
 
 BEFORE_S = 3.0
 """Changes of belief this long before a request's first line belong to its story."""
@@ -74,7 +74,7 @@
     begun = work != WorkState.NOT_BEGUN.value
     status = line.fields.get("status", 0)
     promise = f"{status} promises nothing"
-    if status in PROMISING_STATUSES:
+    if status in NOT_RUN_STATUSES:
         promise = f"{status} promises that it never will"
     state = "may have begun" if begun else "had not begun"
     return f"the work {state}: {_what_was_sent(line, begun)}; {promise}"
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -944,7 +944,7 @@
     Mutant(
         "serving: refusals: a replica's refusal without proof is handed on",
         "gateway/answer_relay.py",
-        "        if head.status in PROMISING_STATUSES:",
+        "        if head.status in NOT_RUN_STATUSES:",
         "        if False:",
         PROMISED,
     ),
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from cloverwalk.core.clock import Clock
-from cloverwalk.core.final_answer import FinalAnswer, final_answer
+from cloverwalk.core.final_answer import ErrorResponse, error_response
 from cloverwalk.emulator.memory_store import MemoryStore
 from cloverwalk.gateway.configuration import Route, RouteKind, RoutePart
 from cloverwalk.jobs.commit import Committer
@@ -67,7 +67,7 @@
 class RefusedError(Exception):
     """A call on a job got this answer."""
 
-    def __init__(self, answer: FinalAnswer) -> None:
+    def __init__(self, answer: ErrorResponse) -> None:
         super().__init__(answer)
         self.status = answer.status
         self.retry_after_s = answer.retry_after_s
@@ -131,7 +131,7 @@
         try:
             await self.intake.submit(one, route, self.clock() + allowed_s, writes)
         except JobError as error:
-            raise RefusedError(final_answer(error, writes)) from error
+            raise RefusedError(error_response(error, writes)) from error
 
     async def see_store(self) -> None:
         """Catch up with the job table."""
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from job_world import HandClock, OwnerNode, RefusedError, batch_route, submission
 
-from cloverwalk.core.final_answer import PROMISING_STATUSES, final_answer
+from cloverwalk.core.final_answer import NOT_RUN_STATUSES, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
@@ -94,7 +94,7 @@
     try:
         await service_of(node).end("j", "", writes)
     except JobError as error:
-        return final_answer(error, writes).status
+        return error_response(error, writes).status
     return 200
 
 
@@ -109,7 +109,7 @@
         status = await end_status(node)
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
         assert is_ended
-        assert status not in PROMISING_STATUSES
+        assert status not in NOT_RUN_STATUSES
 
     curio.run(main)
 
@@ -125,7 +125,7 @@
             world.store.failing_status = 0
             is_taken = f"j{status}" in world.store.rows.values(JOB_TABLE)
             assert is_taken
-            assert answer.status not in PROMISING_STATUSES, status
+            assert answer.status not in NOT_RUN_STATUSES, status
             assert (await world.hand_in(f"j{status}", count=1)).status == 202
 
     in_world(test)
@@ -163,7 +163,7 @@
         status = await hand_in_status(node, max_queued_tokens)
         store.run_late()
         is_taken = "j" in store.values(JOB_TABLE)
-        assert not (is_taken and status in PROMISING_STATUSES)
+        assert not (is_taken and status in NOT_RUN_STATUSES)
         assert is_taken or status != 202
 
     curio.run(main)
@@ -179,7 +179,7 @@
         status = await end_status(node)
         store.run_late()
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
-        assert not (is_ended and status in PROMISING_STATUSES)
+        assert not (is_ended and status in NOT_RUN_STATUSES)
         assert is_ended or status != 200
 
     curio.run(main)
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -16,7 +16,7 @@
     submission,
 )
 
-from cloverwalk.core.final_answer import NOTHING_SENT, final_answer
+from cloverwalk.core.final_answer import NOTHING_SENT, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
@@ -314,7 +314,7 @@
         with pytest.raises(JobError) as down_unseen:
             await node.reader.read("other", 0, 0.0)
         statuses = [
-            final_answer(one.value, NOTHING_SENT).status for one in (sure, down, down_unseen)
+            error_response(one.value, NOTHING_SENT).status for one in (sure, down, down_unseen)
         ]
         assert statuses == [404, 503, 503]
 
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cloverwalk.core.clock import LEAST_SUSPENSION_S, Clock, SuspensionWatch, steady_s
+from cloverwalk.core.clock import MIN_SUSPENSION_S, Clock, SuspensionWatch, steady_s
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
 SERVING = ("fleet", "gateway", "jobs", "platform", "scheduling", "serving", "store", "tenants")
@@ -30,12 +30,12 @@
 ) -> None:
     clock, watch = Clock(), SuspensionWatch()
     before_s, before_ms = steady_s(), clock.now_ms()
-    assert watch.look() == 0.0
+    assert watch.check() == 0.0
     slept_s = request.getfixturevalue("sleep_through")
     assert steady_s() - before_s >= slept_s
     assert clock.now_ms() - before_ms >= slept_s * 1000
-    assert slept_s - LEAST_SUSPENSION_S < watch.look() < slept_s + LEAST_SUSPENSION_S
-    assert watch.look() == 0.0
+    assert slept_s - MIN_SUSPENSION_S < watch.check() < slept_s + MIN_SUSPENSION_S
+    assert watch.check() == 0.0
 
 
 def test_a_system_without_such_a_clock_has_the_other_one(monkeypatch: pytest.MonkeyPatch) -> None:
