--- a/src/cloverwalk/platform/adapter.py
+++ b/src/cloverwalk/platform/adapter.py
@@ -27,27 +27,27 @@
         """Return the settings in force."""
         return load_settings()
 
-    def store(self, settings: ServingSettings) -> Store:
+    def create_store(self, settings: ServingSettings) -> Store:
         """Return the store."""
         return PlatformStore(settings.store_address)
 
-    def configuration(self, raw: bytes) -> Configuration:
+    def decode_configuration(self, raw: bytes) -> Configuration:
         """Return a stored configuration."""
         return documents.decode_configuration(raw)
 
-    def replica(self, replica_id: str, raw: bytes, version: int) -> Replica:
+    def decode_replica(self, replica_id: str, raw: bytes, version: int) -> Replica:
         """Return a stored replica entry."""
         return documents.decode_replica(replica_id, raw, version)
 
-    def is_ready_call(self, target: str) -> bool:
+    def is_readiness_probe(self, target: str) -> bool:
         """Whether a request at the ready address asks for readiness."""
         return target.partition("?")[0] == names.READY_PATH
 
-    def job_items(self, body: bytes) -> list[JobItem]:
+    def decode_job_items(self, body: bytes) -> list[JobItem]:
         """Return the items of a job's body."""
         return documents.decode_job(body)
 
-    def result_page(self, page: ResultPage) -> bytes:
+    def encode_result_page(self, page: ResultPage) -> bytes:
         """Return the body of an answer with results."""
         return documents.encode_results(page)
 
--- a/src/cloverwalk/serving/adapter.py
+++ b/src/cloverwalk/serving/adapter.py
@@ -23,27 +23,27 @@
         """Return the settings in force; raise SettingsError."""
         ...
 
-    def store(self, settings: ServingSettings) -> Store:
+    def create_store(self, settings: ServingSettings) -> Store:
         """Return the store."""
         ...
 
-    def configuration(self, raw: bytes) -> Configuration:
+    def decode_configuration(self, raw: bytes) -> Configuration:
         """Return a stored configuration; raise ValueError when it is none."""
         ...
 
-    def replica(self, replica_id: str, raw: bytes, version: int) -> Replica:
+    def decode_replica(self, replica_id: str, raw: bytes, version: int) -> Replica:
         """Return a stored replica entry; raise ValueError when it is none."""
         ...
 
-    def is_ready_call(self, target: str) -> bool:
+    def is_readiness_probe(self, target: str) -> bool:
         """Whether a request at the ready address asks for readiness."""
         ...
 
-    def job_items(self, body: bytes) -> list[JobItem]:
+    def decode_job_items(self, body: bytes) -> list[JobItem]:
         """Return the items of a job's body; raise ValueError when it is not valid."""
         ...
 
-    def result_page(self, page: ResultPage) -> bytes:
+    def encode_result_page(self, page: ResultPage) -> bytes:
         """Return the body of an answer with results."""
         ...
 
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -25,7 +25,7 @@
 from cloverwalk.jobs.view import JobView
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.fleet_parts import FleetParts
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.knowledge import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth
@@ -47,7 +47,7 @@
         adapter: Adapter,
         settings: ServingSettings,
         fleet: FleetParts,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: LoadBook,
         pool: ReplicaPool,
         witness: CrashWitness,
@@ -136,7 +136,7 @@
             store,
             committer,
             store_clock.now,
-            settings.status_s,
+            settings.job_status_ttl_s,
             log,
         )
 
--- a/src/cloverwalk/serving/calls.py
+++ b/src/cloverwalk/serving/calls.py
@@ -15,7 +15,7 @@
 from cloverwalk.jobs.service import JobService
 from cloverwalk.jobs.writes import JobWrites
 from cloverwalk.serving.adapter import Adapter
-from cloverwalk.serving.room_watch import RoomWatch
+from cloverwalk.serving.room_watch import ResourceMonitor
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
@@ -28,7 +28,7 @@
 """A client that comes back reaches another node, which need not be waited for."""
 
 
-class CallHandler:
+class RequestHandler:
     """Handles whole requests of clients."""
 
     def __init__(
@@ -40,7 +40,7 @@
         log: ServingLog,
         metrics: ServingMetrics,
         may_begin: Callable[[], bool],
-        room: RoomWatch | None = None,
+        room: ResourceMonitor | None = None,
     ) -> None:
         self._adapter = adapter
         self._codec = adapter.codec
@@ -127,7 +127,7 @@
             case ReadJob():
                 wait_s = min(LONGEST_WAIT_S, request.fields.wait_s)
                 page = await self._jobs.read(call.job_id, request.tenant, call.position, wait_s)
-                body = self._adapter.result_page(page)
+                body = self._adapter.encode_result_page(page)
                 await reply.respond(200, self._adapter.json_headers, body)
             case ReadItem():
                 body = await self._jobs.item_body(call.job_id, request.tenant, call.item_id)
@@ -148,7 +148,7 @@
                 Reason.INVALID, "not_a_job", "a job is handed in by POST, with an id"
             )
         try:
-            items = self._adapter.job_items(request.body)
+            items = self._adapter.decode_job_items(request.body)
         except ValueError as error:
             raise GatewayError(Reason.INVALID, "job_invalid", str(error)) from error
         if not items or len(items) > MAX_ITEMS:
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -20,7 +20,7 @@
 from cloverwalk.scheduling.slot_time import SlotUse
 from cloverwalk.scheduling.slot_watch import SlotWatch
 from cloverwalk.scheduling.zone_reach import ReachChange
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.knowledge import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import Store
@@ -41,7 +41,7 @@
         self,
         settings: ServingSettings,
         run: str,
-        knowledge: FleetKnowledge,
+        knowledge: FleetState,
         loads: LoadBook,
         store: Store,
         health: StoreHealth,
@@ -66,13 +66,13 @@
             knowledge.configuration,
             ServiceTimes(),
             settings.quota_bounds,
-            knowledge.crashes,
+            knowledge.crash_ledger,
             random,
             self.features,
         )
         self.scheduler.reach.on_change = self._note_reach
         self.scheduler.paces.on_change = self._note_pace
-        self.cases = CaseSync(knowledge.crashes, self.transport, log, clock)
+        self.cases = CaseSync(knowledge.crash_ledger, self.transport, log, clock)
         self.coordinator = Coordinator(
             self.identity,
             self.leader,
@@ -161,9 +161,9 @@
 
     async def receive(self) -> None:
         """Take datagrams until cancelled."""
-        await self.transport.receive(self.take)
+        await self.transport.receive(self.handle_message)
 
-    async def take(self, message: Datagram, host: str) -> None:
+    async def handle_message(self, message: Datagram, host: str) -> None:
         """Pass a datagram to the part that it is for."""
         self._knowledge.startup.record_stage(Stage.PEER)
         match message:
--- a/src/cloverwalk/serving/knowledge.py
+++ b/src/cloverwalk/serving/knowledge.py
@@ -13,7 +13,7 @@
 from cloverwalk.telemetry.startup import Stage, StartupLog
 
 
-class FleetKnowledge:
+class FleetState:
     """Turns rows into what the node goes by; older rows never replace newer ones."""
 
     def __init__(
@@ -29,7 +29,7 @@
         self.startup = startup
         self.configuration = ConfigurationHolder()
         self.directory = ReplicaDirectory()
-        self.crashes = CrashLedger()
+        self.crash_ledger = CrashLedger()
         self.metrics = ServingMetrics()
         """Counts entries that can't be read; set to the node's by who wires it."""
 
@@ -44,7 +44,7 @@
 
     def _take_stored(self, raw: bytes) -> None:
         try:
-            configuration = self._adapter.configuration(raw)
+            configuration = self._adapter.decode_configuration(raw)
         except ValueError as error:
             self._log.write(
                 catalogue.CONFIGURATION_INVALID,
@@ -91,7 +91,7 @@
             self._invalid.pop(key, None)
             return None
         try:
-            replica = self._adapter.replica(key, row.value, row.version)
+            replica = self._adapter.decode_replica(key, row.value, row.version)
         except ValueError as error:
             self._note_invalid(key, row.version, str(error))
             return None
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -27,12 +27,12 @@
 from cloverwalk.scheduling.features import Feature
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.batch_parts import BatchParts
-from cloverwalk.serving.calls import CallHandler
+from cloverwalk.serving.calls import RequestHandler
 from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
-from cloverwalk.serving.knowledge import FleetKnowledge
-from cloverwalk.serving.room_watch import RoomWatch
+from cloverwalk.serving.knowledge import FleetState
+from cloverwalk.serving.room_watch import ResourceMonitor
 from cloverwalk.serving.settings import ServingSettings
-from cloverwalk.serving.store_watch import StoreWatch
+from cloverwalk.serving.store_watch import StoreProbe
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.telemetry.log import ServingLog
@@ -83,7 +83,7 @@
     # --- parts ---
 
     def _build_state(self) -> None:
-        self._knowledge = FleetKnowledge(self._adapter, self._log, self._clock, self._startup)
+        self._knowledge = FleetState(self._adapter, self._log, self._clock, self._startup)
         self._knowledge.metrics = self._metrics
         self._configuration = self._knowledge.configuration
         self._directory = self._knowledge.directory
@@ -92,11 +92,11 @@
         self._health.on_call = self._note_store_call
         self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
         self._store = MonitoredStore(
-            self._adapter.store(self._settings), self._health, self._store_clock
+            self._adapter.create_store(self._settings), self._health, self._store_clock
         )
         self._pool = ReplicaPool(self._adapter.codec, self._clock)
         self._witness = CrashWitness(
-            self._knowledge.crashes,
+            self._knowledge.crash_ledger,
             self._directory,
             self._pool,
             self._log,
@@ -125,7 +125,7 @@
         )
         self._fleet.cases.on_contained = self._witness.note_contained
         self._witness.on_seen = self._fleet.link.note_change
-        self._store_watch = StoreWatch(self._store, self._health, self._fleet)
+        self._store_watch = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
             self._settings,
@@ -194,7 +194,7 @@
         most = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
         self._clients = self._server(settings.client_address, self._handle, most)
         self._room = self._watch_room(most)
-        self._calls = CallHandler(
+        self._calls = RequestHandler(
             self._adapter,
             self._configuration,
             relay,
@@ -211,11 +211,11 @@
                 settings.metrics_address, self._answer_metrics, SIDE_CONNECTIONS
             )
 
-    def _watch_room(self, most_connections: int) -> RoomWatch | None:
+    def _watch_room(self, most_connections: int) -> ResourceMonitor | None:
         """Return what watches this machine's room, where the settings call for it."""
         if not self._fleet.features.is_on(Feature.NODE_CAPACITY):
             return None
-        room = RoomWatch(
+        room = ResourceMonitor(
             self._settings,
             most_connections,
             self._clients,
@@ -349,11 +349,11 @@
             not self.is_leaving
             and self._configuration.current is not None
             and not self._directory.is_empty
-            and (self._room is None or self._room.room.is_ready)
+            and (self._room is None or self._room.overload_monitor.is_ready)
         )
 
     async def _answer_ready(self, request: ClientRequest, reply: Reply) -> None:
-        is_asked = self._adapter.is_ready_call(request.target)
+        is_asked = self._adapter.is_readiness_probe(request.target)
         status = 404 if not is_asked else 200 if self.is_ready else 503
         await reply.respond(status, [], b"")
 
@@ -381,7 +381,7 @@
         metrics.gauge("cloverwalk_zones_unreachable", "Pairs of zones, as seen here", shut)
         metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", known)
         if self._room is not None:
-            self._room.tell(metrics)
+            self._room.update_metrics(metrics)
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         await reply.respond(200, [content_type], metrics.render())
 
--- a/src/cloverwalk/serving/room_watch.py
+++ b/src/cloverwalk/serving/room_watch.py
@@ -22,7 +22,7 @@
 node have come in that time, so a standby's fullness is not a moment's."""
 
 
-class RoomWatch:
+class ResourceMonitor:
     """Looks at what is in use while its loop runs."""
 
     def __init__(
@@ -43,8 +43,8 @@
             min(1.0, settings.cores),
             held_bytes,
         )
-        self.held = HeldBytes(held_bytes)
-        self.room = MachineRoom(size, clock())
+        self.memory_budget = HeldBytes(held_bytes)
+        self.overload_monitor = MachineRoom(size, clock())
         self._clients = clients
         self._runner = runner
         self._link = link
@@ -52,31 +52,31 @@
         self._clock = clock
         self._processor_s = processor_s
         self._is_told_full = False
-        clients.held = self.held
+        clients.held = self.memory_budget
         link.on_zone_fullness = self._note_peers
 
     @property
     def is_over(self) -> bool:
         """Whether new requests and jobs are refused."""
-        return self.room.verdict is RoomVerdict.OVER
+        return self.overload_monitor.verdict is RoomVerdict.OVER
 
     def takes_job(self, size: int) -> bool:
         """Whether there is memory for a job with so many bytes of bodies; counts it if so."""
-        if not self.held.has_room_for_job(size):
+        if not self.memory_budget.has_room_for_job(size):
             return False
         # The next look counts it properly, or not at all where it was not taken.
-        self.held.jobs += size
+        self.memory_budget.jobs += size
         return True
 
     def must_hand_over(self) -> bool:
         """Whether this node should not coordinate any more."""
-        return self.room.over_for_s(self._clock()) >= HAND_OVER_AFTER_S
+        return self.overload_monitor.over_for_s(self._clock()) >= HAND_OVER_AFTER_S
 
-    def tell(self, metrics: ServingMetrics) -> None:
+    def update_metrics(self, metrics: ServingMetrics) -> None:
         """Set the figures of this machine's room."""
-        metrics.utilization = {one.value: share for one, share in self.room.by_resource.items()}
-        metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.held.total)
-        given_up = self.held.given_up_total
+        metrics.utilization = {one.value: share for one, share in self.overload_monitor.by_resource.items()}
+        metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total)
+        given_up = self.memory_budget.given_up_total
         metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
 
     async def run(self) -> None:
@@ -84,45 +84,45 @@
         while True:
             due_at = self._clock() + LOOK_EVERY_S
             await curio.sleep(LOOK_EVERY_S)
-            self.look(max(0.0, self._clock() - due_at))
+            self.check(max(0.0, self._clock() - due_at))
 
-    def look(self, late_s: float) -> None:
+    def check(self, late_s: float) -> None:
         """Judge by what is in use now; the loop was late by ``late_s``."""
-        self.held.jobs = self._runner.held_bytes
+        self.memory_budget.jobs = self._runner.held_bytes
         usage = Usage(
-            self.held.sent_bytes,
+            self.memory_budget.sent_bytes,
             self._processor_s(),
             self._clients.connection_count,
-            self.held.total,
+            self.memory_budget.total,
             late_s,
         )
-        if not self.room.look(usage, self._clock()):
+        if not self.overload_monitor.look(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
         # 0 would say that nobody measures it.
-        self._link.fullness_percent = max(1, round(100 * self.room.fullness))
+        self._link.fullness_percent = max(1, round(100 * self.overload_monitor.fullness))
         self._tell_full()
         self._tell_given_up()
 
     def _note_peers(self, percent: int) -> None:
-        if not self.room.note_peers(percent, self._clock()):
+        if not self.overload_monitor.note_peers(percent, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, zone_percent=percent)
 
     def _tell_full(self) -> None:
-        is_full = self.room.verdict is not RoomVerdict.TAKES_ALL
+        is_full = self.overload_monitor.verdict is not RoomVerdict.TAKES_ALL
         if is_full == self._is_told_full:
             return
         self._is_told_full = is_full
         self._log.write(
             catalogue.NODE_FULL if is_full else catalogue.NODE_TAKES_AGAIN,
-            verdict=self.room.verdict.value,
-            scarcest=self.room.scarcest.value,
+            verdict=self.overload_monitor.verdict.value,
+            scarcest=self.overload_monitor.scarcest.value,
             percent=self._link.fullness_percent,
-            **{one.value: round(100 * share) for one, share in self.room.by_resource.items()},
+            **{one.value: round(100 * share) for one, share in self.overload_monitor.by_resource.items()},
         )
 
     def _tell_given_up(self) -> None:
         """One line for all clients that were given up since the last look."""
-        told = self.held.take_given_up()
+        told = self.memory_budget.take_given_up()
         if told.count == 0:
             return
         self._log.write(
@@ -130,6 +130,6 @@
             clients=told.count,
             most_bytes=told.most_bytes,
             longest_s=round(told.longest_s, 2),
-            held_bytes=self.held.total,
-            limit_bytes=self.held.limit,
+            held_bytes=self.memory_budget.total,
+            limit_bytes=self.memory_budget.limit,
         )
--- a/src/cloverwalk/serving/store_watch.py
+++ b/src/cloverwalk/serving/store_watch.py
@@ -19,7 +19,7 @@
 PROBE_TABLE = "role"
 
 
-class StoreWatch:
+class StoreProbe:
     """While the store is lost, asks for a small row often."""
 
     def __init__(self, store: Store, health: StoreHealth, fleet: FleetParts) -> None:
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -36,10 +36,10 @@
 from cloverwalk.platform.store_client import PlatformStore
 from cloverwalk.serving import fleet_parts
 from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.knowledge import FleetState
 from cloverwalk.serving.node import CONFIGURATION_PAUSE_S
 from cloverwalk.serving.settings import ServingSettings
-from cloverwalk.serving.store_watch import StoreWatch
+from cloverwalk.serving.store_watch import StoreProbe
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.store.types import CommitStatus, Put, RowKey, Transaction
@@ -303,7 +303,7 @@
         adapter = PlatformAdapter()
         log = ServingLog(self.name, time, world.log_descriptor)
         self.startup = StartupLog(log, time, time.now)
-        self.knowledge = FleetKnowledge(adapter, log, time, self.startup)
+        self.knowledge = FleetState(adapter, log, time, self.startup)
         self.health = StoreHealth(Clock(time))
         client = PlatformStore("store:1")
         client._pool = _Pool(world.store, self.host)  # type: ignore[assignment]
@@ -342,7 +342,7 @@
             random,
             self.fleet.until_directory_needed,
         )
-        self._watch = StoreWatch(self.store, self.health, self.fleet)
+        self._watch = StoreProbe(self.store, self.health, self.fleet)
         self._tasks: list[Any] = []
 
     async def start(self) -> None:
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -194,7 +194,7 @@
             assert answer.status == 502
         node = crashing.world.nodes[0]
         await crashing.world.until(lambda: not node._witness._looks)
-        assert node._knowledge.crashes.is_empty
+        assert node._knowledge.crash_ledger.is_empty
         assert sum(one.runs(f"req{4:04d}") for one in crashing.world.replicas) == 3
 
     in_crashing_world(test)
@@ -206,7 +206,7 @@
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         world = crashing.world
-        ledger = world.nodes[0]._knowledge.crashes
+        ledger = world.nodes[0]._knowledge.crash_ledger
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
         neighbours = [await curio.spawn(crashing.ask, body) for body in bodies]
@@ -233,7 +233,7 @@
             await crashing.ask(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
-        ledger = world.nodes[0]._knowledge.crashes
+        ledger = world.nodes[0]._knowledge.crash_ledger
         answers = [await crashing.ask(b"sent late %d" % number) for number in range(8)]
         assert {one.status for one in answers} <= {200, 502, 503}
         assert ledger.is_empty
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -38,7 +38,7 @@
     def __init__(self, world: FleetWorld, verdict: RoomVerdict, is_ready: bool) -> None:
         watch = world.nodes[0]._room
         assert watch is not None
-        room = watch.room
+        room = watch.overload_monitor
         room.look = lambda usage, now: True  # type: ignore[method-assign]
         room.verdict, room.is_ready = verdict, is_ready
 
@@ -96,7 +96,7 @@
         await world.until(lambda: not any(one.running for one in world.replicas))
         await world.until(lambda: not node._loads.own)
         assert node._room is not None
-        held = node._room.held
+        held = node._room.memory_budget
         assert 0 < held.answers <= most_held <= LIMIT_BYTES
         # The answers together are many times the limit.
         assert held.given_up_total > 10
@@ -142,7 +142,7 @@
         await start_with_long_answers(world, replicas=1, events=400, event_s=0.05)
         replica, node = world.replicas[0], world.nodes[0]
         assert node._room is not None
-        held = node._room.held
+        held = node._room.memory_budget
         sock = await slow_client(world, "/chat/a")
         await world.until(lambda: held.given_up_total == 1)
         await world.until(lambda: node._clients.connection_count == 0)
@@ -193,7 +193,7 @@
         await world.start(replicas=1)
         node = world.nodes[0]
         assert node._room is not None
-        node._room.held.bodies = LIMIT_BYTES // 2
+        node._room.memory_budget.bodies = LIMIT_BYTES // 2
         sock = await world.connect()
         head = f"POST /chat/a HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 100000\r\n\r\n"
         await sock.sendall(head.encode())
@@ -204,9 +204,9 @@
         assert answer.status == 503
         assert "retry-after" in answer.headers
         await sock.close()
-        node._room.held.bodies = 0
-        node._room.held.jobs = LIMIT_BYTES
-        node._room.look = lambda late_s: None  # type: ignore[method-assign]
+        node._room.memory_budget.bodies = 0
+        node._room.memory_budget.jobs = LIMIT_BYTES
+        node._room.check = lambda late_s: None  # type: ignore[method-assign]
         assert (await world.hand_in("j")).status == 503
         assert not world.replicas[0].arrivals
 
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -33,7 +33,7 @@
 from cloverwalk.platform import names
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.scheduling.admission import Verdict
-from cloverwalk.serving.calls import CallHandler
+from cloverwalk.serving.calls import RequestHandler
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.refusals import QuotaRefusalCache
@@ -142,7 +142,7 @@
         )
         self.may_begin = True
         jobs: Any = None
-        calls = CallHandler(adapter, holder, relay, jobs, log, metrics, lambda: self.may_begin)
+        calls = RequestHandler(adapter, holder, relay, jobs, log, metrics, lambda: self.may_begin)
         self.address = ("127.0.0.1", free_port())
         self.server = GatewayServer(
             self.address,
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -16,7 +16,7 @@
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.platform.documents import decode_replica
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.knowledge import FleetState
 from cloverwalk.store.types import Row, RowKey, RowPage
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
@@ -73,7 +73,7 @@
         self.lines: list[int] = []
         log.write = lambda number, **_: self.lines.append(number)  # type: ignore[method-assign]
         self.metrics = ServingMetrics()
-        self.knowledge = FleetKnowledge(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
+        self.knowledge = FleetState(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
         self.knowledge.metrics = self.metrics
         self.directory = self.knowledge.directory
 
