--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -25,7 +25,7 @@
 )
 from cloverwalk.jobs.run import JobRun
 from cloverwalk.jobs.view import JobView
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.store.types import (
     CommitOutcome,
@@ -110,11 +110,11 @@
         self._is_store_lost = is_store_lost
         self._random = random
         self._quotas: dict[RowKey, tuple[QuotaRow, int]] = {}
-        self.in_hand: set[str] = set()
+        self.submitting_ids: set[str] = set()
         """Jobs that are being taken: their records may be there before their runs."""
 
     async def submit(
-        self, submission: Submission, route: Route, until: float, writes: JobWrites
+        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
     ) -> None:
         """Take a job, or find that it was taken; raise JobError otherwise.
 
@@ -127,14 +127,14 @@
             return
         if self._is_store_lost() and self._is_served_elsewhere():
             raise self._unsettled(submission, CommitOutcome(CommitStatus.NOT_DONE))
-        self.in_hand.add(submission.job_id)
+        self.submitting_ids.add(submission.job_id)
         try:
             await self._settle(submission, route, until, writes)
         finally:
-            self.in_hand.discard(submission.job_id)
+            self.submitting_ids.discard(submission.job_id)
 
     async def _settle(
-        self, submission: Submission, route: Route, until: float, writes: JobWrites
+        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
     ) -> None:
         is_elsewhere = self._is_served_elsewhere()
         refuse_after_s = REFUSE_AFTER_SERVED_ELSEWHERE_S if is_elsewhere else REFUSE_AFTER_S
--- a/src/cloverwalk/jobs/lister.py
+++ b/src/cloverwalk/jobs/lister.py
@@ -49,7 +49,7 @@
         self._busy: set[str] = set()
         self._wake = curio.Event()
 
-    async def note(self, job: JobRun) -> None:
+    async def notify_finished(self, job: JobRun) -> None:
         """A job has finished items."""
         self._due[job.job_id] = job
         await self._wake.set()
--- a/src/cloverwalk/jobs/order.py
+++ b/src/cloverwalk/jobs/order.py
@@ -27,17 +27,17 @@
     due_ms: float
     can_be_in_time: bool
     replica_id: str
-    reading_ms: float
+    prefill_ms: float
     priority: int = 0
     tenant: str = ""
-    rest_ms: float = 0.0
+    remaining_ms: float = 0.0
     """How long it still runs at a replica of the usual pace; 0: not told."""
 
     tokens: int = 0
     """Memory that it may take at a replica; 0 where nobody asks."""
 
     @property
-    def due_step(self) -> int:
+    def sort_key(self) -> int:
         """The step that it is told in."""
         rank = self.priority * PRIORITY_STEP + (0 if self.can_be_in_time else LATE_STEP)
         return int(self.due_ms // DUE_STEP_MS) + rank
@@ -52,7 +52,7 @@
     """
     by_key: dict[tuple[int, str, str], list[WaitingItem]] = {}
     for one in items:
-        by_key.setdefault((one.due_step, one.replica_id, one.tenant), []).append(one)
+        by_key.setdefault((one.sort_key, one.replica_id, one.tenant), []).append(one)
     groups = [_group(key, ones) for key, ones in sorted(by_key.items())]
     if len(groups) <= MAX_GROUPS:
         return groups
@@ -79,8 +79,8 @@
 def _group(key: tuple[int, str, str], items: list[WaitingItem]) -> WaitingGroup:
     """Return items of one key as they are told; the largest one's memory stands for each."""
     step, replica_id, tenant = key
-    reading_ms = round(sum(one.reading_ms for one in items) / len(items))
-    rest_ms = sum(one.rest_ms for one in items) / len(items)
+    reading_ms = round(sum(one.prefill_ms for one in items) / len(items))
+    rest_ms = sum(one.remaining_ms for one in items) / len(items)
     rest_ms = round(rest_ms / REST_STEP_MS) * REST_STEP_MS
     tokens = max(one.tokens for one in items)
     return WaitingGroup(step, len(items), replica_id, reading_ms, tenant, rest_ms, tokens)
--- a/src/cloverwalk/jobs/pace.py
+++ b/src/cloverwalk/jobs/pace.py
@@ -18,10 +18,10 @@
 """Longest time from begin to end that is expected, in times at replicas."""
 
 
-class ItemPace:
+class ItemTimeEstimator:
     """Running averages of what an item takes.
 
-    >>> pace = ItemPace()
+    >>> pace = ItemTimeEstimator()
     >>> pace.note_run(events=200, began_with=0, took_s=5.0)
     >>> fresh = _example_item()
     >>> round(pace.remaining_s(fresh), 2), pace.can_be_in_time(fresh, 5_100.0)
--- a/src/cloverwalk/jobs/run.py
+++ b/src/cloverwalk/jobs/run.py
@@ -36,7 +36,7 @@
 class RunTiming(Struct):
     """How a run of an item went at its replica."""
 
-    told_percent: int
+    reported_slowdown_percent: int
     """What the replica told of its pace as the answer began, 100 for its usual one; 0: nothing."""
 
     events: int = 0
@@ -70,7 +70,7 @@
     replica_id: str = ""
     """Where it runs, or ran last: its prompt may still be kept there."""
 
-    born_ms: int = 0
+    replica_started_ms: int = 0
     """Which start of that replica it was, see ``Replica``: the next one keeps no prompt."""
 
     content: str = ""
@@ -116,7 +116,7 @@
         return self.record.job_id
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """About what its bodies, and the outputs that are not listed, take in memory."""
         outputs = sum(one.output_bytes for one in self.items if one.phase is not Phase.LISTED)
         return self._body_bytes + outputs
@@ -157,7 +157,7 @@
             one.first_began_at = now
         one.phase = Phase.RUNNING
         one.replica_id = replica_id
-        one.born_ms = born_ms
+        one.replica_started_ms = born_ms
 
     def take_event(self, one: ItemRun, event_id: int | None, data: str) -> bool:
         """Add an event's data; return False when it does not follow the last one.
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -17,7 +17,7 @@
 from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteWatch, past_retention
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
 from cloverwalk.jobs.order import WaitingItem, pick, summarise
-from cloverwalk.jobs.pace import ItemPace
+from cloverwalk.jobs.pace import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
 from cloverwalk.scheduling.replica_memory import memory_limit
 from cloverwalk.scheduling.selection import reading_ms
@@ -89,7 +89,7 @@
         self._running: dict[tuple[str, int], _Running] = {}
         self._wake = curio.Event()
         self._has_jobs = curio.Event()
-        self._pace = ItemPace()
+        self._pace = ItemTimeEstimator()
         self._route_watch = RouteWatch()
         self._tells_pace = False
         """Whether a replica has told its pace here: then how long items still run matters."""
@@ -122,9 +122,9 @@
         await self._wake.set()
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """About what own jobs take in memory."""
-        return sum(job.held_bytes for job in self.jobs.values())
+        return sum(job.buffered_bytes for job in self.jobs.values())
 
     async def until_jobs(self) -> None:
         """Return when this node runs any job."""
@@ -200,7 +200,7 @@
         due_ms = job.record.due_ms
         can_be_in_time = self._pace.can_be_in_time(one, self._left_ms(job))
         kept_at = self._directory.find(one.replica_id)
-        replica_id = one.replica_id if kept_at and kept_at.may_be_start(one.born_ms) else ""
+        replica_id = one.replica_id if kept_at and kept_at.may_be_start(one.replica_started_ms) else ""
         order_ms = self._pace.order_ms(one, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
@@ -215,7 +215,7 @@
         if not has_tenants and not self._tells_pace:
             return waiting
         tenant = job.record.tenant if has_tenants else ""
-        return attrs.evolve(waiting, tenant=tenant, rest_ms=1000 * self._pace.remaining_s(one))
+        return attrs.evolve(waiting, tenant=tenant, remaining_ms=1000 * self._pace.remaining_s(one))
 
     def _tokens(self, job: JobRun, one: ItemRun) -> int:
         """Return the memory that an item may take at a replica, 0 where nobody counts it.
@@ -337,7 +337,7 @@
             for one in self._sendable(job):
                 told = self._waiting_item(job, one)
                 is_elsewhere = told.replica_id not in ("", replica.replica_id)
-                ranked.append(((told.due_step, is_elsewhere, told.due_ms), job, one))
+                ranked.append(((told.sort_key, is_elsewhere, told.due_ms), job, one))
         ranked.sort(key=lambda entry: entry[0])
         return [(job, one) for _, job, one in ranked]
 
@@ -456,12 +456,12 @@
         timing = running.one.timing
         if timing is None or timing.events == 0:
             return
-        self._tells_pace |= timing.told_percent > 0
+        self._tells_pace |= timing.reported_slowdown_percent > 0
         if not self._tells_pace:
             # Nobody asks for it, and reports stay as small as they are without it.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
-        told = ReplicaTiming(running.replica_id, timing.events, took_ms, timing.told_percent)
+        told = ReplicaTiming(running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent)
         self._link.note_timing(told)
 
     def _note_lateness(self, job: JobRun, one: ItemRun) -> str | None:
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -13,7 +13,7 @@
 from cloverwalk.jobs.run import replace_record
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.jobs.view import JobView
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.types import (
     CommitStatus,
     Expectation,
@@ -52,7 +52,7 @@
         self._clock = clock
 
     async def submit(
-        self, submission: Submission, route: Route, deadline_s: float | None, writes: JobWrites
+        self, submission: Submission, route: Route, deadline_s: float | None, writes: JobWriteTracker
     ) -> None:
         """Take a job; returns once the store holds it."""
         allowed_s = SUBMIT_S if deadline_s is None else min(SUBMIT_S, 0.8 * deadline_s)
@@ -87,7 +87,7 @@
                 return item.body
         raise JobError(Reason.NOT_FOUND, "no_such_item", "no such item")
 
-    async def end(self, job_id: str, tenant: str, writes: JobWrites) -> None:
+    async def end(self, job_id: str, tenant: str, writes: JobWriteTracker) -> None:
         """End a tenant's job: none of its items starts any more."""
         until = self._clock() + END_S
         await self._find(job_id, tenant)
--- a/src/cloverwalk/jobs/takeover.py
+++ b/src/cloverwalk/jobs/takeover.py
@@ -69,7 +69,7 @@
         self.is_leaving = False
         self._taking: set[str] = set()
 
-    async def take(self, job_ids: list[str]) -> None:
+    async def take_over(self, job_ids: list[str]) -> None:
         """Begin to take jobs over that this node neither runs nor is taking."""
         for job_id in job_ids:
             is_known = job_id in self._runner.jobs or job_id in self._in_hand
--- a/src/cloverwalk/jobs/view.py
+++ b/src/cloverwalk/jobs/view.py
@@ -39,14 +39,14 @@
         """Return every known job, sorted by id."""
         return [self._jobs[key] for key in sorted(self._jobs)]
 
-    async def take(self, page: RowPage) -> None:
+    async def apply_page(self, page: RowPage) -> None:
         """Take rows of the job table."""
         for row in page.rows:
             if row.row_key.table != JOB_TABLE:
                 continue
-            await self.take_row(row)
+            await self.apply_row(row)
 
-    async def take_row(self, row: Row) -> None:
+    async def apply_row(self, row: Row) -> None:
         """Take one row, or the news that it was removed."""
         job_id = row.row_key.key
         if row.value is None:
--- a/src/cloverwalk/jobs/writes.py
+++ b/src/cloverwalk/jobs/writes.py
@@ -6,7 +6,7 @@
 from cloverwalk.store.types import CommitOutcome, CommitStatus
 
 
-class JobWrites:
+class JobWriteTracker:
     """Knows whether any transaction of a call can have taken effect, or still can.
 
     From the moment in which a transaction is sent it may be done, until its outcome or a proof
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -114,7 +114,7 @@
             committer,
             log,
             clock,
-            intake.in_hand,
+            intake.submitting_ids,
         )
         self.follower = TableFollower(
             JOB_TABLE,
@@ -160,14 +160,14 @@
         return job_id in self.runner.jobs
 
     async def _on_jobs(self, page: RowPage) -> None:
-        await self.view.take(page)
+        await self.view.apply_page(page)
 
     async def _on_taken(self, job: JobRun) -> None:
         if not self._fleet.link.is_leaving and job.job_id not in self.runner.jobs:
             await self.runner.add(job)
 
     async def _on_orphans(self, job_ids: list[str]) -> None:
-        await self.takeover.take(job_ids)
+        await self.takeover.take_over(job_ids)
 
     async def _on_finished(self, job: JobRun) -> None:
-        await self.lister.note(job)
+        await self.lister.notify_finished(job)
--- a/src/cloverwalk/serving/calls.py
+++ b/src/cloverwalk/serving/calls.py
@@ -13,7 +13,7 @@
 from cloverwalk.jobs.intake import Submission
 from cloverwalk.jobs.records import MAX_ITEMS
 from cloverwalk.jobs.service import JobService
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.room_watch import ResourceMonitor
 from cloverwalk.telemetry.log import ServingLog
@@ -54,7 +54,7 @@
 
     async def handle(self, request: ClientRequest, reply: Reply) -> None:
         """Serve one request to its final answer."""
-        writes = JobWrites()
+        writes = JobWriteTracker()
         try:
             route = await self._dispatch(request, reply, writes)
         except CallError as error:
@@ -83,7 +83,7 @@
         await reply.respond(answer.status, headers, answer.body)
 
     async def _dispatch(
-        self, request: ClientRequest, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, reply: Reply, writes: JobWriteTracker
     ) -> Route | None:
         """Serve a call on a job or a hand-in; return the route of an online request."""
         if self._configuration.current is None:
@@ -121,7 +121,7 @@
         return route
 
     async def _job_call(
-        self, request: ClientRequest, call: JobCall, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, call: JobCall, reply: Reply, writes: JobWriteTracker
     ) -> None:
         match call:
             case ReadJob():
@@ -141,7 +141,7 @@
         return [(name.decode(), value.decode()) for name, value in self._codec.without_key(raw)]
 
     async def _submit(
-        self, request: ClientRequest, route: Route, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, route: Route, reply: Reply, writes: JobWriteTracker
     ) -> None:
         if request.method != "POST" or not request.fields.request_id:
             raise GatewayError(
--- a/src/cloverwalk/serving/room_watch.py
+++ b/src/cloverwalk/serving/room_watch.py
@@ -88,7 +88,7 @@
 
     def check(self, late_s: float) -> None:
         """Judge by what is in use now; the loop was late by ``late_s``."""
-        self.memory_budget.jobs = self._runner.held_bytes
+        self.memory_budget.jobs = self._runner.buffered_bytes
         usage = Usage(
             self.memory_budget.sent_bytes,
             self._processor_s(),
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -17,7 +17,7 @@
 from cloverwalk.jobs.result_cache import ResultCache
 from cloverwalk.jobs.run import ItemRun, JobRun
 from cloverwalk.jobs.view import JobView
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.store.health import StoreHealth, MonitoredStore
 from cloverwalk.telemetry.log import ServingLog
@@ -127,7 +127,7 @@
             job.is_dropped = True
 
     async def submit(self, one: Submission, route: Route, allowed_s: float = 3.0) -> None:
-        writes = JobWrites()
+        writes = JobWriteTracker()
         try:
             await self.intake.submit(one, route, self.clock() + allowed_s, writes)
         except JobError as error:
@@ -135,7 +135,7 @@
 
     async def see_store(self) -> None:
         """Catch up with the job table."""
-        await self.view.take(await self.store.read_table(JOB_TABLE))
+        await self.view.apply_page(await self.store.read_table(JOB_TABLE))
 
 
 def finish(job: JobRun, one: ItemRun, text: str) -> None:
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -124,7 +124,7 @@
         handing_in = await curio.spawn(world.hand_in, "j")
         await world.until(lambda: "j" in world.store.rows.values("job"))
         # The coordinator sees the record before this node has the answer.
-        await world.nodes[0]._batch.takeover.take(["j"])
+        await world.nodes[0]._batch.takeover.take_over(["j"])
         assert (await handing_in.join()).status == 202
         world.store.write_delay_s = 0.0
         await world.until_done("j", 3)
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -25,7 +25,7 @@
     quota_key,
 )
 from cloverwalk.jobs.service import MAX_END_CONFLICTS, JobService
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.types import CommitOutcome, Put, RowKey, Transaction
 
 
@@ -90,7 +90,7 @@
 
 async def end_status(node: OwnerNode) -> int:
     """Return the status of the answer to an end of the job "j"."""
-    writes = JobWrites()
+    writes = JobWriteTracker()
     try:
         await service_of(node).end("j", "", writes)
     except JobError as error:
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -373,8 +373,8 @@
         await node.submit(submission("j"), batch_route())
         lagging = await store.read_table(JOB_TABLE)
         row = lagging.rows[0]
-        await node.view.take_row(Row(row.row_key, None, row.version + 1))
-        await node.view.take(lagging)
+        await node.view.apply_row(Row(row.row_key, None, row.version + 1))
+        await node.view.apply_page(lagging)
         assert node.view.find("j") is None
 
     curio.run(main)
--- a/tests/unit/test_item_order.py
+++ b/tests/unit/test_item_order.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from cloverwalk.jobs.order import MAX_GROUPS, WaitingItem, summarise
-from cloverwalk.jobs.pace import ItemPace
+from cloverwalk.jobs.pace import ItemTimeEstimator
 from cloverwalk.jobs.records import JobItem
 from cloverwalk.jobs.run import ItemRun
 
@@ -26,7 +26,7 @@
     steps = [one.due_step for one in groups]
     assert steps == sorted(steps)
     if items:
-        assert steps[0] == min(WaitingItem(*one).due_step for one in items)
+        assert steps[0] == min(WaitingItem(*one).sort_key for one in items)
 
 
 @given(ITEMS, st.floats(0.0, 60_000.0))
@@ -35,7 +35,7 @@
 ) -> None:
     late = WaitingItem(due_ms, False, "", 0.0)
     in_time = [WaitingItem(*one) for one in items if one[1]]
-    assert all(one.due_step < late.due_step for one in in_time)
+    assert all(one.sort_key < late.sort_key for one in in_time)
 
 
 def item(events: int) -> ItemRun:
@@ -44,9 +44,9 @@
     return one
 
 
-def stretched_pace() -> ItemPace:
+def stretched_pace() -> ItemTimeEstimator:
     """Items take 5 s at replicas, and 15 s from begin to end."""
-    pace = ItemPace()
+    pace = ItemTimeEstimator()
     for _ in range(100):
         pace.note_run(events=200, began_with=100, took_s=2.5)
         done = item(200)
