--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -19,7 +19,7 @@
 from test_crash_cases import ASK_EVERY_S, NODES, Clients, Trouble  # noqa: E402
 
 from cloverwalk.fleet.messages import CrashCases  # noqa: E402
-from cloverwalk.gateway.content import content_name  # noqa: E402
+from cloverwalk.gateway.content import hash_content  # noqa: E402
 
 SEEDS = 60
 SPAN_S = 20.0
@@ -79,7 +79,7 @@
         body = bytes(size)
         began = time.perf_counter()
         for _ in range(REPEATS if size < 10_000 else REPEATS // 20):
-            content_name("tenant", "host.example", "POST", "/a/b/c", body=body)
+            hash_content("tenant", "host.example", "POST", "/a/b/c", body=body)
         count = REPEATS if size < 10_000 else REPEATS // 20
         print(f"name of {size} bytes: {(time.perf_counter() - began) / count * 1e6:.1f} us")
 
--- a/src/cloverwalk/fleet/case_keeper.py
+++ b/src/cloverwalk/fleet/case_keeper.py
@@ -2,7 +2,7 @@
 
 Each process reads the table once as it starts. The coordinator writes a row when a request is
 contained, and when another replica ends under it, and removes it when it is free again: at most
-``MOST_SHARED`` rows of some 500 bytes, and no call on days without crashes.
+``MAX_SHARED_RECORDS`` rows of some 500 bytes, and no call on days without crashes.
 """
 
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.case_sync import CaseSync
 from cloverwalk.fleet.coordinator import Coordinator
-from cloverwalk.gateway.crash_ledger import CaseCopy
+from cloverwalk.gateway.crash_ledger import CrashRecord
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import CommitStatus, Put, Row, RowKey, Store, StoreError, Transaction
@@ -34,7 +34,7 @@
 class StoredCase(msgspec.Struct, array_like=True):
     """A row: a case as it was at a time of the store."""
 
-    case: CaseCopy
+    case: CrashRecord
     store_ms: float
 
 
@@ -94,7 +94,7 @@
         self.is_read = True
         return True
 
-    def _decode(self, row: Row) -> CaseCopy | None:
+    def _decode(self, row: Row) -> CrashRecord | None:
         """Return a row's case, its ages counted until now; None for a row that can't be read."""
         if row.value is None:
             return None
@@ -105,12 +105,12 @@
             self._log.write(catalogue.CASE_INVALID, key=key, error=str(error)[:200])
             return None
         case = stored.case
-        self._stored[case.content] = len(case.crash_ages_ms)
+        self._stored[case.content_hash] = len(case.crash_ages_ms)
         now = self._store_clock.now()
         # Without the store's time the case counts as new: it is forgotten later than it might be.
         elapsed_ms = 0 if now is None else max(0, round(now.earliest_ms - stored.store_ms))
         ages = {key: age_ms + elapsed_ms for key, age_ms in case.crash_ages_ms.items()}
-        return CaseCopy(case.content, ages)
+        return CrashRecord(case.content_hash, ages)
 
     # --- writing ---
 
@@ -129,7 +129,7 @@
         for content in sorted(wanted):
             if self._stored.get(content) == wanted[content]:
                 continue
-            case = self._cases.ledger.copy_of(content, now)
+            case = self._cases.ledger.record_of(content, now)
             value = msgspec.json.encode(StoredCase(case, store_time.latest_ms))
             puts.append(Put(_row_key(content), value))
         removals = [_row_key(content) for content in sorted(self._stored) if content not in wanted]
--- a/src/cloverwalk/fleet/case_sync.py
+++ b/src/cloverwalk/fleet/case_sync.py
@@ -11,7 +11,7 @@
 from cloverwalk.fleet.messages import CrashCases, Report
 from cloverwalk.fleet.roster import KnownNode
 from cloverwalk.fleet.transport import Sender
-from cloverwalk.gateway.crash_ledger import CaseCopy, CrashLedger, InvalidCaseError
+from cloverwalk.gateway.crash_ledger import CrashRecord, CrashLedger, InvalidCrashRecordError
 from cloverwalk.telemetry.log import ServingLog
 
 REPEAT_EVERY_S = 0.5
@@ -35,19 +35,19 @@
         self._coordinator_digest = 0
         self._told_all_at = float("-inf")
 
-    def take(self, cases: list[CaseCopy], source: str) -> bool:
+    def take(self, cases: list[CrashRecord], source: str) -> bool:
         """Merge what another node knows; what makes no sense is logged and left out.
 
         Return whether this node knows better: it has seen an answer since.
         """
-        now, disproved = self._clock(), self.ledger.disproved
+        now, disproved = self._clock(), self.ledger.stale_record_count
         for copy in cases:
             try:
                 if self.ledger.merge(copy, now):
-                    self.on_contained(copy.content, source)
-            except InvalidCaseError as error:
+                    self.on_contained(copy.content_hash, source)
+            except InvalidCrashRecordError as error:
                 self._log.write(catalogue.BAD_PEER_MESSAGE, problem=str(error), host=source)
-        return self.ledger.disproved != disproved
+        return self.ledger.stale_record_count != disproved
 
     # --- a node ---
 
@@ -55,18 +55,18 @@
         """The coordinator knows these cases."""
         self._coordinator_digest = digest
 
-    def for_report(self) -> list[CaseCopy]:
+    def for_report(self) -> list[CrashRecord]:
         """Return what the coordinator may not know."""
-        if not self.ledger.has_news:
+        if not self.ledger.needs_sync:
             return []
         now = self._clock()
         differs = self._coordinator_digest != self.ledger.digest
         if differs and now - self._told_all_at >= REPEAT_EVERY_S:
             self._told_all_at = now
-            told = {one.content: one for one in self.ledger.shared(now)}
-            told.update((one.content, one) for one in self.ledger.seen_here(now))
+            told = {one.content_hash: one for one in self.ledger.shared_records(now)}
+            told.update((one.content_hash, one) for one in self.ledger.local_records(now))
             return list(told.values())
-        return self.ledger.seen_here(now)
+        return self.ledger.local_records(now)
 
     # --- the coordinator ---
 
@@ -77,15 +77,15 @@
         if report.cases_digest == self.ledger.digest or now - known.cases_at < REPEAT_EVERY_S:
             return
         known.cases_at = now
-        self._transport.send(known.contact.host, CrashCases(self.ledger.shared(now)))
+        self._transport.send(known.contact.host, CrashCases(self.ledger.shared_records(now)))
 
     def push(self, others: Callable[[], list[KnownNode]]) -> None:
         """Tell all nodes what has changed since the last call; asked for with each tick."""
-        if self._told_changes == self.ledger.changes:
+        if self._told_changes == self.ledger.revision:
             return
-        self._told_changes = self.ledger.changes
+        self._told_changes = self.ledger.revision
         now = self._clock()
-        message = CrashCases(self.ledger.shared(now))
+        message = CrashCases(self.ledger.shared_records(now))
         for known in others():
             known.cases_at = now
             self._transport.send(known.contact.host, message)
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -13,12 +13,12 @@
 
 from cloverwalk.core.errors import CloverwalkError
 from cloverwalk.gateway.configuration import Configuration
-from cloverwalk.gateway.crash_ledger import CaseCopy
-from cloverwalk.gateway.machine_room import FULL_AT
+from cloverwalk.gateway.crash_ledger import CrashRecord
+from cloverwalk.gateway.machine_room import FULL_THRESHOLD
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.admission import Verdict
 
-FULL_PERCENT = round(100 * FULL_AT)
+FULL_PERCENT = round(100 * FULL_THRESHOLD)
 
 
 class DatagramError(CloverwalkError):
@@ -211,7 +211,7 @@
     deputy_grants: DeputyGrants | None = None
     """Tokens of quotas that this node gave out itself lately."""
 
-    cases: list[CaseCopy] = []
+    cases: list[CrashRecord] = []
     """Requests under which replicas have ended or that were answered, as seen here lately; all
     that are known where the coordinator knows others."""
 
@@ -419,7 +419,7 @@
 class CrashCases(Struct, tag="crash_cases", array_like=True):
     """Requests under which replicas have ended, for all nodes to know."""
 
-    cases: list[CaseCopy]
+    cases: list[CrashRecord]
 
 
 class Introduction(Struct, tag="introduction", array_like=True):
--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -5,7 +5,7 @@
 import curio
 
 from cloverwalk.core.final_answer import NOT_RUN_STATUSES
-from cloverwalk.gateway.errors import SILENT, ClientGoneError, ReplicaError
+from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, ReplicaError
 from cloverwalk.gateway.event_stream import EventOrder, EventSplitter, StreamEvent
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
 from cloverwalk.gateway.progress import RequestProgress
@@ -17,7 +17,7 @@
 FIRST_EVENT_SILENCE_S = 1.2
 """A stream of a route that may be resumed moves on after this time without an answer."""
 
-EVENT_SILENCE_S = 0.7
+EVENT_TIMEOUT_S = 0.7
 """The same between events; noticed up to twice as late, since a timeout covers several events."""
 
 LAST_ATTEMPT_SILENCE_S = 3600.0
@@ -55,7 +55,7 @@
         if head.status in NOT_RUN_STATUSES:
             # Handed on it would promise for the replica what the replica has not proved.
             raise ReplicaError(f"{head.status} without its proof", True, "unproved_refusal")
-        can_repeat = progress.route.may_repeat and head.status >= 500
+        can_repeat = progress.route.is_retryable and head.status >= 500
         if can_repeat and progress.has_attempt_left:
             raise ReplicaError(f"the replica answered {head.status}", True, "replica_error")
         parts: list[bytes] = []
@@ -112,7 +112,7 @@
             except curio.TaskTimeout as error:
                 if self._clock() - heard_at >= self._silence_limit_s(progress):
                     self._directory.suspect(progress.last_replica, self._clock())
-                    raise ReplicaError("the stream fell silent", True, SILENT) from error
+                    raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
                 continue
             except ReplicaError:
                 # Another run may go on behind the events that were passed on.
@@ -169,7 +169,7 @@
         """Return after how long without an event the stream moves on."""
         if not self._may_move(progress):
             return LAST_ATTEMPT_SILENCE_S
-        return FIRST_EVENT_SILENCE_S if progress.first_event_at is None else EVENT_SILENCE_S
+        return FIRST_EVENT_SILENCE_S if progress.first_event_at is None else EVENT_TIMEOUT_S
 
     def _rest_s(self, limit_s: float, heard_at: float) -> float:
         return max(0.0, heard_at + limit_s - self._clock())
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -46,7 +46,7 @@
     """Whether its callers need no key."""
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run again after a failure."""
         return self.kind is RouteKind.SAFE or self.is_resumable
 
@@ -137,7 +137,7 @@
         """Whether callers have keys."""
         return self.current is not None and self.current.tenants is not None
 
-    def offer(self, configuration: Configuration) -> bool:
+    def update_if_newer(self, configuration: Configuration) -> bool:
         """Take a configuration if it is newer; return whether it was.
 
         >>> holder = ConfigurationHolder()
--- a/src/cloverwalk/gateway/containment.py
+++ b/src/cloverwalk/gateway/containment.py
@@ -1,8 +1,8 @@
 """Where online requests meet containment: before each attempt, after failures and answers."""
 
 from cloverwalk.gateway import refusals
-from cloverwalk.gateway.content import content_id
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.content import hash_request
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.progress import RequestProgress
@@ -17,25 +17,25 @@
     under one within 40 s.
     """
 
-    def __init__(self, witness: CrashWitness, metrics: ServingMetrics) -> None:
+    def __init__(self, witness: CrashDetector, metrics: ServingMetrics) -> None:
         self._witness = witness
         self._metrics = metrics
 
     async def check(self, request: ClientRequest, progress: RequestProgress) -> str:
         """Return a suspect's content, empty for others; raise the answer of a contained one."""
         if progress.tried:
-            await self._witness.settle(content_id(request))
+            await self._witness.settle(hash_request(request))
         if self._witness.ledger.is_empty:
             return ""
-        content = content_id(request)
+        content = hash_request(request)
         if self._witness.is_contained(content):
             raise self.refusal(request, progress)
-        progress.is_suspect = self._witness.is_suspect(content)
-        return content if progress.is_suspect else ""
+        progress.is_crash_suspect = self._witness.is_crash_suspect(content)
+        return content if progress.is_crash_suspect else ""
 
     def refusal(self, request: ClientRequest, progress: RequestProgress) -> GatewayError:
         """Return the answer to a request that goes to no replica any more."""
-        content = progress.contained = content_id(request)
+        content = progress.contained = hash_request(request)
         self._metrics.containment_changed("refused")
         return refusals.contained(content, self._witness.ledger.crashes(content))
 
@@ -43,9 +43,9 @@
         self, request: ClientRequest, progress: RequestProgress, replica: Replica, code: str
     ) -> None:
         """An attempt that may have run failed at a replica."""
-        request_id, content = request.fields.request_id, content_id(request)
-        await self._witness.note_failure(request_id, content, replica, code, progress.delivery)
+        request_id, content = request.fields.request_id, hash_request(request)
+        await self._witness.record_failure(request_id, content, replica, code, progress.delivery)
 
     def note_answer(self, request: ClientRequest) -> None:
         """A replica answered the request whole."""
-        self._witness.note_answer(content_id(request))
+        self._witness.record_answer(hash_request(request))
--- a/src/cloverwalk/gateway/content.py
+++ b/src/cloverwalk/gateway/content.py
@@ -9,22 +9,22 @@
 cryptographic one: a caller could else make a request that is taken for another one."""
 
 
-def content_id(request: ClientRequest) -> str:
+def hash_request(request: ClientRequest) -> str:
     """Return the name of a request's content: caller, host, method, target and body.
 
     Neither the body nor a key can be found out by it.
     """
-    return content_name(
+    return hash_content(
         request.tenant, request.host, request.method, request.target, body=request.body
     )
 
 
-def content_name(*parts: str, body: bytes) -> str:
+def hash_content(*parts: str, body: bytes) -> str:
     """Return the name of the content that consists of some texts and a body.
 
-    >>> content_name("t", "h", body=b"") == content_name("th", "", body=b"")
+    >>> hash_content("t", "h", body=b"") == hash_content("th", "", body=b"")
     False
-    >>> len(content_name("t", "h", body=b"12"))
+    >>> len(hash_content("t", "h", body=b"12"))
     20
     """
     digest = hashlib.blake2b(digest_size=CONTENT_BYTES)
--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -41,13 +41,13 @@
 """What a node has seen goes into its reports for so long: two or three of them, one a second."""
 
 MOST_CASES = 4096
-MOST_SHARED = 200
+MAX_SHARED_RECORDS = 200
 """Bounds of memory (some 1.5 MB with the answers) and of what a node is told (about 20 KB). Cases
 with the fewest crashes go first, and of these the oldest: a flood of others can't push out a
 contained one."""
 
 MOST_INSTANCES = 8
-"""Ended replicas that a case names, the newest: more make no difference, and ``MOST_SHARED`` cases
+"""Ended replicas that a case names, the newest: more make no difference, and ``MAX_SHARED_RECORDS`` cases
 fit into a datagram of 60,000 bytes."""
 
 CONTENT_CHARACTERS = 20
@@ -62,10 +62,10 @@
     """One run of it may show whether it still ends its replica."""
 
 
-class CaseCopy(Struct, frozen=True, array_like=True):
+class CrashRecord(Struct, frozen=True, array_like=True):
     """A case as nodes tell it to each other, and as the store keeps it. Times are ages in ms."""
 
-    content: str
+    content_hash: str
     crash_ages_ms: dict[str, int]
     """By the replica that ended."""
 
@@ -78,7 +78,7 @@
         return min(self.crash_ages_ms.values(), default=self.answered_age_ms or 0)
 
 
-class InvalidCaseError(ValueError):
+class InvalidCrashRecordError(ValueError):
     """A case that was told makes no sense."""
 
 
@@ -122,10 +122,10 @@
         """When an answer proved a case wrong here, by content: other nodes have to hear of it."""
 
         self._digest: int | None = None
-        self.changes = 0
+        self.revision = 0
         """Counts changes of what all nodes should know."""
 
-        self.disproved = 0
+        self.stale_record_count = 0
         """Counts cases that were told to this node, which has seen a later answer."""
 
         self.grants_trials = False
@@ -137,7 +137,7 @@
         return not self._cases
 
     @property
-    def has_news(self) -> bool:
+    def needs_sync(self) -> bool:
         """Whether other nodes may have to hear of a case, or that an answer cleared one."""
         return bool(self._cases or self._cleared_at)
 
@@ -176,7 +176,7 @@
         fresh = {key: at for key, at in crashed_at.items() if at > answered_at}
         if len(fresh) < len(crashed_at):
             self._cleared_at[content] = answered_at
-            self.disproved += 1
+            self.stale_record_count += 1
         if not fresh:
             return False
         case = self._cases.setdefault(content, _Case())
@@ -208,7 +208,7 @@
     def _note_change(self, crashes: int) -> None:
         if crashes >= SHARED_FROM:
             self._digest = None
-            self.changes += 1
+            self.revision += 1
 
     # --- what follows ---
 
@@ -235,7 +235,7 @@
             return Containment.CONTAINED
         return Containment.TRIAL_DUE
 
-    def may_place(self, content: str, now: float) -> bool:
+    def try_admit(self, content: str, now: float) -> bool:
         """Whether a request goes to a replica now; a trial that is due begins with the answer."""
         containment = self.containment(content, now)
         if containment is Containment.TRIAL_DUE and self.grants_trials:
@@ -261,43 +261,43 @@
     def _shared(self) -> list[str]:
         return [key for key, one in self._cases.items() if one.crashes >= SHARED_FROM]
 
-    def shared(self, now: float) -> list[CaseCopy]:
+    def shared_records(self, now: float) -> list[CrashRecord]:
         """Return what all nodes should know, and what was cleared lately."""
         return self._copies({*self._shared(), *self._cleared_at}, now)
 
-    def seen_here(self, now: float) -> list[CaseCopy]:
+    def local_records(self, now: float) -> list[CrashRecord]:
         """Return what this node itself has seen lately, and cases that it knows to be wrong."""
         seen = {key for key, one in self._cases.items() if now - one.seen_here_at < TOLD_S}
         seen |= {key for key, at in self._cleared_at.items() if now - at < TOLD_S}
         return self._copies(seen, now)
 
-    def _copies(self, contents: set[str], now: float) -> list[CaseCopy]:
+    def _copies(self, contents: set[str], now: float) -> list[CrashRecord]:
         """Return cases as they are told: those with most crashes, and of these the newest."""
-        copies = [self.copy_of(content, now) for content in sorted(contents)]
+        copies = [self.record_of(content, now) for content in sorted(contents)]
         copies.sort(key=lambda one: (-len(one.crash_ages_ms), one.newest_age_ms))
-        return copies[:MOST_SHARED]
+        return copies[:MAX_SHARED_RECORDS]
 
-    def copy_of(self, content: str, now: float) -> CaseCopy:
+    def record_of(self, content: str, now: float) -> CrashRecord:
         """Return a case as it is told; one without crashes where there is none."""
         case = self._cases.get(content, _Case())
         ages = {key: _age_ms(at, now) for key, at in case.crashed_at.items()}
         answered_at = self._answered_at.get(content)
-        return CaseCopy(content, ages, None if answered_at is None else _age_ms(answered_at, now))
+        return CrashRecord(content, ages, None if answered_at is None else _age_ms(answered_at, now))
 
-    def merge(self, copy: CaseCopy, now: float) -> bool:
+    def merge(self, copy: CrashRecord, now: float) -> bool:
         """Take what another node or the store knows; return whether it contains the request now.
 
-        Raises InvalidCaseError for a copy that makes no sense; nothing is taken from it.
+        Raises InvalidCrashRecordError for a copy that makes no sense; nothing is taken from it.
         """
         _check(copy)
         if copy.answered_age_ms is not None:
-            self.note_answer(copy.content, now - copy.answered_age_ms / 1000)
+            self.note_answer(copy.content_hash, now - copy.answered_age_ms / 1000)
         crashed_at = {
             replica_id: now - age_ms / 1000
             for replica_id, age_ms in copy.crash_ages_ms.items()
             if age_ms < REMEMBERED_S * 1000
         }
-        return self._add_crashes(copy.content, crashed_at)
+        return self._add_crashes(copy.content_hash, crashed_at)
 
     # --- bounds ---
 
@@ -322,7 +322,7 @@
             # A part at once: to sort all of them takes milliseconds.
             self._keep(MOST_CASES * 9 // 10, list(self._cases))
         if crashes >= SHARED_FROM:
-            self._keep(MOST_SHARED, self._shared())
+            self._keep(MAX_SHARED_RECORDS, self._shared())
 
     def _keep(self, most: int, among: list[str]) -> None:
         if len(among) <= most:
@@ -337,11 +337,11 @@
     return max(0, round((now - at) * 1000))
 
 
-def _check(copy: CaseCopy) -> None:
-    if len(copy.content) != CONTENT_CHARACTERS:
-        raise InvalidCaseError("the content has another form")
+def _check(copy: CrashRecord) -> None:
+    if len(copy.content_hash) != CONTENT_CHARACTERS:
+        raise InvalidCrashRecordError("the content has another form")
     if len(copy.crash_ages_ms) > MOST_INSTANCES:
-        raise InvalidCaseError(f"{len(copy.crash_ages_ms)} replicas ended")
+        raise InvalidCrashRecordError(f"{len(copy.crash_ages_ms)} replicas ended")
     ages = [*copy.crash_ages_ms.values(), copy.answered_age_ms or 0]
     if min(ages) < 0:
-        raise InvalidCaseError("it is of the future")
+        raise InvalidCrashRecordError("it is of the future")
--- a/src/cloverwalk/gateway/crash_witness.py
+++ b/src/cloverwalk/gateway/crash_witness.py
@@ -67,7 +67,7 @@
     """Set once the address was looked at."""
 
 
-class CrashWitness:
+class CrashDetector:
     """Tells the ledger what happens to requests at replicas."""
 
     def __init__(
@@ -89,12 +89,12 @@
         self._beginning: dict[str, _Look] = {}
         """Those that have not looked yet, by replica: others may break off at the same moment."""
 
-        self.on_seen: Callable[[], Awaitable[None]] = _nothing
+        self.on_crash: Callable[[], Awaitable[None]] = _nothing
         """Called when the ledger has news that the coordinator should hear at once."""
 
     # --- what happens to requests ---
 
-    async def note_failure(
+    async def record_failure(
         self,
         request_id: str,
         content: str,
@@ -137,20 +137,20 @@
             requests=[request_id],
             contents=[content],
         )
-        if self.ledger.note_crash(content, replica.start_id, self._clock()):
-            self.note_contained(content, "seen")
-        await self.on_seen()
+        if self.ledger.note_crash(content, replica.incarnation_id, self._clock()):
+            self.record_contained(content, "seen")
+        await self.on_crash()
 
     def _has_arrived(self, delivery: Delivery) -> bool:
         """Whether a request whose connection just broke had reached a living replica."""
         took_s = self._clock() - delivery.sent_at
         return delivery.is_new_connection or took_s >= DELIVERED_S
 
-    def is_suspect(self, content: str) -> bool:
+    def is_crash_suspect(self, content: str) -> bool:
         """Whether replicas have ended under a request: it is sent over a new connection."""
         return self.ledger.crashes(content) > 0
 
-    def note_answer(self, content: str) -> None:
+    def record_answer(self, content: str) -> None:
         """A replica answered a request whole: it lives on.
 
         Answers are noted on calm days too: a popular request that is answered all the time is not
@@ -160,7 +160,7 @@
             self._metrics.containment_changed("answered")
             self._log.write(catalogue.CONTAINMENT_ENDED, contents=[content], reason="answered")
 
-    def note_contained(self, content: str, source: str) -> None:
+    def record_contained(self, content: str, source: str) -> None:
         """A request is contained from now on; ``source`` tells in the log how this node knows."""
         self._metrics.containment_changed("contained")
         crashes = self.ledger.crashes(content)
@@ -204,7 +204,7 @@
             self._note_found(replica, look, found)
             await look.first.set()
         if found is Reachability.REFUSES:
-            await self.on_seen()
+            await self.on_crash()
 
     def _note_found(self, replica: Replica, look: _Look, found: Reachability) -> None:
         requests = list(look.requests)[:MOST_LOGGED]
@@ -220,8 +220,8 @@
         if found is not Reachability.REFUSES:
             return
         for content in sorted(set(look.requests.values())):
-            if self.ledger.note_crash(content, replica.start_id, look.broken_at):
-                self.note_contained(content, "seen")
+            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):
+                self.record_contained(content, "seen")
 
 
 async def _nothing() -> None:
--- a/src/cloverwalk/gateway/errors.py
+++ b/src/cloverwalk/gateway/errors.py
@@ -3,7 +3,7 @@
 from cloverwalk.core.errors import CloverwalkError
 from cloverwalk.core.final_answer import CallError
 
-SILENT = "silent"
+TIMED_OUT = "silent"
 """Code of an exchange that was given up since nothing came."""
 
 
--- a/src/cloverwalk/gateway/held_bytes.py
+++ b/src/cloverwalk/gateway/held_bytes.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-HELD_SHARE = 0.2
+BUDGET_SHARE = 0.2
 """Share of the machine's memory for what is held. Bodies stand there up to three times while they
 are decoded and sent on, beside a program of about 50 MB: of 160 MB, the rest."""
 
@@ -54,12 +54,12 @@
     """Clients that were given up since they were last told."""
 
     count: int = 0
-    most_bytes: int = 0
-    longest_s: float = 0.0
+    max_bytes: int = 0
+    max_stalled_s: float = 0.0
     """For how long the slowest of them had taken nothing."""
 
 
-class HeldBytes:
+class MemoryBudget:
     """Counts what is held against a limit; 0 stands for none."""
 
     def __init__(self, limit_bytes: int = 0) -> None:
@@ -68,20 +68,20 @@
         """What waits for clients."""
 
         self.bodies = 0
-        self.jobs = 0
+        self.job_bytes = 0
         """Bodies and outputs of the items of own jobs."""
 
         self.sent_bytes = 0
         """What was sent to clients since the start."""
 
-        self.given_up_total = 0
+        self.dropped_readers_total = 0
         self._given_up = GivenUp()
         self._readers: dict[int, _Counted] = {}
 
     @property
-    def total(self) -> int:
+    def total_bytes(self) -> int:
         """All that is held."""
-        return self.answers + self.jobs + self.bodies * BODY_COPIES
+        return self.answers + self.job_bytes + self.bodies * BODY_COPIES
 
     def has_room(self, size: int, now: float) -> bool:
         """Whether a body may be read; slow readers make room for it."""
@@ -92,9 +92,9 @@
         self._make_room(needed, now)
         return self._fits(needed)
 
-    def has_room_for_job(self, size: int) -> bool:
+    def has_capacity_for_job(self, size: int) -> bool:
         """Whether a job whose bodies have been read may be taken."""
-        return not self.limit or self.jobs + size <= HAND_IN_SHARE * self.limit
+        return not self.limit or self.job_bytes + size <= HAND_IN_SHARE * self.limit
 
     def note_waiting(self, reader: Reader, now: float) -> None:
         """More waits for a client; slow ones are given up where it is too much."""
@@ -111,18 +111,18 @@
         if (counted := self._readers.pop(id(reader), None)) is not None:
             self.answers -= counted.bytes
 
-    def take_given_up(self) -> GivenUp:
+    def take_dropped_readers(self) -> GivenUp:
         """Return the clients that were given up since the last call."""
         taken, self._given_up = self._given_up, GivenUp()
         return taken
 
     def note_given_up(self, reader: Reader, now: float) -> None:
         """A client was given up."""
-        self.given_up_total += 1
+        self.dropped_readers_total += 1
         told = self._given_up
         told.count += 1
-        told.most_bytes = max(told.most_bytes, reader.waiting_bytes)
-        told.longest_s = max(told.longest_s, now - reader.took_at)
+        told.max_bytes = max(told.max_bytes, reader.waiting_bytes)
+        told.max_stalled_s = max(told.max_stalled_s, now - reader.took_at)
 
     def _count(self, counted: _Counted) -> None:
         size = counted.reader.waiting_bytes
@@ -135,7 +135,7 @@
     @property
     def _counted(self) -> int:
         """What leaves no room: of jobs their share, beyond which taken over ones may grow."""
-        return self.total - self.jobs + min(self.jobs, int(HAND_IN_SHARE * self.limit))
+        return self.total_bytes - self.job_bytes + min(self.job_bytes, int(HAND_IN_SHARE * self.limit))
 
     def _make_room(self, needed: int, now: float) -> None:
         while self._readers and not self._fits(needed):
--- a/src/cloverwalk/gateway/late_watch.py
+++ b/src/cloverwalk/gateway/late_watch.py
@@ -28,7 +28,7 @@
                 (sent_at - request.received_at) * 1000,
                 progress.expected_wait_ms,
                 self._usual.start_ms(route.name),
-                progress.was_held,
+                progress.was_queued,
                 failures,
             )
         )
--- a/src/cloverwalk/gateway/machine_room.py
+++ b/src/cloverwalk/gateway/machine_room.py
@@ -13,7 +13,7 @@
 """Rates are averaged over about this time: the platform acts on two of its questions in a row, one
 a second, so a shorter peak is over before anything is done about it."""
 
-FULL_AT = 0.85
+FULL_THRESHOLD = 0.85
 """A node this full takes no new connections; the rest is for the requests of the open ones."""
 
 FREE_AT = 0.65
@@ -68,19 +68,19 @@
     MEMORY = "memory"
 
 
-class RoomVerdict(enum.Enum):
+class OverloadState(enum.Enum):
     """What a node takes."""
 
-    TAKES_ALL = "takes_all"
-    TAKES_NO_NEW = "takes_no_new"
+    NORMAL = "takes_all"
+    FULL = "takes_no_new"
     """It asks for no new connections, and serves what comes all the same."""
 
-    OVER = "over"
+    OVERLOADED = "over"
     """It refuses new requests and jobs at once."""
 
 
 @attrs.frozen
-class MachineSize:
+class MachineCapacity:
     """What a machine gives a node; ``UNTOLD`` where a limit is not known."""
 
     connections: int = UNTOLD
@@ -124,19 +124,19 @@
         self.value += weight * (value - self.value)
 
 
-class MachineRoom:
+class OverloadMonitor:
     """Tells how full a machine is by whatever is scarcest, and what the node takes.
 
-    >>> room = MachineRoom(MachineSize(connections=100), now=0.0)
-    >>> room.note_peers(20, now=2.0)
+    >>> room = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
+    >>> room.set_peer_utilization(20, now=2.0)
     True
     >>> room.look(Usage(connections=90), now=2.0)
     True
     >>> room.verdict, room.scarcest, room.fullness
-    (<RoomVerdict.TAKES_NO_NEW: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
+    (<OverloadState.FULL: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
     """
 
-    def __init__(self, size: MachineSize, now: float) -> None:
+    def __init__(self, size: MachineCapacity, now: float) -> None:
         self._size = size
         self._last: Usage | None = None
         self._looked_at = now
@@ -150,7 +150,7 @@
         self._over_since: float | None = None
         self._unready_left_s = MOST_UNREADY_S
         self.by_resource: dict[Resource, float] = dict.fromkeys(Resource, 0.0)
-        self.verdict = RoomVerdict.TAKES_ALL
+        self.state = OverloadState.NORMAL
         self.is_ready = True
         """Whether the node should call itself ready, as far as its room goes."""
 
@@ -160,15 +160,15 @@
         return max(Resource, key=lambda one: self.by_resource[one])
 
     @property
-    def fullness(self) -> float:
+    def utilization(self) -> float:
         """How much of the scarcest resource is in use; 1 is all of it."""
         return self.by_resource[self.scarcest]
 
-    def over_for_s(self, now: float) -> float:
+    def overloaded_for_s(self, now: float) -> float:
         """Return for how long the node has been over its machine; 0 while it is not."""
         return 0.0 if self._over_since is None else now - self._over_since
 
-    def note_peers(self, percent: int, now: float) -> bool:
+    def set_peer_utilization(self, percent: int, now: float) -> bool:
         """Take how full the nodes are that get the same clients; return whether it can be so."""
         if percent == UNTOLD:
             return True
@@ -177,7 +177,7 @@
         self._peers, self._peers_at = percent / 100, now
         return True
 
-    def look(self, usage: Usage, now: float) -> bool:
+    def update(self, usage: Usage, now: float) -> bool:
         """Judge by present figures; return whether all can be true. Others are left out.
 
         A process clock that can't be one is told once.
@@ -221,29 +221,29 @@
 
     def _judge(self, now: float) -> None:
         wanted = self._wanted(now)
-        if wanted is not self.verdict and now - self._changed_at >= DWELL_S:
-            self.verdict = wanted
+        if wanted is not self.state and now - self._changed_at >= DWELL_S:
+            self.state = wanted
             self._changed_at = now
-            self._over_since = now if wanted is RoomVerdict.OVER else None
+            self._over_since = now if wanted is OverloadState.OVERLOADED else None
 
-    def _wanted(self, now: float) -> RoomVerdict:
+    def _wanted(self, now: float) -> OverloadState:
         if now - self._peers_at > PEERS_FRESH_S:
-            return RoomVerdict.TAKES_ALL
-        was_full = self.verdict is not RoomVerdict.TAKES_ALL
-        ahead = self.fullness - self._peers
+            return OverloadState.NORMAL
+        was_full = self.state is not OverloadState.NORMAL
+        ahead = self.utilization - self._peers
         if ahead < (MARGIN / 2 if was_full else MARGIN):
-            return RoomVerdict.TAKES_ALL
-        over_at = UNDER_AT if self.verdict is RoomVerdict.OVER else OVER_AT
+            return OverloadState.NORMAL
+        over_at = UNDER_AT if self.state is OverloadState.OVERLOADED else OVER_AT
         if self._load() >= over_at:
-            return RoomVerdict.OVER
-        if self.fullness >= (FREE_AT if was_full else FULL_AT):
-            return RoomVerdict.TAKES_NO_NEW
-        return RoomVerdict.TAKES_ALL
+            return OverloadState.OVERLOADED
+        if self.utilization >= (FREE_AT if was_full else FULL_THRESHOLD):
+            return OverloadState.FULL
+        return OverloadState.NORMAL
 
     def _load(self) -> float:
         """Return the fullness beyond which work comes late; a busy processor alone is no harm."""
         if self._late.value >= LATE_S:
-            return self.fullness
+            return self.utilization
         return max(self.by_resource[one] for one in Resource if one is not Resource.PROCESSOR)
 
     def _set_ready(self, passed_s: float) -> None:
@@ -253,7 +253,7 @@
         else:
             self._unready_left_s = max(0.0, self._unready_left_s - passed_s)
         least_s = LEAST_UNREADY_S if self.is_ready else 0.0
-        is_full = self.verdict is not RoomVerdict.TAKES_ALL
+        is_full = self.state is not OverloadState.NORMAL
         self.is_ready = not (is_full and self._unready_left_s > least_s)
 
 
--- a/src/cloverwalk/gateway/messages.py
+++ b/src/cloverwalk/gateway/messages.py
@@ -30,7 +30,7 @@
     """Digest of the caller's key; None when it sent none."""
 
     prompt_tokens: int = 0
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
     """The most tokens that may come out; 0, as for ``prompt_tokens``: the caller did not say."""
 
     hinted_output_tokens: int = 0
@@ -38,9 +38,9 @@
     none."""
 
     @property
-    def most_tokens(self) -> int:
+    def max_total_tokens(self) -> int:
         """Tokens that the request may take of a replica's memory; 0: the caller did not say."""
-        return self.prompt_tokens + self.most_output_tokens
+        return self.prompt_tokens + self.max_output_tokens
 
 
 class ReplicaLoad(Struct, frozen=True):
@@ -52,7 +52,7 @@
     slowdown: float | None = None
     """How long work takes there now, as a multiple of its usual time; None: it does not say."""
 
-    has_odd_slowdown: bool = False
+    has_invalid_slowdown: bool = False
     """Whether it told a figure for ``slowdown`` that can't be one."""
 
 
@@ -139,7 +139,7 @@
         """Return a replica's headers without those of its connection and without its length."""
         ...
 
-    def own_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def local_reply_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer that this node makes itself."""
         ...
 
--- a/src/cloverwalk/gateway/outbox.py
+++ b/src/cloverwalk/gateway/outbox.py
@@ -13,7 +13,7 @@
 from curio import socket
 
 from cloverwalk.gateway.errors import ClientGoneError
-from cloverwalk.gateway.held_bytes import MAX_WAITING_BYTES, HeldBytes
+from cloverwalk.gateway.held_bytes import MAX_WAITING_BYTES, MemoryBudget
 
 CHUNK_BYTES = 65536
 SEND_STALL_S = 5.0
@@ -24,10 +24,10 @@
 seconds."""
 
 
-class Outbox:
+class SendBuffer:
     """Sends to one client beside the task that serves it."""
 
-    def __init__(self, sock: Any, held: HeldBytes, clock: Callable[[], float]) -> None:
+    def __init__(self, sock: Any, held: MemoryBudget, clock: Callable[[], float]) -> None:
         self._sock = sock
         self._held = held
         self._clock = clock
--- a/src/cloverwalk/gateway/progress.py
+++ b/src/cloverwalk/gateway/progress.py
@@ -40,13 +40,13 @@
     expected_wait_ms: float = 0.0
     """How long the present attempt was expected to wait for a slot, before any correction."""
 
-    was_held: bool = False
+    was_queued: bool = False
     """Whether it was held for a slot before the present attempt."""
 
     delivery: Delivery | None = None
     """How the present attempt was sent, once it was."""
 
-    is_suspect: bool = False
+    is_crash_suspect: bool = False
     """Whether replicas have ended under its content."""
 
     contained: str | None = None
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -15,12 +15,12 @@
 from cloverwalk.fleet.messages import Ask, TokenUse
 from cloverwalk.fleet.places import Place
 from cloverwalk.gateway import refusals
-from cloverwalk.gateway.answer_relay import EVENT_SILENCE_S, FIRST_EVENT_SILENCE_S, AnswerRelay
+from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_SILENCE_S, AnswerRelay
 from cloverwalk.gateway.configuration import Route, RouteKind
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.content import content_id
+from cloverwalk.gateway.content import hash_request
 from cloverwalk.gateway.crash_witness import Delivery
-from cloverwalk.gateway.errors import SILENT, ClientGoneError, GatewayError, ReplicaError
+from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, GatewayError, ReplicaError
 from cloverwalk.gateway.late_watch import LateWatch
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
 from cloverwalk.gateway.progress import RequestProgress
@@ -28,7 +28,7 @@
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.gateway.reply import Reply
 from cloverwalk.gateway.rotation import WeightedRotation
-from cloverwalk.gateway.served_times import served_times
+from cloverwalk.gateway.served_times import request_timing
 from cloverwalk.scheduling.admission import LONGEST_HOLD_S, Verdict
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
@@ -195,7 +195,7 @@
             request.tenant,
             _token_use(progress),
             suspected,
-            fields.most_tokens if self._loads.counts_tokens else 0,
+            fields.max_total_tokens if self._loads.counts_tokens else 0,
         )
 
     def _must_send(self, request: ClientRequest, progress: RequestProgress) -> bool:
@@ -207,7 +207,7 @@
         now = self._clock()
         progress.work = place.work
         progress.expected_wait_ms = float(place.placement.wait_ms)
-        progress.was_held = place.was_held
+        progress.was_queued = place.was_held
         self._log.write(
             catalogue.REPLICA_CHOSEN,
             request=request.fields.request_id,
@@ -223,7 +223,7 @@
         )
 
     def _may_try_again(self, progress: RequestProgress) -> bool:
-        return progress.route.may_repeat and len(progress.tried) < progress.route.max_attempts
+        return progress.route.is_retryable and len(progress.tried) < progress.route.max_attempts
 
     async def _note_failure(
         self,
@@ -239,7 +239,7 @@
         self._log.write(
             catalogue.REPLICA_FAILED,
             request=request.fields.request_id,
-            content=content_id(request) if may_have_run else None,
+            content=hash_request(request) if may_have_run else None,
             replica=replica.replica_id,
             code=error.code,
             may_have_run=may_have_run,
@@ -274,7 +274,7 @@
         try:
             address = (replica.host, replica.port)
             # Nothing tells whether a kept one still leads to a living replica.
-            must_be_new = bool(progress.tried) or progress.is_suspect
+            must_be_new = bool(progress.tried) or progress.is_crash_suspect
             request_id = request.fields.request_id
             connection = await self._pool.acquire(address, request_id, must_be_new)
         except ReplicaError:
@@ -290,8 +290,8 @@
             is_kept = True
             await self._pool.release(connection, head.fields.keep_alive_s)
         except ReplicaError as error:
-            if error.code == SILENT:
-                await self._pool.close_silent(connection)
+            if error.code == TIMED_OUT:
+                await self._pool.close_timed_out(connection)
             raise
         finally:
             if not is_kept:
@@ -322,7 +322,7 @@
         else:
             await self._answers.relay_plain(request, progress, connection, head, reply)
         load = head.fields.load
-        served = served_times(progress, load, request.tenant, self._clock())
+        served = request_timing(progress, load, request.tenant, self._clock())
         if served is not None:
             self._link.note_served(served)
         self._containment.note_answer(request)
@@ -351,21 +351,21 @@
             raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
             self._directory.suspect(replica.replica_id, self._clock())
-            raise ReplicaError("no answer in time", True, SILENT) from error
+            raise ReplicaError("no answer in time", True, TIMED_OUT) from error
         except ReplicaError as error:
             if error.code == "reset":
                 self._directory.suspect(replica.replica_id, self._clock())
             raise
 
     def _first_answer_limit_s(self, progress: RequestProgress, remaining_s: float) -> float:
-        if not progress.route.may_repeat or not progress.has_attempt_left:
+        if not progress.route.is_retryable or not progress.has_attempt_left:
             return remaining_s + 1.0
         if progress.route.kind is RouteKind.STREAM:
             return min(remaining_s + 1.0, FIRST_EVENT_SILENCE_S)
         return max(FIRST_EVENT_SILENCE_S, remaining_s / 2)
 
     async def _drain_refusal(self, connection: ReplicaConnection) -> None:
-        async with curio.ignore_after(EVENT_SILENCE_S):
+        async with curio.ignore_after(EVENT_TIMEOUT_S):
             while await connection.read_body() is not None:
                 pass
 
@@ -378,7 +378,7 @@
         self._note_end(request, progress, answer.code, answer.status)
         if reply.has_begun:
             raise ClientGoneError(f"the answer is broken off: {answer.code}")
-        headers = self._codec.own_headers(request.fields.request_id, answer.retry_after_s)
+        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
     def _note_end(
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -359,13 +359,13 @@
         return Reachability.LISTENS
 
     async def acquire(
-        self, address: tuple[str, int], request_id: str, must_be_new: bool = False
+        self, address: tuple[str, int], request_id: str, force_new: bool = False
     ) -> ReplicaConnection:
         """Return a connection for a request; raise ReplicaError when none can be had.
 
         It is a new one, or an idle one that has not carried a request with the same id.
         """
-        if must_be_new:
+        if force_new:
             return await self._open(address)
         while (connection := self._take_idle(address, request_id)) is not None:
             if self._clock() < connection.usable_until and not connection.has_unread():
@@ -443,7 +443,7 @@
             connection.break_off()
         return len(found)
 
-    async def close_silent(self, connection: ReplicaConnection) -> None:
+    async def close_timed_out(self, connection: ReplicaConnection) -> None:
         """Close a connection without an answer, and those that may be as dead.
 
         Connections may fall silent for good while new ones work, all at the same time. So when a
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -36,17 +36,17 @@
     version: int
     """Version of the entry in the store."""
 
-    born_ms: int = 0
+    started_ms: int = 0
     """Unix time of its start; 0: not told. Another one under the same id is another start."""
 
     @property
-    def start_id(self) -> str:
+    def incarnation_id(self) -> str:
         """Name of this start of the replica, short: it goes into messages and stored cases."""
-        return f"{self.replica_id}@{self.born_ms & 0xFFFFFF:x}" if self.born_ms else self.replica_id
+        return f"{self.replica_id}@{self.started_ms & 0xFFFFFF:x}" if self.started_ms else self.replica_id
 
-    def may_be_start(self, born_ms: int) -> bool:
+    def may_be_incarnation(self, born_ms: int) -> bool:
         """Whether this may be the start that began at a time; 0 there or here: not told."""
-        return self.born_ms == born_ms or 0 in (self.born_ms, born_ms)
+        return self.started_ms == born_ms or 0 in (self.started_ms, born_ms)
 
 
 class _Suspicion(Struct):
@@ -78,7 +78,7 @@
         self._suspicions: dict[str, _Suspicion] = {}
         self._heard: dict[str, float] = {}
         self._starts: dict[str, _Start] = {}
-        self.on_new_start: list[OnNewStart] = []
+        self.restart_listeners: list[OnNewStart] = []
         """Told when a replica has started again under its id, before its list is confirmed."""
 
         self.version = 0
@@ -152,12 +152,12 @@
     def has_left(self, replica: Replica) -> bool:
         """Whether a start of a replica, which another one has followed, told that it leaves."""
         known = self._starts.get(replica.replica_id)
-        return known is not None and 0 < replica.born_ms == known.left_born_ms
+        return known is not None and 0 < replica.started_ms == known.left_born_ms
 
     def _is_late(self, replica: Replica) -> bool:
         """Whether an entry is of a start that has ended, though the store took it just now."""
         start = self._starts.get(replica.replica_id)
-        if start is None or not 0 < replica.born_ms < start.replica.born_ms:
+        if start is None or not 0 < replica.started_ms < start.replica.started_ms:
             return False
         if replica.version > start.late_version:
             start.late_version = replica.version
@@ -165,19 +165,19 @@
         return start.late_entries <= LATE_ENTRIES
 
     def _note_start(self, replica: Replica) -> None:
-        if not replica.born_ms:
+        if not replica.started_ms:
             return
         before = self._starts.get(replica.replica_id)
         known = self._starts[replica.replica_id] = _Start(replica)
         if before is None:
             return
         known.left_born_ms = before.left_born_ms
-        if before.replica.born_ms == replica.born_ms:
+        if before.replica.started_ms == replica.started_ms:
             return
         if before.replica.is_draining:
-            known.left_born_ms = before.replica.born_ms
+            known.left_born_ms = before.replica.started_ms
         self.clear_suspicion(replica.replica_id)
-        for tell in self.on_new_start:
+        for tell in self.restart_listeners:
             tell(before.replica, replica)
 
     def remove(self, replica_id: str, version: int) -> bool:
@@ -225,7 +225,7 @@
         """Return the replicas that failed at this node and are avoided, sorted."""
         return sorted(key for key, one in self._suspicions.items() if now < one.until)
 
-    def hear_suspects(self, replica_ids: list[str], now: float) -> None:
+    def add_peer_suspects(self, replica_ids: list[str], now: float) -> None:
         """Replicas failed at another node just now; this is not told on."""
         for replica_id in replica_ids:
             self._heard[replica_id] = now + HEARD_SUSPICION_S
@@ -240,7 +240,7 @@
         known = self._suspicions.get(replica_id)
         return known is not None and now < known.until
 
-    def is_doubted(self, replica_id: str, now: float) -> bool:
+    def is_peer_suspect(self, replica_id: str, now: float) -> bool:
         """Whether a replica failed at another node lately: it may be that node's own fault."""
         return now < self._heard.get(replica_id, now)
 
@@ -253,4 +253,4 @@
 def _described(replica: Replica) -> str:
     """Return what an entry says but its version; as before where no start is told."""
     fields = msgspec.structs.astuple(msgspec.structs.replace(replica, version=0))
-    return repr(fields if replica.born_ms else fields[:-1])
+    return repr(fields if replica.started_ms else fields[:-1])
--- a/src/cloverwalk/gateway/reply.py
+++ b/src/cloverwalk/gateway/reply.py
@@ -7,7 +7,7 @@
 
 from cloverwalk.gateway.errors import ClientGoneError
 from cloverwalk.gateway.messages import RawHeaders
-from cloverwalk.gateway.outbox import SEND_STALL_S, Outbox
+from cloverwalk.gateway.outbox import SEND_STALL_S, SendBuffer
 
 
 class Reply:
@@ -18,7 +18,7 @@
     """
 
     def __init__(
-        self, sock: Any, http: h11.Connection, closes_after: bool, outbox: Outbox | None = None
+        self, sock: Any, http: h11.Connection, closes_after: bool, outbox: SendBuffer | None = None
     ) -> None:
         self._sock = sock
         self._http = http
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -16,7 +16,7 @@
 import attrs
 
 from cloverwalk.core import catalogue
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.telemetry.log import ServingLog
@@ -36,14 +36,14 @@
     learnt_at: float
 
 
-class RestartWatch:
+class RestartHandler:
     """Ends what belongs to earlier starts of replicas."""
 
     def __init__(
         self,
         directory: ReplicaDirectory,
         pool: ReplicaPool,
-        witness: CrashWitness,
+        witness: CrashDetector,
         log: ServingLog,
         metrics: ServingMetrics,
         clock: Callable[[], float],
@@ -55,7 +55,7 @@
         self._metrics = metrics
         self._clock = clock
         self._open: list[_Restart] = []
-        directory.on_new_start.append(self._note)
+        directory.restart_listeners.append(self._note)
 
     def _note(self, before: Replica, replica: Replica) -> None:
         now = self._clock()
@@ -72,8 +72,8 @@
             catalogue.REPLICA_RESTARTED,
             replica=replica.replica_id,
             version=replica.version,
-            born_ms=replica.born_ms,
-            before_ms=before.born_ms,
+            born_ms=replica.started_ms,
+            before_ms=before.started_ms,
             broken_off=broken_off,
             connections=discarded,
         )
@@ -86,7 +86,7 @@
             for one in self._directory.all()
         )
 
-    def look(self) -> None:
+    def abort_stale(self) -> None:
         """Break off what had moved just before a new start was learnt, and not since."""
         now = self._clock()
         for restart in [one for one in self._open if now - one.learnt_at >= QUIET_S]:
--- a/src/cloverwalk/gateway/served_times.py
+++ b/src/cloverwalk/gateway/served_times.py
@@ -5,7 +5,7 @@
 from cloverwalk.gateway.progress import RequestProgress
 
 
-def served_times(
+def request_timing(
     progress: RequestProgress, load: ReplicaLoad | None, tenant: str, now: float
 ) -> Served | None:
     """Return the times of a request that ends now; None unless its first attempt was answered.
@@ -23,12 +23,12 @@
         round((now - holds_since) * 1000),
         round(progress.expected_wait_ms),
         0 if progress.was_read_late else progress.events,
-        told_percent(load),
+        slowdown_percent(load),
         tenant,
     )
 
 
-def told_percent(load: ReplicaLoad | None) -> int:
+def slowdown_percent(load: ReplicaLoad | None) -> int:
     """Return what a replica told of its pace, 100 for its usual one; 0: nothing."""
     if load is None or load.slowdown is None:
         return 0
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -14,9 +14,9 @@
 from cloverwalk.core.final_answer import NOTHING_SENT, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.errors import ClientGoneError, GatewayError
-from cloverwalk.gateway.held_bytes import HeldBytes
+from cloverwalk.gateway.held_bytes import MemoryBudget
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec, RawHeaders
-from cloverwalk.gateway.outbox import Outbox
+from cloverwalk.gateway.outbox import SendBuffer
 from cloverwalk.gateway.reply import Reply
 
 READ_BYTES = 65536
@@ -105,7 +105,7 @@
 
     def _fits(self, size: int) -> bool:
         """Whether the process has memory for so much more of what this client sends."""
-        held = self._server.held
+        held = self._server.memory_budget
         return held is None or held.has_room(size, self._server.clock())
 
     def _check_room(self, size: int) -> None:
@@ -115,13 +115,13 @@
             raise GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
 
     def _hold(self, size: int) -> None:
-        if self._server.held is not None:
-            self._server.held.bodies += size
+        if self._server.memory_budget is not None:
+            self._server.memory_budget.bodies += size
             self._held_bytes += size
 
     def _let_go(self) -> None:
-        if self._server.held is not None:
-            self._server.held.bodies -= self._held_bytes
+        if self._server.memory_budget is not None:
+            self._server.memory_budget.bodies -= self._held_bytes
             self._held_bytes = 0
 
     async def _read_request(self) -> ClientRequest:
@@ -174,8 +174,8 @@
             await self._refuse(error)
             return False
         outbox = None
-        if self._server.held is not None:
-            outbox = Outbox(self._sock, self._server.held, self._server.clock)
+        if self._server.memory_budget is not None:
+            outbox = SendBuffer(self._sock, self._server.memory_budget, self._server.clock)
         reply = Reply(self._sock, self._http, self._server.is_stopping, outbox)
         self.is_serving = True
         self._server.serving_count += 1
@@ -240,7 +240,7 @@
         answer = error_response(error, NOTHING_SENT)
         self._server.on_refused(answer)
         reply = Reply(self._sock, self._http, closes_after=True)
-        headers = self._server.codec.own_headers("", answer.retry_after_s)
+        headers = self._server.codec.local_reply_headers("", answer.retry_after_s)
         try:
             async with curio.timeout_after(LINGER_S):
                 await reply.respond(answer.status, headers, answer.message.encode())
@@ -278,7 +278,7 @@
         self.on_request = on_request
         self.on_refused = on_refused
         self.clock = clock
-        self.held: HeldBytes | None = None
+        self.memory_budget: MemoryBudget | None = None
         """What is held for clients, where that is bounded over the process."""
 
         self.is_stopping = False
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -5,9 +5,9 @@
 import curio
 from msgspec import Struct
 
-from cloverwalk.gateway.content import content_id
+from cloverwalk.gateway.content import hash_request
 from cloverwalk.gateway.crash_witness import Delivery
-from cloverwalk.gateway.errors import SILENT, ReplicaError
+from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.event_stream import EventOrder, EventSplitter, StreamEvent
 from cloverwalk.gateway.messages import (
     ClientRequest,
@@ -18,7 +18,7 @@
 )
 from cloverwalk.gateway.replica_connection import ReplicaConnection, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.gateway.served_times import told_percent
+from cloverwalk.gateway.served_times import slowdown_percent
 from cloverwalk.jobs.run import ItemRun, JobRun, RunTiming
 
 READ_EVERY_S = 0.1
@@ -59,7 +59,7 @@
     def content(self, job: JobRun, one: ItemRun) -> str:
         """Return the name of an item's content."""
         if not one.content:
-            one.content = content_id(self._request(job, one))
+            one.content = hash_request(self._request(job, one))
         return one.content
 
     async def run(
@@ -86,8 +86,8 @@
             is_kept = True
             await self.pool.release(connection, keep_alive_s)
         except ReplicaError as error:
-            if error.code == SILENT:
-                await self.pool.close_silent(connection)
+            if error.code == TIMED_OUT:
+                await self.pool.close_timed_out(connection)
             raise
         finally:
             if not is_kept:
@@ -113,7 +113,7 @@
         except OSError as error:
             raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
-            raise ReplicaError("no answer in time", True, SILENT) from error
+            raise ReplicaError("no answer in time", True, TIMED_OUT) from error
         if head.fields.was_not_run:
             raise ReplicaError(f"the replica answered {head.status}", False, "not_run")
         if head.status in FAILURES and head.fields.is_signed:
@@ -121,7 +121,7 @@
             raise FAILURES[head.status]
         if head.status != 200 or not head.fields.is_signed:
             raise ReplicaError(f"the replica answered {head.status}", True, "unusable")
-        one.timing = RunTiming(told_percent(head.fields.load))
+        one.timing = RunTiming(slowdown_percent(head.fields.load))
         await self._take_events(job, one, one.timing, connection, on_output)
         return head.fields.keep_alive_s
 
@@ -132,7 +132,7 @@
                 while await connection.read_body() is not None:
                     pass
         except curio.TaskTimeout as error:
-            raise ReplicaError("the failure did not end in time", True, SILENT) from error
+            raise ReplicaError("the failure did not end in time", True, TIMED_OUT) from error
 
     def _request(self, job: JobRun, one: ItemRun) -> ClientRequest:
         headers = _raw_headers(one)
@@ -181,7 +181,7 @@
             async with curio.timeout_after(EVENT_SILENCE_S):
                 return await connection.read_body()
         except curio.TaskTimeout as error:
-            raise ReplicaError("the stream fell silent", True, SILENT) from error
+            raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
 
 
 def _take_event(job: JobRun, one: ItemRun, order: EventOrder, event: StreamEvent) -> None:
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -11,8 +11,8 @@
 from cloverwalk.fleet.load import LoadBook, Work
 from cloverwalk.fleet.messages import ReplicaTiming
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
-from cloverwalk.gateway.crash_witness import CrashWitness
-from cloverwalk.gateway.errors import SILENT, ReplicaError
+from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteWatch, past_retention
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
@@ -62,7 +62,7 @@
         directory: ReplicaDirectory,
         loads: LoadBook,
         caller: ItemCaller,
-        witness: CrashWitness,
+        witness: CrashDetector,
         link: CoordinatorLink,
         on_finished: Callable[[JobRun], Awaitable[None]],
         on_orphans: Callable[[list[str]], Awaitable[None]],
@@ -200,7 +200,7 @@
         due_ms = job.record.due_ms
         can_be_in_time = self._pace.can_be_in_time(one, self._left_ms(job))
         kept_at = self._directory.find(one.replica_id)
-        replica_id = one.replica_id if kept_at and kept_at.may_be_start(one.replica_started_ms) else ""
+        replica_id = one.replica_id if kept_at and kept_at.may_be_incarnation(one.replica_started_ms) else ""
         order_ms = self._pace.order_ms(one, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
@@ -354,7 +354,7 @@
 
     async def _start(self, job: JobRun, one: ItemRun, replica: Replica) -> None:
         now = self._clock()
-        job.begin(one, replica.replica_id, now, replica.born_ms)
+        job.begin(one, replica.replica_id, now, replica.started_ms)
         work = self._loads.begin(replica.replica_id, True, self._tokens(job, one))
         running = _Running(job, one, work, now)
         running.expected_ms = self._pace.remaining_s(one) * 1000
@@ -399,18 +399,18 @@
                 # One that has put something out does not end its replica as it begins.
                 content = self._caller.content(job, one)
                 item_id, delivery = one.item.item_id, one.delivery
-                await self._witness.note_failure(item_id, content, replica, error.code, delivery)
-            if error.code in ("reset", "unreachable", SILENT):
+                await self._witness.record_failure(item_id, content, replica, error.code, delivery)
+            if error.code in ("reset", "unreachable", TIMED_OUT):
                 self._directory.suspect(replica.replica_id, self._clock())
         finally:
             if is_answered:
-                self._witness.note_answer(self._caller.content(job, one))
+                self._witness.record_answer(self._caller.content(job, one))
             await self._end_run(running, outcome)
 
     def _is_suspect(self, job: JobRun, one: ItemRun) -> bool:
         if self._witness.ledger.is_empty:
             return False
-        return self._witness.is_suspect(self._caller.content(job, one))
+        return self._witness.is_crash_suspect(self._caller.content(job, one))
 
     async def _end_run(self, running: _Running, outcome: str) -> None:
         job, one = running.job, running.one
--- a/src/cloverwalk/platform/codec.py
+++ b/src/cloverwalk/platform/codec.py
@@ -105,7 +105,7 @@
         return ReplicaLoad(running, waiting, slots)
     percent = int(figures[3]) if _is_count(figures[3]) else 0
     if len(figures) > 4 or not 0 < percent <= MOST_SLOWDOWN_PERCENT:
-        return ReplicaLoad(running, waiting, slots, has_odd_slowdown=True)
+        return ReplicaLoad(running, waiting, slots, has_invalid_slowdown=True)
     return ReplicaLoad(running, waiting, slots, percent / 100)
 
 
@@ -152,7 +152,7 @@
             wait_s=0.0 if wait_ms is None else wait_ms / 1000,
             key_digest=_key_digest(headers),
             prompt_tokens=prompt_tokens,
-            most_output_tokens=most_output_tokens,
+            max_output_tokens=most_output_tokens,
             hinted_output_tokens=_length_hint(_find(headers, names.LENGTH_HINT)),
         )
 
@@ -203,7 +203,7 @@
         """Return a replica's headers without those of its connection and without its length."""
         return _without_connection_headers(headers)
 
-    def own_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def local_reply_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer that this node makes itself."""
         headers: RawHeaders = []
         if request_id:
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -105,7 +105,7 @@
         if held is not None:
             held.ask, held.heard_at = ask, now
             return self._try(held, False, now) or ""
-        if ask.content and not self._ledger.may_place(ask.content, now):
+        if ask.content and not self._ledger.try_admit(ask.content, now):
             self._outbox.of(node).placements.append(Placement(ask.number, Verdict.CONTAINED))
             return ""
         if not self._replicas.can_ever_fit(ask):
@@ -389,7 +389,7 @@
         It is at most the time that the request has to spare: it rather crosses than is late.
         """
         route = self._route(ask.route)
-        may_repeat = route is None or route.may_repeat
+        may_repeat = route is None or route.is_retryable
         if may_repeat or not self._features.is_on(Feature.ZONE_LOSS):
             return OTHER_ZONE_MS
         spare_ms = ask.objective_left_ms - self._times.start_ms(ask.route)
--- a/src/cloverwalk/scheduling/pace.py
+++ b/src/cloverwalk/scheduling/pace.py
@@ -289,7 +289,7 @@
 
     def note_replicas(self, replicas: Iterable[Replica], now: float) -> None:
         """Forget replicas that are gone or have started again."""
-        present = {one.replica_id: (one.host, one.port, one.born_ms) for one in replicas}
+        present = {one.replica_id: (one.host, one.port, one.started_ms) for one in replicas}
         for replica_id, process in self._processes.items():
             if present.get(replica_id) != process:
                 self.restart(replica_id, now)
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -52,7 +52,7 @@
         self._sent_suspects: dict[str, list[tuple[float, str]]] = {}
         """Suspects by the replica that they were sent to: when, and their content."""
 
-        directory.on_new_start.append(self._forget_start)
+        directory.restart_listeners.append(self._forget_start)
 
     def _forget_start(self, before: Replica, replica: Replica) -> None:
         """A replica has started again: what was sent to it before is gone."""
@@ -75,7 +75,7 @@
         is_old = has_returned and node not in self._suspects
         known = self._suspects.get(node, set())
         self._suspects[node] = set(suspects)
-        self._directory.hear_suspects(suspects, now)
+        self._directory.add_peer_suspects(suspects, now)
         for replica_id in suspects:
             if replica_id not in known:
                 self._directory.suspect(replica_id, now)
@@ -172,7 +172,7 @@
                 one,
                 self._book.total(one.replica_id, now),
                 one.replica_id in suspects or self._directory.is_suspect(one.replica_id, now),
-                self._directory.is_doubted(one.replica_id, now),
+                self._directory.is_peer_suspect(one.replica_id, now),
                 self.reading_ms(one.replica_id, now),
                 self._other_suspects(one.replica_id, ask.content, now),
                 paces.get(one.replica_id, 1.0),
@@ -225,7 +225,7 @@
     def room(self, replica: Replica, now: float) -> int:
         """Return how many items have a free slot at a replica; none where it failed lately."""
         replica_id = replica.replica_id
-        if self._directory.is_suspect(replica_id, now) or self._directory.is_doubted(
+        if self._directory.is_suspect(replica_id, now) or self._directory.is_peer_suspect(
             replica_id, now
         ):
             return 0
@@ -250,7 +250,7 @@
             work.online,
             work.batch,
             replica.is_draining,
-            failed or self._directory.is_doubted(replica_id, now),
+            failed or self._directory.is_peer_suspect(replica_id, now),
             self.may_read(replica_id, now),
         )
 
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -5,7 +5,7 @@
 
 from cloverwalk.fleet.follower import TableFollower
 from cloverwalk.fleet.load import LoadBook
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.jobs.assigner import JobAssigner
 from cloverwalk.jobs.checkpoint import Checkpointer
@@ -50,7 +50,7 @@
         knowledge: FleetState,
         loads: LoadBook,
         pool: ReplicaPool,
-        witness: CrashWitness,
+        witness: CrashDetector,
         store: Store,
         health: StoreHealth,
         store_clock: StoreClock,
--- a/src/cloverwalk/serving/calls.py
+++ b/src/cloverwalk/serving/calls.py
@@ -79,7 +79,7 @@
             configuration=self._configuration.version,
         )
         self._metrics.request_ended("call", answer.code, 0.0)
-        headers = self._codec.own_headers(request.fields.request_id, answer.retry_after_s)
+        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
     async def _dispatch(
@@ -131,7 +131,7 @@
                 await reply.respond(200, self._adapter.json_headers, body)
             case ReadItem():
                 body = await self._jobs.item_body(call.job_id, request.tenant, call.item_id)
-                await reply.respond(200, self._codec.own_headers("", None), body)
+                await reply.respond(200, self._codec.local_reply_headers("", None), body)
             case EndJob():
                 await self._jobs.end(call.job_id, request.tenant, writes)
                 await reply.respond(200, self._adapter.json_headers, b"{}")
--- a/src/cloverwalk/serving/knowledge.py
+++ b/src/cloverwalk/serving/knowledge.py
@@ -56,7 +56,7 @@
 
     def take_configuration(self, configuration: Configuration, source: str) -> None:
         """Take a configuration if it is newer; ``source`` tells in the log where it came from."""
-        if not self.configuration.offer(configuration):
+        if not self.configuration.update_if_newer(configuration):
             return
         self._log.write(
             catalogue.CONFIGURATION_TAKEN,
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -17,12 +17,12 @@
 from cloverwalk.fleet.load import LoadBook
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.reply import Reply
-from cloverwalk.gateway.restarts import RestartWatch
+from cloverwalk.gateway.restarts import RestartHandler
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.scheduling.features import Feature
 from cloverwalk.serving.adapter import Adapter
@@ -95,7 +95,7 @@
             self._adapter.create_store(self._settings), self._health, self._store_clock
         )
         self._pool = ReplicaPool(self._adapter.codec, self._clock)
-        self._witness = CrashWitness(
+        self._witness = CrashDetector(
             self._knowledge.crash_ledger,
             self._directory,
             self._pool,
@@ -104,7 +104,7 @@
             self._clock,
         )
 
-        self._restarts = RestartWatch(
+        self._restarts = RestartHandler(
             self._directory, self._pool, self._witness, self._log, self._metrics, self._clock
         )
 
@@ -123,8 +123,8 @@
             self._clock,
             self._random,
         )
-        self._fleet.cases.on_contained = self._witness.note_contained
-        self._witness.on_seen = self._fleet.link.note_change
+        self._fleet.cases.on_contained = self._witness.record_contained
+        self._witness.on_crash = self._fleet.link.note_change
         self._store_watch = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
@@ -404,7 +404,7 @@
         while True:
             await curio.sleep(HOUSEKEEPING_S)
             self._fleet.features.look()
-            self._restarts.look()
+            self._restarts.abort_stale()
             await self._pool.close_expired()
             self._refusals.expire()
             self._witness.expire()
--- a/src/cloverwalk/serving/room_watch.py
+++ b/src/cloverwalk/serving/room_watch.py
@@ -6,8 +6,8 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.gateway.held_bytes import HELD_SHARE, HeldBytes
-from cloverwalk.gateway.machine_room import MachineRoom, MachineSize, RoomVerdict, Usage
+from cloverwalk.gateway.held_bytes import BUDGET_SHARE, MemoryBudget
+from cloverwalk.gateway.machine_room import OverloadMonitor, MachineCapacity, OverloadState, Usage
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.serving.settings import ServingSettings
@@ -36,15 +36,15 @@
         clock: Callable[[], float],
         processor_s: Callable[[], float],
     ) -> None:
-        held_bytes = int(HELD_SHARE * settings.machine.memory_bytes)
-        size = MachineSize(
+        held_bytes = int(BUDGET_SHARE * settings.machine.memory_bytes)
+        size = MachineCapacity(
             most_connections,
             settings.machine.link_bytes_per_s,
             min(1.0, settings.cores),
             held_bytes,
         )
-        self.memory_budget = HeldBytes(held_bytes)
-        self.overload_monitor = MachineRoom(size, clock())
+        self.memory_budget = MemoryBudget(held_bytes)
+        self.overload_monitor = OverloadMonitor(size, clock())
         self._clients = clients
         self._runner = runner
         self._link = link
@@ -52,31 +52,31 @@
         self._clock = clock
         self._processor_s = processor_s
         self._is_told_full = False
-        clients.held = self.memory_budget
+        clients.memory_budget = self.memory_budget
         link.on_zone_fullness = self._note_peers
 
     @property
     def is_over(self) -> bool:
         """Whether new requests and jobs are refused."""
-        return self.overload_monitor.verdict is RoomVerdict.OVER
+        return self.overload_monitor.state is OverloadState.OVERLOADED
 
     def takes_job(self, size: int) -> bool:
         """Whether there is memory for a job with so many bytes of bodies; counts it if so."""
-        if not self.memory_budget.has_room_for_job(size):
+        if not self.memory_budget.has_capacity_for_job(size):
             return False
         # The next look counts it properly, or not at all where it was not taken.
-        self.memory_budget.jobs += size
+        self.memory_budget.job_bytes += size
         return True
 
     def must_hand_over(self) -> bool:
         """Whether this node should not coordinate any more."""
-        return self.overload_monitor.over_for_s(self._clock()) >= HAND_OVER_AFTER_S
+        return self.overload_monitor.overloaded_for_s(self._clock()) >= HAND_OVER_AFTER_S
 
     def update_metrics(self, metrics: ServingMetrics) -> None:
         """Set the figures of this machine's room."""
         metrics.utilization = {one.value: share for one, share in self.overload_monitor.by_resource.items()}
-        metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total)
-        given_up = self.memory_budget.given_up_total
+        metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes)
+        given_up = self.memory_budget.dropped_readers_total
         metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
 
     async def run(self) -> None:
@@ -88,33 +88,33 @@
 
     def check(self, late_s: float) -> None:
         """Judge by what is in use now; the loop was late by ``late_s``."""
-        self.memory_budget.jobs = self._runner.buffered_bytes
+        self.memory_budget.job_bytes = self._runner.buffered_bytes
         usage = Usage(
             self.memory_budget.sent_bytes,
             self._processor_s(),
             self._clients.connection_count,
-            self.memory_budget.total,
+            self.memory_budget.total_bytes,
             late_s,
         )
-        if not self.overload_monitor.look(usage, self._clock()):
+        if not self.overload_monitor.update(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
         # 0 would say that nobody measures it.
-        self._link.fullness_percent = max(1, round(100 * self.overload_monitor.fullness))
+        self._link.fullness_percent = max(1, round(100 * self.overload_monitor.utilization))
         self._tell_full()
         self._tell_given_up()
 
     def _note_peers(self, percent: int) -> None:
-        if not self.overload_monitor.note_peers(percent, self._clock()):
+        if not self.overload_monitor.set_peer_utilization(percent, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, zone_percent=percent)
 
     def _tell_full(self) -> None:
-        is_full = self.overload_monitor.verdict is not RoomVerdict.TAKES_ALL
+        is_full = self.overload_monitor.state is not OverloadState.NORMAL
         if is_full == self._is_told_full:
             return
         self._is_told_full = is_full
         self._log.write(
             catalogue.NODE_FULL if is_full else catalogue.NODE_TAKES_AGAIN,
-            verdict=self.overload_monitor.verdict.value,
+            verdict=self.overload_monitor.state.value,
             scarcest=self.overload_monitor.scarcest.value,
             percent=self._link.fullness_percent,
             **{one.value: round(100 * share) for one, share in self.overload_monitor.by_resource.items()},
@@ -122,14 +122,14 @@
 
     def _tell_given_up(self) -> None:
         """One line for all clients that were given up since the last look."""
-        told = self.memory_budget.take_given_up()
+        told = self.memory_budget.take_dropped_readers()
         if told.count == 0:
             return
         self._log.write(
             catalogue.READERS_GIVEN_UP,
             clients=told.count,
-            most_bytes=told.most_bytes,
-            longest_s=round(told.longest_s, 2),
-            held_bytes=self.memory_budget.total,
+            most_bytes=told.max_bytes,
+            longest_s=round(told.max_stalled_s, 2),
+            held_bytes=self.memory_budget.total_bytes,
             limit_bytes=self.memory_budget.limit,
         )
--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -123,7 +123,7 @@
     def replica_load(self, replica_id: str, load: ReplicaLoad) -> None:
         """A replica told its load."""
         self._running[replica_id] = load.running
-        self._odd_figures["slowdown"] += load.has_odd_slowdown
+        self._odd_figures["slowdown"] += load.has_invalid_slowdown
 
     def gauge(self, name: str, help_text: str, value: float) -> None:
         """Set a plain figure."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1212,7 +1212,7 @@
     Mutant(
         "crashes: an answer that clears the only case is not told",
         "fleet/case_sync.py",
-        "        if not self.ledger.has_news:",
+        "        if not self.ledger.needs_sync:",
         "        if self.ledger.is_empty:",
         CASES + "test_an_answer_that_clears_a_nodes_only_case_is_told_to_all",
     ),
@@ -1312,14 +1312,14 @@
     Mutant(
         "restarts: items go back to a prompt that is gone",
         "jobs/runner.py",
-        "kept_at and kept_at.may_be_start(one.born_ms)",
+        "kept_at and kept_at.may_be_incarnation(one.born_ms)",
         "kept_at",
         RESTARTED + "test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept",
     ),
     Mutant(
         "restarts: two starts of a replica count once against a request",
         "gateway/crash_witness.py",
-        "            if self.ledger.note_crash(content, replica.start_id, look.broken_at):",
+        "            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):",
         "            if self.ledger.note_crash(content, replica.replica_id, look.broken_at):",
         RESTARTED + "test_a_start_that_refuses_counts_for_itself",
     ),
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -225,7 +225,7 @@
         holder = ConfigurationHolder()
         parts = (RoutePart("model", 1.0),)
         route = Route("chat", "h", "/chat/", RouteKind.STREAM, parts, 5.0, 0.3, 2)
-        holder.offer(Configuration(1, (route,), {}, ClientLimits(), self.tenants))
+        holder.update_if_newer(Configuration(1, (route,), {}, ClientLimits(), self.tenants))
         return holder
 
     def know_replicas(self, node: FleetNode) -> None:
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -14,16 +14,16 @@
     CONTAINED_FROM,
     MOST_CASES,
     MOST_INSTANCES,
-    MOST_SHARED,
+    MAX_SHARED_RECORDS,
     REMEMBERED_S,
     SHARED_FROM,
     TOLD_S,
     TRIAL_LIMIT_S,
     TRIAL_PAUSES_S,
-    CaseCopy,
+    CrashRecord,
     Containment,
     CrashLedger,
-    InvalidCaseError,
+    InvalidCrashRecordError,
 )
 
 GUILTY = "a" * 20
@@ -61,7 +61,7 @@
         else:
             one.note_crash(GUILTY, "none", at - 1)
             one.note_answer(GUILTY, at)
-        copies.append(one.copy_of(GUILTY, now))
+        copies.append(one.record_of(GUILTY, now))
     answered_at = max((at for replica_id, at in events if not replica_id), default=-1.0)
     first_at: dict[str, float] = {}
     for replica_id, at in events:
@@ -84,10 +84,10 @@
         assert ledger.containment(GUILTY, now + pause_s - 0.1) is Containment.CONTAINED
         now += pause_s
         # A node that does not coordinate sends it only with the coordinator's leave.
-        assert not ledger.may_place(GUILTY, now)
+        assert not ledger.try_admit(GUILTY, now)
         ledger.grants_trials = True
-        assert ledger.may_place(GUILTY, now)
-        assert not ledger.may_place(GUILTY, now)
+        assert ledger.try_admit(GUILTY, now)
+        assert not ledger.try_admit(GUILTY, now)
         assert ledger.containment(GUILTY, now + TRIAL_LIMIT_S) is Containment.TRIAL_DUE
         ledger.note_crash(GUILTY, f"t{step}", now)
         ledger.grants_trials = False
@@ -103,12 +103,12 @@
             ledger.note_crash(content, f"s{crash}", 2.0)
     assert ledger.containment(GUILTY, 2.0) is Containment.CONTAINED
     assert len(ledger._cases) <= MOST_CASES
-    assert len(ledger.shared(3.0)) <= MOST_SHARED
-    for number in range(MOST_SHARED):
+    assert len(ledger.shared_records(3.0)) <= MAX_SHARED_RECORDS
+    for number in range(MAX_SHARED_RECORDS):
         for crash in range(2 * MOST_INSTANCES):
             ledger.note_crash(f"{number:020d}", f"i-{crash:010d}", 2.0 + crash)
-    assert len(ledger.shared(3.0)) == MOST_SHARED
-    assert len(encode_datagram(CrashCases(ledger.shared(3.0)))) < MAX_DATAGRAM_BYTES
+    assert len(ledger.shared_records(3.0)) == MAX_SHARED_RECORDS
+    assert len(encode_datagram(CrashCases(ledger.shared_records(3.0)))) < MAX_DATAGRAM_BYTES
 
 
 def test_old_cases_are_forgotten() -> None:
@@ -123,15 +123,15 @@
 @pytest.mark.parametrize(
     "copy",
     [
-        CaseCopy("short", {"r1": 1}),
-        CaseCopy(GUILTY, {"r1": -5}),
-        CaseCopy(GUILTY, {"r1": 5}, -5),
-        CaseCopy(GUILTY, {f"r{number}": 5 for number in range(100)}),
+        CrashRecord("short", {"r1": 1}),
+        CrashRecord(GUILTY, {"r1": -5}),
+        CrashRecord(GUILTY, {"r1": 5}, -5),
+        CrashRecord(GUILTY, {f"r{number}": 5 for number in range(100)}),
     ],
 )
-def test_a_case_that_makes_no_sense_is_refused(copy: CaseCopy) -> None:
+def test_a_case_that_makes_no_sense_is_refused(copy: CrashRecord) -> None:
     ledger = CrashLedger()
-    with pytest.raises(InvalidCaseError):
+    with pytest.raises(InvalidCrashRecordError):
         ledger.merge(copy, 10.0)
     assert ledger.is_empty
 
@@ -170,7 +170,7 @@
             if one.name == node.follows and one.host not in self.world.wire.silent
         ]
         decider = deciding[0] if deciding and node.host not in self.world.wire.silent else node
-        return decider.ledger.may_place(content, now)
+        return decider.ledger.try_admit(content, now)
 
     async def ask_guilty(self, node: FleetNode) -> None:
         if self._may_send(node, GUILTY):
--- a/tests/serving/test_crash_witness.py
+++ b/tests/serving/test_crash_witness.py
@@ -15,10 +15,10 @@
     BROKEN_OFF,
     DELIVERED_S,
     LOOK_AFTER_S,
-    CrashWitness,
+    CrashDetector,
     Delivery,
 )
-from cloverwalk.gateway.errors import SILENT
+from cloverwalk.gateway.errors import TIMED_OUT
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.platform.codec import PlatformCodec
@@ -55,12 +55,12 @@
         directory.put(replica)
     pool: Any = looks
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    witness = CrashWitness(ledger, directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         delivery = Delivery(is_new, clock.now)
         clock.now += took_s
-        await witness.note_failure("q1", CONTENT, REPLICA, code, delivery)
+        await witness.record_failure("q1", CONTENT, REPLICA, code, delivery)
         while witness._looks:
             await curio.sleep(0.01)
 
@@ -87,16 +87,16 @@
     looks = Looks(LISTENS)
     pool: Any = looks
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    witness = CrashWitness(ledger, directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         delivery = Delivery(True, clock.now)
-        await witness.note_failure("q1", "d" * 20, REPLICA, "reset", delivery)
+        await witness.record_failure("q1", "d" * 20, REPLICA, "reset", delivery)
         while looks.count < len(LOOK_AFTER_S) - 1:
             await curio.sleep(0.001)
         # The last look for the first one comes before the last one for the second.
         looks.found = [LISTENS] * len(LOOK_AFTER_S) + [REFUSES]
-        await witness.note_failure("q2", CONTENT, REPLICA, "reset", delivery)
+        await witness.record_failure("q2", CONTENT, REPLICA, "reset", delivery)
         while witness._looks:
             await curio.sleep(0.01)
 
@@ -110,7 +110,7 @@
     assert crashes_after(Looks(SILENCE)) == 0
 
 
-@pytest.mark.parametrize("code", [SILENT, "not_run", "unsigned", "replica_error", "unreachable"])
+@pytest.mark.parametrize("code", [TIMED_OUT, "not_run", "unsigned", "replica_error", "unreachable"])
 def test_other_failures_are_not_looked_after(code: str) -> None:
     looks = Looks(REFUSES)
     assert crashes_after(looks, code) == 0
@@ -141,7 +141,7 @@
     async def test(pool: ReplicaPool, address: tuple[str, int]) -> None:
         kept = await pool.acquire(address, "q1")
         await pool.release_unused(kept)
-        own = await pool.acquire(address, "q2", must_be_new=True)
+        own = await pool.acquire(address, "q2", force_new=True)
         assert own is not kept and own.is_new
         assert await pool.acquire(address, "q3") is kept
 
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -16,7 +16,7 @@
 from cloverwalk.emulator.replica_runs import Arrival, Misdeed
 from cloverwalk.fleet.case_keeper import CASE_TABLE
 from cloverwalk.gateway import crash_ledger
-from cloverwalk.gateway.content import content_name
+from cloverwalk.gateway.content import hash_content
 from cloverwalk.jobs import runner
 from cloverwalk.platform import names
 
@@ -129,7 +129,7 @@
 
     def content(self, body: bytes, path: str = "/chat/a") -> str:
         """Return the name of what ``ask`` sends."""
-        return content_name("", HOST, "POST", path, body=body)
+        return hash_content("", HOST, "POST", path, body=body)
 
     def stored(self) -> dict[str, bytes]:
         """Return the rows of contained requests."""
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -154,7 +154,7 @@
         for node in world.nodes:
             current = node.configuration.current
             assert current is not None
-            node.configuration.offer(
+            node.configuration.update_if_newer(
                 Configuration(2, current.routes, {}, ClientLimits(), (low, STEADY))
             )
         lowered_at = world.now
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -16,15 +16,15 @@
 from cloverwalk.core.hashing import rendezvous_owner
 from cloverwalk.fleet.messages import FULL_PERCENT
 from cloverwalk.gateway import outbox
-from cloverwalk.gateway.held_bytes import HELD_SHARE, HeldBytes
-from cloverwalk.gateway.machine_room import RoomVerdict
+from cloverwalk.gateway.held_bytes import BUDGET_SHARE, MemoryBudget
+from cloverwalk.gateway.machine_room import OverloadState
 from cloverwalk.jobs.assigner import JobAssigner
 from cloverwalk.platform import names
 from cloverwalk.serving.room_watch import HAND_OVER_AFTER_S
 from cloverwalk.telemetry.story import parse_line
 
 MEMORY_BYTES = 20_000_000
-LIMIT_BYTES = int(HELD_SHARE * MEMORY_BYTES)
+LIMIT_BYTES = int(BUDGET_SHARE * MEMORY_BYTES)
 SLOW_CLIENTS = 200
 EVENTS = 12
 PADDING = 60_000
@@ -35,12 +35,12 @@
 class NoRoom:
     """Room of a node that is as the test says."""
 
-    def __init__(self, world: FleetWorld, verdict: RoomVerdict, is_ready: bool) -> None:
+    def __init__(self, world: FleetWorld, verdict: OverloadState, is_ready: bool) -> None:
         watch = world.nodes[0]._room
         assert watch is not None
         room = watch.overload_monitor
-        room.look = lambda usage, now: True  # type: ignore[method-assign]
-        room.verdict, room.is_ready = verdict, is_ready
+        room.update = lambda usage, now: True  # type: ignore[method-assign]
+        room.state, room.is_ready = verdict, is_ready
 
 
 async def start_with_long_answers(
@@ -74,14 +74,14 @@
 ) -> None:
     # Load: 200 clients read nothing of answers of 0.7 MB each, beside one that reads.
     most_held = 0
-    note_waiting = HeldBytes.note_waiting
+    note_waiting = MemoryBudget.note_waiting
 
-    def watched(held: HeldBytes, *args: Any) -> None:
+    def watched(held: MemoryBudget, *args: Any) -> None:
         nonlocal most_held
         note_waiting(held, *args)
-        most_held = max(most_held, held.total)
+        most_held = max(most_held, held.total_bytes)
 
-    monkeypatch.setattr(HeldBytes, "note_waiting", watched)
+    monkeypatch.setattr(MemoryBudget, "note_waiting", watched)
 
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
@@ -99,10 +99,10 @@
         held = node._room.memory_budget
         assert 0 < held.answers <= most_held <= LIMIT_BYTES
         # The answers together are many times the limit.
-        assert held.given_up_total > 10
+        assert held.dropped_readers_total > 10
         for sock in socks:
             await sock.close()
-        await world.until(lambda: held.total == 0)
+        await world.until(lambda: held.total_bytes == 0)
 
     in_world(test)
 
@@ -144,9 +144,9 @@
         assert node._room is not None
         held = node._room.memory_budget
         sock = await slow_client(world, "/chat/a")
-        await world.until(lambda: held.given_up_total == 1)
+        await world.until(lambda: held.dropped_readers_total == 1)
         await world.until(lambda: node._clients.connection_count == 0)
-        assert held.total == 0
+        assert held.total_bytes == 0
         await sock.close()
         address = node._settings.metrics_address
         told = (await world.call("GET", "/metrics", address=address)).body.decode()
@@ -169,7 +169,7 @@
         task = await curio.spawn(world.ask, "/once/a")
         assert (await world.hand_in("j")).status == 202
         await world.until(lambda: any(one.running for one in world.replicas))
-        NoRoom(world, RoomVerdict.OVER, is_ready=False)
+        NoRoom(world, OverloadState.OVERLOADED, is_ready=False)
         assert not await is_ready(world)
         for refused in (await world.ask("/once/a", "new"), await world.hand_in("k")):
             assert refused.status == 503
@@ -179,7 +179,7 @@
         assert sum(one.runs("new") for one in world.replicas) == 0
         assert (await task.join()).is_whole
         assert {one["state"] for one in await world.until_done("j", 3)} == {"succeeded"}
-        NoRoom(world, RoomVerdict.TAKES_NO_NEW, is_ready=False)
+        NoRoom(world, OverloadState.FULL, is_ready=False)
         # It asks for no new clients, and serves those that come.
         assert not await is_ready(world)
         assert (await world.ask("/once/a")).status == 200
@@ -205,7 +205,7 @@
         assert "retry-after" in answer.headers
         await sock.close()
         node._room.memory_budget.bodies = 0
-        node._room.memory_budget.jobs = LIMIT_BYTES
+        node._room.memory_budget.job_bytes = LIMIT_BYTES
         node._room.check = lambda late_s: None  # type: ignore[method-assign]
         assert (await world.hand_in("j")).status == 503
         assert not world.replicas[0].arrivals
@@ -219,7 +219,7 @@
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         for node in world.nodes:
             assert node._room is None
-            assert node._clients.held is None
+            assert node._clients.memory_budget is None
         coordinator = world.coordinator()
         assert coordinator is not None
         roster = coordinator._fleet.coordinator.roster
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -39,7 +39,7 @@
     RoutePart,
 )
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.jobs.evidence import PastRetention, RouteEnded
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
@@ -119,12 +119,12 @@
         store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
         super().__init__(name, store, time, self.heard.now)
         self.configuration = ConfigurationHolder()
-        self.configuration.offer(Configuration(configuration, (batch_route(),), {}, ClientLimits()))
+        self.configuration.update_if_newer(Configuration(configuration, (batch_route(),), {}, ClientLimits()))
         self.confirmed_at = float("-inf")
         self.dead: dict[str, tuple[float, ItemRun]] = {}
         self._time = time
         none: Any = None
-        witness = CrashWitness(CrashLedger(), ReplicaDirectory(), none, none, none, time)
+        witness = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
         self.runner = BatchRunner(
             self.configuration,
             ReplicaDirectory(),
@@ -154,7 +154,7 @@
 
     def know_routes(self, version: int, *routes: Route) -> None:
         """Have a configuration that the store has not confirmed: a peer told it."""
-        self.configuration.offer(Configuration(version, routes, {}, ClientLimits()))
+        self.configuration.update_if_newer(Configuration(version, routes, {}, ClientLimits()))
 
     async def look_for(self, seconds: float, is_confirmed: bool = False) -> None:
         """Let time pass, with looks of the runner; the store may confirm the configuration."""
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -17,7 +17,7 @@
     RoutePart,
     Service,
 )
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.messages import PromptPart
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.jobs.item_call import ItemCaller
@@ -112,7 +112,7 @@
     current = node.configuration.current
     assert current is not None
     routes = (*current.routes, route)
-    node.configuration.offer(Configuration(2, routes, {}, current.limits, current.tenants))
+    node.configuration.update_if_newer(Configuration(2, routes, {}, current.limits, current.tenants))
 
     async def ignore(_: object) -> None:
         return
@@ -120,7 +120,7 @@
     clock: Callable[[], float] = lambda: world.now  # noqa: E731
     log = ServingLog(node.name, clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
-    witness = CrashWitness(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
     runner = BatchRunner(
         node.configuration,
         node.directory,
@@ -264,7 +264,7 @@
         configuration = owner.node.configuration
         assert configuration.current is not None
         services = {"model": Service("model", SLOTS, 0, 10_000)}
-        configuration.offer(
+        configuration.update_if_newer(
             Configuration(3, configuration.current.routes, services, ClientLimits())
         )
         owner.node.loads.counts_tokens = True
--- a/tests/serving/test_pace.py
+++ b/tests/serving/test_pace.py
@@ -60,7 +60,7 @@
         holder = ConfigurationHolder()
         parts = (RoutePart("model", 1.0),)
         route = Route("chat", "h", "/chat/", RouteKind.STREAM, parts, 5.0, 0.3, 1)
-        holder.offer(Configuration(1, (route,), {}, ClientLimits()))
+        holder.update_if_newer(Configuration(1, (route,), {}, ClientLimits()))
         quotas, random = QuotaBounds(slack=20.0), Random(1)
         self.scheduler = Scheduler(
             self.directory, holder, ServiceTimes(), quotas, CrashLedger(), random
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -25,7 +25,7 @@
 )
 from cloverwalk.gateway.containment import ContainmentGate
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
@@ -122,12 +122,12 @@
         log = ServingLog("n1", time.monotonic, os.open(os.devnull, os.O_WRONLY))
         metrics = ServingMetrics()
         holder = ConfigurationHolder()
-        holder.offer(Configuration(1, _routes(), {}, ClientLimits()))
+        holder.update_if_newer(Configuration(1, _routes(), {}, ClientLimits()))
         loads = LoadBook()
         link: Any = ScriptedLink(script, loads)
         directory = self._directory()
         pool = ReplicaPool(adapter.codec, time.monotonic)
-        witness = CrashWitness(CrashLedger(), directory, pool, log, metrics, time.monotonic)
+        witness = CrashDetector(CrashLedger(), directory, pool, log, metrics, time.monotonic)
         relay = OnlineRelay(
             adapter.codec,
             directory,
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -120,8 +120,8 @@
 
 
 def test_an_entry_without_the_time_of_its_start_is_good() -> None:
-    assert decode_replica("r1", entry(), 1).born_ms == 0
-    assert decode_replica("r1", entry(born=1_790_000_000_001), 1).born_ms == 1_790_000_000_001
+    assert decode_replica("r1", entry(), 1).started_ms == 0
+    assert decode_replica("r1", entry(born=1_790_000_000_001), 1).started_ms == 1_790_000_000_001
 
 
 def test_peers_hear_that_an_entry_can_t_be_read() -> None:
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -32,7 +32,7 @@
     assert holder.current is not None
     services = {"model": Service("model", 8, 0, MEMORY)}
     routes = holder.current.routes
-    holder.offer(Configuration(2, routes, services, ClientLimits(), tenants or None))
+    holder.update_if_newer(Configuration(2, routes, services, ClientLimits(), tenants or None))
     fleet.scheduler = Scheduler(
         fleet.directory,
         holder,
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -19,7 +19,7 @@
 from cloverwalk.fleet.messages import DirectoryUpdate, decode_datagram, encode_datagram
 from cloverwalk.gateway import restarts
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashWitness, Delivery
+from cloverwalk.gateway.crash_witness import CrashDetector, Delivery
 from cloverwalk.gateway.errors import RESTARTED, ReplicaError
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
 from cloverwalk.gateway.replicas import LATE_ENTRIES, Replica, ReplicaDirectory
@@ -43,8 +43,8 @@
     def __init__(self, *entries: Replica) -> None:
         self.directory = ReplicaDirectory()
         self.told: list[tuple[int, int]] = []
-        self.directory.on_new_start.append(
-            lambda before, after: self.told.append((before.born_ms, after.born_ms))
+        self.directory.restart_listeners.append(
+            lambda before, after: self.told.append((before.started_ms, after.started_ms))
         )
         for one in entries:
             self.directory.put(one)
@@ -75,7 +75,7 @@
     assert not starts.directory.put(start(2, 5))
     assert not starts.directory.put(start(4, 5))
     starts.directory.replace([start(4, 5)], 4)
-    assert [one.born_ms for one in starts.directory.all()] == [9]
+    assert [one.started_ms for one in starts.directory.all()] == [9]
     starts.directory.put(start(5, 9))
     assert starts.told == [(5, 9)]
 
@@ -85,23 +85,23 @@
     starts = Starts(start(1, 9))
     for number in range(LATE_ENTRIES + 1):
         starts.directory.put(start(2 + number, 5))
-    assert [one.born_ms for one in starts.directory.all()] == [5]
+    assert [one.started_ms for one in starts.directory.all()] == [5]
     assert starts.told == [(9, 5)]
 
 
 @given(st.permutations([start(1, 5), start(2, 5), start(3, 9), start(4, 9), start(5, 12)]))
 def test_starts_are_never_told_back_and_forth(entries: list[Replica]) -> None:
     starts = Starts(*entries)
-    assert [one.born_ms for one in starts.directory.all()] == [12]
+    assert [one.started_ms for one in starts.directory.all()] == [12]
     assert all(before < after for before, after in starts.told)
 
 
 def test_a_new_start_is_under_no_suspicion() -> None:
     directory = Starts(start(1, 5)).directory
     directory.suspect("r1", 10.0)
-    directory.hear_suspects(["r1"], 10.0)
+    directory.add_peer_suspects(["r1"], 10.0)
     directory.put(start(2, 9))
-    assert not directory.is_suspect("r1", 10.1) and not directory.is_doubted("r1", 10.1)
+    assert not directory.is_suspect("r1", 10.1) and not directory.is_peer_suspect("r1", 10.1)
 
 
 def test_nodes_tell_each_other_which_start_it_is() -> None:
@@ -238,7 +238,7 @@
         assert (await world.ask("/chat/a")).is_whole
         assert pool.opened == 1
         await restart(world, 0)
-        start_known = lambda: world.nodes[0]._directory.all()[0].born_ms > 5000  # noqa: E731
+        start_known = lambda: world.nodes[0]._directory.all()[0].started_ms > 5000  # noqa: E731
         await world.until(start_known)
         assert (await world.ask("/chat/a")).is_whole
         assert pool.opened == 2
@@ -266,7 +266,7 @@
     none: Any = None
     pool, directory = ReplicaPool(none, clock), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    watch = restarts.RestartWatch(directory, pool, none, log, ServingMetrics(), clock)
+    watch = restarts.RestartHandler(directory, pool, none, log, ServingMetrics(), clock)
     known: Any = pool._all
     known.update(connections)
     if refused_at is not None:
@@ -276,7 +276,7 @@
     directory.put(start(2, 9))
     found = [one.is_broken_off for one in connections]
     clock.now += restarts.QUIET_S
-    watch.look()
+    watch.abort_stale()
     assert all(one.is_broken_off for one, before in zip(connections, found, strict=True) if before)
     return found + [one.is_broken_off for one in connections]
 
@@ -328,14 +328,14 @@
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
     directory = Starts(*entries).directory
-    witness = CrashWitness(ledger, directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         if answered_at is not None:
             ledger.note_answer(CONTENT, answered_at)
         for replica, is_new in failures:
             delivery = Delivery(is_new, clock.now - 1.0)
-            await witness.note_failure("q1", CONTENT, replica, RESTARTED, delivery)
+            await witness.record_failure("q1", CONTENT, replica, RESTARTED, delivery)
 
     curio.run(main)
     return ledger.crashes(CONTENT)
@@ -354,13 +354,13 @@
     ledger, directory = CrashLedger(), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = Refusing()
-    witness = CrashWitness(ledger, directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         for replica in (start(1, 5), start(2, 9)):
             directory.put(replica)
             delivery = Delivery(True, clock.now)
-            await witness.note_failure("q1", CONTENT, replica, "reset", delivery)
+            await witness.record_failure("q1", CONTENT, replica, "reset", delivery)
             while witness._looks:
                 await curio.sleep(0)
 
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -98,7 +98,7 @@
             )
         holder = ConfigurationHolder()
         routes = (online_route("chat"), online_route("patient", priority=1))
-        holder.offer(Configuration(1, routes, {}, ClientLimits(), tenants or None))
+        holder.update_if_newer(Configuration(1, routes, {}, ClientLimits(), tenants or None))
         self.scheduler = Scheduler(
             self.directory,
             holder,
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -444,7 +444,7 @@
     assert before is not None
     routes = tuple(msgspec.structs.replace(one, is_resumable=is_resumable) for one in before.routes)
     assert routes[0].kind is RouteKind.STREAM
-    holder.offer(Configuration(2, routes, {}, before.limits))
+    holder.update_if_newer(Configuration(2, routes, {}, before.limits))
     fleet.nodes[0].online = {"r0": 6}
     return fleet
 
--- a/tests/unit/test_machine_room.py
+++ b/tests/unit/test_machine_room.py
@@ -8,7 +8,7 @@
 
 from cloverwalk.fleet.fullness import median_by_zone
 from cloverwalk.fleet.messages import Report
-from cloverwalk.gateway.held_bytes import BODY_COPIES, HAND_IN_SHARE, HeldBytes
+from cloverwalk.gateway.held_bytes import BODY_COPIES, HAND_IN_SHARE, MemoryBudget
 from cloverwalk.gateway.machine_room import (
     AVERAGE_S,
     DWELL_S,
@@ -16,16 +16,16 @@
     MOST_UNREADY_S,
     PEERS_FRESH_S,
     UNREADY_SHARE,
-    MachineRoom,
-    MachineSize,
+    OverloadMonitor,
+    MachineCapacity,
     Resource,
-    RoomVerdict,
+    OverloadState,
     Usage,
 )
-from cloverwalk.gateway.outbox import Outbox
+from cloverwalk.gateway.outbox import SendBuffer
 from cloverwalk.gateway.reply import Reply
 
-SIZE = MachineSize(connections=100, link_bytes_per_s=1e6, processor=0.4, held_bytes=1000)
+SIZE = MachineCapacity(connections=100, link_bytes_per_s=1e6, processor=0.4, held_bytes=1000)
 
 LOADS = st.lists(
     st.tuples(
@@ -44,19 +44,19 @@
 def test_no_verdict_flaps_and_a_node_is_seldom_not_ready(
     steps: list[tuple[float, int, int, float, int]],
 ) -> None:
-    room, now, unready_s = MachineRoom(SIZE, 0.0), 0.0, 0.0
-    changed_at, before = 0.0, room.verdict
+    room, now, unready_s = OverloadMonitor(SIZE, 0.0), 0.0, 0.0
+    changed_at, before = 0.0, room.state
     for step_s, connections, held, late_s, peers in steps:
         now += step_s
         was_ready = room.is_ready
-        room.note_peers(peers, now)
-        assert room.look(Usage(0, 0.0, connections, held, late_s), now)
+        room.set_peer_utilization(peers, now)
+        assert room.update(Usage(0, 0.0, connections, held, late_s), now)
         assert all(share >= 0 for share in room.by_resource.values())
-        assert room.fullness == max(connections / 100, held / 1000)
-        if room.verdict is not before:
+        assert room.utilization == max(connections / 100, held / 1000)
+        if room.state is not before:
             assert now - changed_at >= DWELL_S
-            changed_at, before = now, room.verdict
-        if room.verdict is RoomVerdict.TAKES_ALL:
+            changed_at, before = now, room.state
+        if room.state is OverloadState.NORMAL:
             assert room.is_ready
         unready_s += 0.0 if was_ready else step_s
         # A look that comes late ends the time in which the node is not ready that much later.
@@ -68,111 +68,111 @@
     steps: list[tuple[float, int, int, float, int]],
 ) -> None:
     for are_peers_known in (True, False):
-        room, now = MachineRoom(SIZE, 0.0), 0.0
+        room, now = OverloadMonitor(SIZE, 0.0), 0.0
         for step_s, connections, held, late_s, _ in steps:
             now += step_s
             if are_peers_known:
-                room.note_peers(max(1, round(max(connections, held / 10))), now)
-            room.look(Usage(0, 0.0, connections, held, late_s), now)
-            assert room.verdict is RoomVerdict.TAKES_ALL
+                room.set_peer_utilization(max(1, round(max(connections, held / 10))), now)
+            room.update(Usage(0, 0.0, connections, held, late_s), now)
+            assert room.state is OverloadState.NORMAL
 
 
 def test_a_weak_machine_that_fills_up_first_is_full_and_takes_again_only_well_below() -> None:
-    room = MachineRoom(SIZE, 0.0)
+    room = OverloadMonitor(SIZE, 0.0)
     seen = []
     for turn, connections in enumerate((80, 86, 80, 70, 66, 64)):
         now = 3.0 * (turn + 1)
-        room.note_peers(30, now)
-        room.look(Usage(connections=connections), now)
-        seen.append(room.verdict is RoomVerdict.TAKES_ALL)
+        room.set_peer_utilization(30, now)
+        room.update(Usage(connections=connections), now)
+        seen.append(room.state is OverloadState.NORMAL)
     assert seen == [True, False, False, False, False, True]
 
 
 @pytest.mark.parametrize(
-    ("late_s", "verdict"), [(0.0, RoomVerdict.TAKES_NO_NEW), (0.5, RoomVerdict.OVER)]
+    ("late_s", "verdict"), [(0.0, OverloadState.FULL), (0.5, OverloadState.OVERLOADED)]
 )
 def test_a_busy_processor_refuses_requests_only_where_the_loop_is_late(
-    late_s: float, verdict: RoomVerdict
+    late_s: float, verdict: OverloadState
 ) -> None:
-    room = MachineRoom(SIZE, 0.0)
+    room = OverloadMonitor(SIZE, 0.0)
     for turn in range(1, 40):
         now = turn * 0.5
-        room.note_peers(40, now)
+        room.set_peer_utilization(40, now)
         # All of 0.4 cores.
-        room.look(Usage(processor_s=0.4 * now, late_s=late_s), now)
+        room.update(Usage(processor_s=0.4 * now, late_s=late_s), now)
     assert room.scarcest is Resource.PROCESSOR
-    assert room.verdict is verdict
+    assert room.state is verdict
 
 
 def test_a_link_is_judged_by_its_average_not_by_one_burst() -> None:
-    room = MachineRoom(SIZE, 0.0)
-    room.note_peers(10, 0.1)
-    room.look(Usage(), 0.0)
-    room.look(Usage(sent_bytes=200_000), 0.1)
+    room = OverloadMonitor(SIZE, 0.0)
+    room.set_peer_utilization(10, 0.1)
+    room.update(Usage(), 0.0)
+    room.update(Usage(sent_bytes=200_000), 0.1)
     assert room.by_resource[Resource.LINK] < 2 * 0.1 / AVERAGE_S
     for turn in range(1, 21):
-        room.look(Usage(sent_bytes=200_000 + 500_000 * turn), 0.1 + 0.5 * turn)
+        room.update(Usage(sent_bytes=200_000 + 500_000 * turn), 0.1 + 0.5 * turn)
     assert room.by_resource[Resource.LINK] == pytest.approx(1.0, abs=0.05)
 
 
 def test_figures_that_cannot_be_true_are_left_out() -> None:
-    room = MachineRoom(SIZE, 10.0)
-    assert not room.note_peers(-1, 11.0)
-    assert not room.look(Usage(connections=-5), 11.0)
-    assert not room.look(Usage(processor_s=float("nan")), 11.0)
-    assert not room.look(Usage(connections=99), 9.0)
-    assert room.fullness == 0.0
+    room = OverloadMonitor(SIZE, 10.0)
+    assert not room.set_peer_utilization(-1, 11.0)
+    assert not room.update(Usage(connections=-5), 11.0)
+    assert not room.update(Usage(processor_s=float("nan")), 11.0)
+    assert not room.update(Usage(connections=99), 9.0)
+    assert room.utilization == 0.0
     # Limits that are not told are never reached.
-    unknown = MachineRoom(MachineSize(), 0.0)
-    unknown.note_peers(1, 3.0)
-    unknown.look(Usage(10**9, 1e6, 10**6, 10**12), 3.0)
-    assert unknown.verdict is RoomVerdict.TAKES_ALL
+    unknown = OverloadMonitor(MachineCapacity(), 0.0)
+    unknown.set_peer_utilization(1, 3.0)
+    unknown.update(Usage(10**9, 1e6, 10**6, 10**12), 3.0)
+    assert unknown.state is OverloadState.NORMAL
 
 
 def test_counts_that_did_not_begin_at_zero_are_no_use_of_the_machine() -> None:
     # A process clock tells any figure at first; taken for use, a node that has just started was
     # full for its first ten seconds.
-    room = MachineRoom(SIZE, 0.0)
+    room = OverloadMonitor(SIZE, 0.0)
     for turn in range(1, 10):
-        room.note_peers(5, 0.5 * turn)
-        assert room.look(Usage(10**9, 70_000.0 + 0.01 * turn), 0.5 * turn)
-        assert room.fullness < 0.1
+        room.set_peer_utilization(5, 0.5 * turn)
+        assert room.update(Usage(10**9, 70_000.0 + 0.01 * turn), 0.5 * turn)
+        assert room.utilization < 0.1
     # One that goes back measures nothing.
-    assert not room.look(Usage(10**9, 1.0), 6.0)
-    assert room.look(Usage(10**9, 1.1), 6.5)
+    assert not room.update(Usage(10**9, 1.0), 6.0)
+    assert room.update(Usage(10**9, 1.1), 6.5)
     assert room.by_resource[Resource.PROCESSOR] == 0.0
 
 
 def test_a_process_clock_that_starts_below_zero_hides_no_other_figure() -> None:
-    room = MachineRoom(SIZE, 0.0)
+    room = OverloadMonitor(SIZE, 0.0)
     for turn in range(1, 5):
         now = 0.5 * turn
-        assert room.look(Usage(processor_s=0.01 * now - 70_000.0, connections=90), now)
-        assert (room.scarcest, room.fullness) == (Resource.CONNECTIONS, 0.9)
+        assert room.update(Usage(processor_s=0.01 * now - 70_000.0, connections=90), now)
+        assert (room.scarcest, room.utilization) == (Resource.CONNECTIONS, 0.9)
 
 
 def test_a_process_clock_faster_than_time_is_none_and_counts_nowhere() -> None:
     # Taken for use, all nodes but the first to be told of their peers were full at once.
-    room = MachineRoom(SIZE, 0.0)
+    room = OverloadMonitor(SIZE, 0.0)
     told = []
     for turn in range(1, 20):
-        room.note_peers(5, 0.5 * turn)
+        room.set_peer_utilization(5, 0.5 * turn)
         usage = Usage(processor_s=turn * (1.0 if turn < 10 else 0.2), connections=5)
-        told.append(room.look(usage, 0.5 * turn))
-        assert (room.scarcest, room.fullness) == (Resource.CONNECTIONS, 0.05)
-        assert room.verdict is RoomVerdict.TAKES_ALL
+        told.append(room.update(usage, 0.5 * turn))
+        assert (room.scarcest, room.utilization) == (Resource.CONNECTIONS, 0.05)
+        assert room.state is OverloadState.NORMAL
     # It is told once; the other figures go on to count.
     assert told.count(False) == 1
 
 
 def test_what_was_told_of_the_peers_gets_old() -> None:
-    room = MachineRoom(SIZE, 0.0)
-    room.note_peers(round(100 * (1 - MARGIN)), 3.0)
+    room = OverloadMonitor(SIZE, 0.0)
+    room.set_peer_utilization(round(100 * (1 - MARGIN)), 3.0)
     verdicts = []
     for now in (3.0, 3.1 + PEERS_FRESH_S):
-        room.look(Usage(connections=100), now)
-        verdicts.append((room.verdict, room.over_for_s(now + 1.0)))
-    assert verdicts == [(RoomVerdict.OVER, 1.0), (RoomVerdict.TAKES_ALL, 0.0)]
+        room.update(Usage(connections=100), now)
+        verdicts.append((room.state, room.overloaded_for_s(now + 1.0)))
+    assert verdicts == [(OverloadState.OVERLOADED, 1.0), (OverloadState.NORMAL, 0.0)]
 
 
 def test_the_middle_of_a_zone_is_told_by_those_that_measure_and_stay() -> None:
@@ -189,7 +189,7 @@
 class FakeReader:
     """A client that takes nothing."""
 
-    def __init__(self, held: HeldBytes, took_at: float) -> None:
+    def __init__(self, held: MemoryBudget, took_at: float) -> None:
         self._held = held
         self.took_at = took_at
         self.waiting_bytes = 0
@@ -212,7 +212,7 @@
 def test_whatever_clients_do_not_read_the_process_holds_no_more_than_its_limit(
     pieces: list[tuple[int, int]],
 ) -> None:
-    held = HeldBytes(2000)
+    held = MemoryBudget(2000)
     readers = [FakeReader(held, float(number)) for number in range(20)]
     for turn, (number, size) in enumerate(pieces):
         if readers[number].is_given_up:
@@ -221,15 +221,15 @@
         readers[number].add(size, 100.0 + turn)
         if turn % 3 == 0:
             readers[number].take(size // 2)
-        assert held.total == sum(one.waiting_bytes for one in readers) <= 2000
+        assert held.total_bytes == sum(one.waiting_bytes for one in readers) <= 2000
         given_up = [one.took_at for one in others if one.is_given_up]
         kept = [one.took_at for one in others if not one.is_given_up]
         assert not given_up or not kept or max(given_up) < min(kept)
-    assert held.given_up_total == sum(one.is_given_up for one in readers)
+    assert held.dropped_readers_total == sum(one.is_given_up for one in readers)
 
 
 def test_a_slow_reader_makes_room_for_a_body_and_then_no_body_is_read() -> None:
-    held = HeldBytes(1000)
+    held = MemoryBudget(1000)
     slow, quick = FakeReader(held, 1.0), FakeReader(held, 2.0)
     slow.add(300, 3.0)
     quick.add(300, 3.0)
@@ -238,20 +238,20 @@
     # Nobody is given up for what would not fit anyway.
     assert not held.has_room(1000 // BODY_COPIES + 1, 5.0)
     assert not quick.is_given_up
-    told = held.take_given_up()
-    assert (told.count, told.most_bytes, told.longest_s) == (1, 300, 3.0)
-    assert held.take_given_up().count == 0
+    told = held.take_dropped_readers()
+    assert (told.count, told.max_bytes, told.max_stalled_s) == (1, 300, 3.0)
+    assert held.take_dropped_readers().count == 0
 
 
 def test_jobs_leave_room_for_online_requests() -> None:
-    held = HeldBytes(1000)
-    held.jobs = 500
-    assert held.has_room_for_job(int(1000 * HAND_IN_SHARE) - 500)
-    assert not held.has_room_for_job(int(1000 * HAND_IN_SHARE) - 499)
-    held.jobs = 1000
+    held = MemoryBudget(1000)
+    held.job_bytes = 500
+    assert held.has_capacity_for_job(int(1000 * HAND_IN_SHARE) - 500)
+    assert not held.has_capacity_for_job(int(1000 * HAND_IN_SHARE) - 499)
+    held.job_bytes = 1000
     # A limit that nobody told is none.
-    assert HeldBytes().has_room_for_job(10**9)
-    assert HeldBytes().has_room(10**9, 0.0)
+    assert MemoryBudget().has_capacity_for_job(10**9)
+    assert MemoryBudget().has_room(10**9, 0.0)
 
 
 def test_an_answer_of_which_a_part_was_dropped_is_not_finished() -> None:
@@ -272,7 +272,7 @@
         http.receive_data(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         while not isinstance(http.next_event(), h11.EndOfMessage):
             pass
-        reply = Reply(sock, http, False, Outbox(sock, HeldBytes(), lambda: 0.0))
+        reply = Reply(sock, http, False, SendBuffer(sock, MemoryBudget(), lambda: 0.0))
         reply._outbox.start = no_sender  # type: ignore[union-attr, method-assign]
         await reply.respond(200, [], b"answer")
         await reply.close()
@@ -286,10 +286,10 @@
 
 def test_jobs_that_outgrew_their_share_keep_no_online_body_or_answer_out() -> None:
     # A node that took over the jobs of lost ones, or whose items have long outputs.
-    held = HeldBytes(1000)
-    held.jobs = 5000
+    held = MemoryBudget(1000)
+    held.job_bytes = 5000
     assert held.has_room(100, 1.0)
     reader = FakeReader(held, 1.0)
     reader.add(200, 2.0)
     assert not reader.is_given_up
-    assert not held.has_room_for_job(1)
+    assert not held.has_capacity_for_job(1)
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -47,7 +47,7 @@
 def test_an_odd_pace_is_dropped_and_its_counts_are_kept(odd: str) -> None:
     header = (b"X-Cloverwalk-Server-Load", f"3,0,8,{odd}".encode())
     load = PlatformCodec().answer_fields([header]).load
-    assert load == ReplicaLoad(3, 0, 8, has_odd_slowdown=True)
+    assert load == ReplicaLoad(3, 0, 8, has_invalid_slowdown=True)
 
 
 @given(st.text(max_size=30))
@@ -58,7 +58,7 @@
 def test_a_request_tells_its_length() -> None:
     headers = [(b"X-Cloverwalk-Token-Usage", b"1460,80"), (b"X-Cloverwalk-Length-Hint", b"35")]
     fields = PlatformCodec().request_fields(headers)
-    told = (fields.prompt_tokens, fields.most_output_tokens, fields.hinted_output_tokens)
+    told = (fields.prompt_tokens, fields.max_output_tokens, fields.hinted_output_tokens)
     assert told == (1460, 80, 35)
 
 
@@ -67,7 +67,7 @@
     headers = [(b"X-Cloverwalk-Token-Usage", odd.encode())]
     headers.append((b"X-Cloverwalk-Length-Hint", b"-1"))
     fields = PlatformCodec().request_fields(headers)
-    assert (fields.prompt_tokens, fields.most_output_tokens) == (0, 0)
+    assert (fields.prompt_tokens, fields.max_output_tokens) == (0, 0)
     assert fields.hinted_output_tokens == 0
 
 
@@ -111,7 +111,7 @@
     assert [one.feature for one in told if one.is_on] == [Feature.NODE_CAPACITY]
     told.clear()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
-    holder.offer(Configuration(1, (), services, ClientLimits(), tenants=()))
+    holder.update_if_newer(Configuration(1, (), services, ClientLimits(), tenants=()))
     features.look()
     assert {one.feature for one in told if one.is_on} == {
         Feature.FAIR_SHARES,
@@ -126,12 +126,12 @@
     assert not features.is_on(Feature.OVERLOAD_ORDER)
     features.note_told_pace("s")
     assert features.is_on(Feature.OVERLOAD_ORDER) and not features.is_on(Feature.FAIR_SHARES)
-    holder.offer(Configuration(1, (), {}, ClientLimits(), tenants=()))
+    holder.update_if_newer(Configuration(1, (), {}, ClientLimits(), tenants=()))
     assert features.is_on(Feature.FAIR_SHARES)
 
 
 def test_a_deployment_that_calls_for_nothing_gets_nothing() -> None:
     holder = ConfigurationHolder()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
-    holder.offer(Configuration(1, (), services, ClientLimits()))
+    holder.update_if_newer(Configuration(1, (), services, ClientLimits()))
     assert not any(one.is_on for one in Features(holder).states())
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -18,7 +18,7 @@
 
 def holder(*tenants: Tenant) -> ConfigurationHolder:
     known = ConfigurationHolder()
-    known.offer(Configuration(1, (), {}, ClientLimits(), tenants))
+    known.update_if_newer(Configuration(1, (), {}, ClientLimits(), tenants))
     return known
 
 
@@ -213,7 +213,7 @@
     lowered = Configuration(2, (), {}, ClientLimits(), (tenant(rate=1.0, burst=1.0),))
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
     quotas.spend("quiz", 0.0)
-    configuration.offer(lowered)
+    configuration.update_if_newer(lowered)
     verdicts = [quotas.reserve("quiz", 0.1) for _ in range(3)]
     assert verdicts == [QuotaVerdict.TAKEN, QuotaVerdict.OVER, QuotaVerdict.OVER]
 
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -43,7 +43,7 @@
     highest = -1
     for version in versions:
         raw = b'{"version":%d}' % version
-        assert holder.offer(decode_configuration(raw)) == (version > highest)
+        assert holder.update_if_newer(decode_configuration(raw)) == (version > highest)
         highest = max(highest, version)
         assert holder.version == highest
 
@@ -141,14 +141,14 @@
 
 def test_a_replica_that_failed_at_another_node_is_doubted_for_a_moment_and_not_told_on() -> None:
     directory = ReplicaDirectory()
-    directory.hear_suspects(["r"], 10.0)
-    assert directory.is_doubted("r", 10.5)
+    directory.add_peer_suspects(["r"], 10.0)
+    assert directory.is_peer_suspect("r", 10.5)
     assert not directory.is_suspect("r", 10.5)
     assert directory.suspects(10.5) == []
-    assert not directory.is_doubted("r", 11.3)
-    directory.hear_suspects(["r"], 11.3)
+    assert not directory.is_peer_suspect("r", 11.3)
+    directory.add_peer_suspects(["r"], 11.3)
     directory.clear_suspicion("r")
-    assert not directory.is_doubted("r", 11.4)
+    assert not directory.is_peer_suspect("r", 11.4)
     directory.suspect("r", 12.0)
     assert directory.suspects(12.1) == ["r"]
 
