--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -130,7 +130,7 @@
     def _serve_own_zone(self) -> None:
         """Grant items slots of the own zone only, as a standby: others grant elsewhere."""
         if self.bears_zone_loss:
-            self._scheduler.grant_within(self._identity.zone)
+            self._scheduler.restrict_grants_to(self._identity.zone)
 
     @property
     def is_active(self) -> bool:
@@ -144,8 +144,8 @@
         now = self._clock()
         if self.active_since is None:
             self.active_since = now
-            self._scheduler.quotas.coordinate(now)
-            self._scheduler.grant_within("")
+            self._scheduler.quotas.become_coordinator(now)
+            self._scheduler.restrict_grants_to("")
             self._note_served_zone()
             self._cases.ledger.grants_trials = True
             self._copies.note_known()
@@ -159,7 +159,7 @@
     def deactivate(self) -> None:
         """Another node holds the role."""
         if self.is_active:
-            self._scheduler.quotas.resign(self._clock())
+            self._scheduler.quotas.stop_coordinating(self._clock())
             self._serve_own_zone()
         self._cases.ledger.grants_trials = False
         self.active_since = None
@@ -193,13 +193,13 @@
             self._note_served_zone()
         elif report.node != self._identity.node:
             grants = report.deputy_grants
-            self._scheduler.quotas.hear_deputy(report.node, report.run, grants, now)
+            self._scheduler.quotas.record_local_grants(report.node, report.run, grants, now)
         if is_new:
             self._log.write(catalogue.PEER_HEARD, peer=report.node, host=host)
-            self._scheduler.forget(report.node, now)
+            self._scheduler.remove_node(report.node, now)
         if report.node != self._identity.node:
             self._cases.hear(report, known)
-        self._scheduler.hear(report, now)
+        self._scheduler.handle_report(report, now)
         await self.tell_decisions()
         if now - known.told_at >= ACK_EVERY_S:
             self._acknowledge(known, now)
@@ -208,7 +208,7 @@
     def _take_share(self) -> None:
         """Count for the part of the fleet that reports here."""
         heard = self.roster.heard_since(self._clock() - COUNTED_SILENT_S)
-        self._scheduler.quotas.set_share(heard, self._fleet_nodes())
+        self._scheduler.quotas.set_fleet_fraction(heard, self._fleet_nodes())
 
     def _fleet_nodes(self) -> int:
         """Return how many nodes the whole fleet has, as far as this one knows; 0: it doesn't."""
@@ -236,7 +236,7 @@
     async def tell_decisions(self) -> None:
         """Send what the scheduler has decided."""
         now = self._clock()
-        for node, decisions in self._scheduler.take_decisions().items():
+        for node, decisions in self._scheduler.pop_decisions().items():
             orders = self._orders(node, decisions, now)
             if node == self._identity.node:
                 await self.deliver_locally(orders)
@@ -250,7 +250,7 @@
 
     def _acknowledge(self, known: KnownNode, now: float) -> None:
         orders = self._orders(known.contact.node, None, now)
-        orders.number = self._scheduler.last_number(known.contact.node)
+        orders.number = self._scheduler.last_decision_number(known.contact.node)
         self._add_totals(orders, known, now)
         known.told_at = now
         self._transport.send(known.contact.host, orders)
@@ -259,10 +259,10 @@
         is_busy = bool(known.report.loads or known.report.asks)
         if is_busy and self._are_totals_due(known, now):
             known.totals_at = now
-            orders.totals = self._scheduler.totals()
+            orders.totals = self._scheduler.replica_loads()
 
     def _are_totals_due(self, known: KnownNode, now: float) -> bool:
-        entries = self._scheduler.book.replica_count * len(self.roster.by_name)
+        entries = self._scheduler.load_tracker.busy_replica_count * len(self.roster.by_name)
         if entries <= TOTALS_ENTRIES_PER_S * TOTALS_EVERY_S:
             return now - known.totals_at >= TOTALS_EVERY_S
         # Many nodes that are heard at the same time are not told at the same time.
@@ -354,7 +354,7 @@
                 # Elsewhere a node that turned back to the coordinator is not lost.
                 silent_s = round(now - known.heard_at, 2)
                 self._log.write(catalogue.PEER_LOST, peer=known.contact.node, silent_s=silent_s)
-            self._scheduler.forget(known.contact.node, now)
+            self._scheduler.remove_node(known.contact.node, now)
 
     def _look_at_fullness(self, now: float) -> None:
         """Keep the median fullness of each zone's nodes up to date."""
@@ -377,7 +377,7 @@
         own_zone = self._identity.zone
         heard = self.roster.heard_by_zone()
         for zone in sorted(set(heard) - {own_zone}):
-            self._scheduler.reach.hear_nodes(own_zone, zone, heard[zone], now)
+            self._scheduler.reachability.record_last_seen(own_zone, zone, heard[zone], now)
 
     def _others(self) -> list[KnownNode]:
         """Return the live nodes but this one."""
@@ -408,16 +408,16 @@
         """Take what the coordinator tells for a node that has to decide in its stead."""
         if nodes > 0 and not self.is_active:
             self._fleet_size = nodes
-            self._scheduler.quotas.take_near_limit(near_limit, now)
+            self._scheduler.quotas.apply_near_limit(near_limit, now)
 
     def deputy_grants(self, now: float) -> DeputyGrants | None:
         """Return the tokens that this node gave out itself lately, as reports tell them."""
-        return self._scheduler.quotas.deputy_grants(now)
+        return self._scheduler.quotas.local_grants(now)
 
     def take_totals(self, totals: dict[str, NodeLoad], now: float) -> None:
         """Take the fleet's work, for decisions of this node alone."""
         if not self.is_active:
-            self._scheduler.book.take_snapshot(totals, now, knows_all=False)
+            self._scheduler.load_tracker.apply_snapshot(totals, now, is_complete=False)
 
     def order_take_over(self, incarnation: str, job_ids: list[str]) -> None:
         """Have a node run jobs that have no owner."""
@@ -425,7 +425,7 @@
         if known is None or known.report.incarnation != incarnation:
             return
         orders = self._orders(known.contact.node, None, self._clock())
-        orders.number = self._scheduler.last_number(known.contact.node)
+        orders.number = self._scheduler.last_decision_number(known.contact.node)
         orders.take_over = job_ids
         self._transport.send(known.contact.host, orders)
 
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -130,13 +130,13 @@
         self._leader.note_heard(host, now)
         self._snapshot = snapshot
         self._nodes = snapshot.nodes or self._nodes
-        self._scheduler.book.take_snapshot(snapshot.totals, now)
-        self._scheduler.quotas.take_levels(snapshot.quota_levels)
-        self._scheduler.shares.take_used(snapshot.used_shares)
-        self._scheduler.item_shares.take_used(snapshot.used_item_shares)
-        self._scheduler.take_paces(snapshot.paces, now)
+        self._scheduler.load_tracker.apply_snapshot(snapshot.totals, now)
+        self._scheduler.quotas.apply_bucket_levels(snapshot.quota_levels)
+        self._scheduler.online_shares.apply_usage(snapshot.used_shares)
+        self._scheduler.item_shares.apply_usage(snapshot.used_item_shares)
+        self._scheduler.apply_slowdowns(snapshot.paces, now)
         for route, known in snapshot.figures.items():
-            self._scheduler.times.take_figures(
+            self._scheduler.times.apply_estimate(
                 route, known.start_ms, known.hold_ms, known.wait_factor
             )
         if snapshot.is_leaving and self._leader.standby_rank == 0:
@@ -183,7 +183,7 @@
         if was_away:
             # This process stood still: others may have been heard all the time.
             self._leader.heard_at = self._leader.holder_heard_at = now
-            self._scheduler.quotas.distrust(now)
+            self._scheduler.quotas.reset_after_pause(now)
         if self._coordinator.is_active:
             if now - self._verified_at >= VERIFY_EVERY_S:
                 self._verified_at = now
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -16,7 +16,7 @@
 from cloverwalk.gateway.crash_ledger import CrashRecord
 from cloverwalk.gateway.machine_room import FULL_THRESHOLD
 from cloverwalk.gateway.replicas import Replica
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 
 FULL_PERCENT = round(100 * FULL_THRESHOLD)
 
@@ -243,7 +243,7 @@
     """The answer to an ask."""
 
     number: int
-    verdict: Verdict
+    verdict: PlacementVerdict
     replica_id: str = ""
     wait_ms: int = 0
     """Expected wait for a slot, before any correction."""
--- a/src/cloverwalk/fleet/places.py
+++ b/src/cloverwalk/fleet/places.py
@@ -12,7 +12,7 @@
 
 from cloverwalk.fleet.load import LoadBook, Work
 from cloverwalk.fleet.messages import Ask, Contact, Placement
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 
 ASK_TIMEOUT_LEAST_S = 0.03
 ASK_TIMEOUT_MAX_S = 0.12
@@ -40,7 +40,7 @@
     """Whether it was held for a slot before."""
 
     @property
-    def verdict(self) -> Verdict:
+    def verdict(self) -> PlacementVerdict:
         """Whether the request goes to a replica, has to come back, or goes nowhere."""
         return self.placement.verdict
 
@@ -151,11 +151,11 @@
         pending = self._pending.get(placement.number)
         if pending is None or pending.place is not None:
             return
-        pending.is_held = placement.verdict is Verdict.HOLD
+        pending.is_held = placement.verdict is PlacementVerdict.QUEUE
         pending.was_held = pending.was_held or pending.is_held
         if not pending.is_held:
             work = None
-            if placement.verdict is Verdict.SEND:
+            if placement.verdict is PlacementVerdict.SEND:
                 work = self._loads.begin(placement.replica_id, False, pending.tokens)
             pending.place = Place(placement, work, pending.was_held)
         await pending.event.set()
--- a/src/cloverwalk/fleet/snapshots.py
+++ b/src/cloverwalk/fleet/snapshots.py
@@ -2,7 +2,7 @@
 
 from cloverwalk.fleet.messages import Leadership, PaceFigures, RouteFigures, Snapshot
 from cloverwalk.fleet.roster import KnownNode
-from cloverwalk.scheduling.pace_handover import PaceTeller
+from cloverwalk.scheduling.pace_handover import SlowdownReplicator
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.store.health import StoreHealth
 
@@ -19,7 +19,7 @@
     def __init__(self, scheduler: Scheduler, health: StoreHealth) -> None:
         self._scheduler = scheduler
         self._health = health
-        self._pace_teller = PaceTeller()
+        self._pace_teller = SlowdownReplicator()
         self._made = 0
 
     def make(
@@ -28,21 +28,21 @@
         """Return the next snapshot; ``live`` are the nodes that report."""
         self._made += 1
         scheduler = self._scheduler
-        times = scheduler.times.figures()
+        times = scheduler.times.estimates()
         return Snapshot(
             current,
             int(min(MOST_STORE_AGE_MS, self._health.ms_since_answer())),
-            scheduler.totals(),
+            scheduler.replica_loads(),
             {route: RouteFigures(*figures) for route, figures in times.items()},
             [one.contact for one in live] if self._made % NODES_EVERY == 0 else [],
             is_leaving,
-            scheduler.quotas.levels(now),
+            scheduler.quotas.bucket_levels(now),
             paces=self._paces_due([one.node for one in current.standbys], now),
-            used_shares=scheduler.shares.used(),
-            used_item_shares=scheduler.item_shares.used(),
+            used_shares=scheduler.online_shares.usage(),
+            used_item_shares=scheduler.item_shares.usage(),
         )
 
     def _paces_due(self, standbys: list[str], now: float) -> dict[str, PaceFigures]:
-        paces = self._scheduler.paces
-        due = self._pace_teller.due(paces.established(), standbys, now)
-        return paces.figures(due, now)
+        paces = self._scheduler.slowdowns
+        due = self._pace_teller.due(paces.baselines(), standbys, now)
+        return paces.estimates(due, now)
--- a/src/cloverwalk/gateway/late_watch.py
+++ b/src/cloverwalk/gateway/late_watch.py
@@ -27,14 +27,14 @@
                 (first_at - request.received_at) * 1000,
                 (sent_at - request.received_at) * 1000,
                 progress.expected_wait_ms,
-                self._usual.start_ms(route.name),
+                self._usual.first_event_ms(route.name),
                 progress.was_queued,
                 failures,
             )
         )
         if cause is None:
             if not failures and progress.expected_wait_ms == 0:
-                self._usual.note_start(route.name, (first_at - sent_at) * 1000)
+                self._usual.record_start(route.name, (first_at - sent_at) * 1000)
             return None
         self._metrics.request_late(route.name, cause.value)
         return cause.value
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -29,7 +29,7 @@
 from cloverwalk.gateway.reply import Reply
 from cloverwalk.gateway.rotation import WeightedRotation
 from cloverwalk.gateway.served_times import request_timing
-from cloverwalk.scheduling.admission import LONGEST_HOLD_S, Verdict
+from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
@@ -127,7 +127,7 @@
             suspected = await self._containment.check(request, progress)
             ask = self._ask(request, progress, suspected)
             self._check_remembered(ask)
-            place = await self._link.place(ask, request.received_at + LONGEST_HOLD_S)
+            place = await self._link.place(ask, request.received_at + MAX_QUEUE_WAIT_S)
             self._check_verdict(request, progress, place)
             replica = self._directory.find(place.replica_id)
             if replica is not None:
@@ -143,20 +143,20 @@
     ) -> None:
         """Raise the refusal of a request that got no place."""
         match place.verdict:
-            case Verdict.RETURN:
+            case PlacementVerdict.RETRY_LATER:
                 raise refusals.too_little_room(place.placement)
-            case Verdict.NONE:
+            case PlacementVerdict.NO_REPLICA:
                 raise refusals.no_replica("no_replica", progress.last_failure)
-            case Verdict.OVER_QUOTA:
+            case PlacementVerdict.OVER_QUOTA:
                 self._refusals.record(request.tenant, place.placement.retry_after_s)
                 raise refusals.over_quota(place.placement.retry_after_s)
-            case Verdict.QUOTA_UNKNOWN:
+            case PlacementVerdict.QUOTA_UNKNOWN:
                 raise refusals.quota_unknown()
-            case Verdict.TOO_LARGE:
+            case PlacementVerdict.TOO_LARGE:
                 raise refusals.too_large()
-            case Verdict.CONTAINED:
+            case PlacementVerdict.CONTAINED:
                 raise self._containment.refusal(request, progress)
-            case Verdict.SEND | Verdict.HOLD:
+            case PlacementVerdict.SEND | PlacementVerdict.QUEUE:
                 return
 
     def _check_remembered(self, ask: Ask) -> None:
@@ -201,7 +201,7 @@
     def _must_send(self, request: ClientRequest, progress: RequestProgress) -> bool:
         """Whether a request goes to a replica whatever it can expect there."""
         has_begun = progress.may_have_run or bool(progress.refused)
-        return has_begun or self._clock() - request.received_at >= LONGEST_HOLD_S
+        return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
     def _note_choice(self, request: ClientRequest, progress: RequestProgress, place: Place) -> None:
         now = self._clock()
--- a/src/cloverwalk/jobs/order.py
+++ b/src/cloverwalk/jobs/order.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cloverwalk.fleet.messages import WaitingGroup
-from cloverwalk.scheduling.due_steps import DUE_STEP_MS, LATE_STEP, PRIORITY_STEP
+from cloverwalk.scheduling.due_steps import DUE_TIME_RESOLUTION_MS, LATE_OFFSET, PRIORITY_STRIDE
 
 REST_STEP_MS = 100
 """What items still run is told in steps of this length; an estimate that moves less is no news."""
@@ -39,8 +39,8 @@
     @property
     def sort_key(self) -> int:
         """The step that it is told in."""
-        rank = self.priority * PRIORITY_STEP + (0 if self.can_be_in_time else LATE_STEP)
-        return int(self.due_ms // DUE_STEP_MS) + rank
+        rank = self.priority * PRIORITY_STRIDE + (0 if self.can_be_in_time else LATE_OFFSET)
+        return int(self.due_ms // DUE_TIME_RESOLUTION_MS) + rank
 
 
 def summarise(items: Iterable[WaitingItem]) -> list[WaitingGroup]:
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -19,8 +19,8 @@
 from cloverwalk.jobs.order import WaitingItem, pick, summarise
 from cloverwalk.jobs.pace import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
-from cloverwalk.scheduling.replica_memory import memory_limit
-from cloverwalk.scheduling.selection import reading_ms
+from cloverwalk.scheduling.replica_memory import memory_limit_tokens
+from cloverwalk.scheduling.selection import prefill_ms
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.telemetry.lateness import ItemTimes, item_cause
 from cloverwalk.telemetry.log import ServingLog
@@ -226,7 +226,7 @@
         if not self._loads.counts_tokens or current is None:
             return 0
         known = [current.services.get(name) for name in self._services(job)]
-        limits = [0 if service is None else memory_limit(service) for service in known]
+        limits = [0 if service is None else memory_limit_tokens(service) for service in known]
         can_fit = 0 in limits or one.item.tokens <= max(limits, default=0)
         return max(0, one.item.tokens) if can_fit else 0
 
@@ -243,7 +243,7 @@
 
     def _reading_ms(self, one: ItemRun) -> float:
         prompt = self._caller.prompt(one)
-        return reading_ms(prompt[-1].tokens) if prompt else 0.0
+        return prefill_ms(prompt[-1].tokens) if prompt else 0.0
 
     async def _give_up_old(self) -> None:
         """End waiting items past their retention, and those whose route is gone for good."""
--- a/src/cloverwalk/scheduling/admission.py
+++ b/src/cloverwalk/scheduling/admission.py
@@ -42,17 +42,17 @@
 """Share of the queue that requests of a tenant ahead of its share may join while others
 wait: the other half is for these. Free slots are for everybody."""
 
-LONGEST_HOLD_S = 1.5
+MAX_QUEUE_WAIT_S = 1.5
 """A request that waits here is sent after this time at the latest, to whatever replica is best."""
 
 
-class Verdict(enum.Enum):
+class PlacementVerdict(enum.Enum):
     """What to do with a request."""
 
     SEND = "send"
-    HOLD = "hold"
-    RETURN = "return"
-    NONE = "none"
+    QUEUE = "hold"
+    RETRY_LATER = "return"
+    NO_REPLICA = "none"
     """There is no replica that it could be sent to."""
 
     OVER_QUOTA = "over_quota"
@@ -86,7 +86,7 @@
     wait_ms: float
     """Expected wait for a slot there."""
 
-    start_ms: float
+    first_event_ms: float
     """Expected time from a slot to its first event."""
 
     left_ms: float
@@ -101,20 +101,20 @@
     def is_in_time(self) -> bool:
         """Whether the first event is expected within the objective."""
         margin_ms = MARGIN_SHARE * self.objective_ms
-        needed_ms = self.wait_ms + self.start_ms + margin_ms
+        needed_ms = self.wait_ms + self.first_event_ms + margin_ms
         return needed_ms <= self.left_ms and self.wait_ms <= self.most_wait_ms
 
 
-def decide(prospect: Prospect, may_return: bool, is_first: bool) -> Verdict:
+def decide(prospect: Prospect, may_return: bool, is_first: bool) -> PlacementVerdict:
     """Return what to do; ``is_first`` tells that no other request waits here before it.
 
     >>> late = Prospect(300.0, start_ms=80.0, left_ms=300.0, objective_ms=300.0, most_wait_ms=200.0)
     >>> decide(late, may_return=True, is_first=True), decide(late, may_return=False, is_first=True)
-    (<Verdict.RETURN: 'return'>, <Verdict.HOLD: 'hold'>)
+    (<PlacementVerdict.RETURN: 'return'>, <PlacementVerdict.QUEUE: 'hold'>)
     """
     if prospect.is_in_time or (is_first and prospect.wait_ms == 0.0):
-        return Verdict.SEND
-    return Verdict.RETURN if may_return else Verdict.HOLD
+        return PlacementVerdict.SEND
+    return PlacementVerdict.RETRY_LATER if may_return else PlacementVerdict.QUEUE
 
 
 def most_wait_ms(
@@ -135,7 +135,7 @@
     return max(
         0.0,
         min(
-            1000 * one.target_latency_s * (1 - MARGIN_SHARE) - times.start_ms(one.name)
+            1000 * one.target_latency_s * (1 - MARGIN_SHARE) - times.first_event_ms(one.name)
             for one in urgent
         ),
     )
@@ -178,7 +178,7 @@
         return max(self._usual_s - lasted_s, LASTING_SHARE * lasted_s)
 
 
-def return_after_s(
+def retry_after_s(
     wait_s: float, rest_s: float, time_left_s: float, random: Random
 ) -> float | None:
     """Return when a request should come back; None when it had better wait here.
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -15,8 +15,8 @@
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.replica_view import ReplicaView
-from cloverwalk.scheduling.share import kept_free
-from cloverwalk.scheduling.slot_book import SlotBook
+from cloverwalk.scheduling.share import reserved_slots
+from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 
 FIRST_GUESS_ITEM_MS = 2000.0
 """Slot time of an item whose node has not told it; what it took is told at its end."""
@@ -66,7 +66,7 @@
     def __init__(
         self,
         replicas: ReplicaView,
-        book: SlotBook,
+        book: ReplicaLoadTracker,
         outbox: Outbox,
         arrivals_per_s: Callable[[str, float], float],
         features: Features,
@@ -85,7 +85,7 @@
 
     # --- what waits ---
 
-    def hear(self, node: str, zone: str, waiting: Waiting) -> None:
+    def record_waiting(self, node: str, zone: str, waiting: Waiting) -> None:
         """Take what waits at a node; what it was just granted does not wait any more."""
         self._zones[node] = zone
         if not waiting:
@@ -97,7 +97,7 @@
             for pool, groups in waiting.items()
         }
 
-    def forget(self, node: str) -> None:
+    def remove_node(self, node: str) -> None:
         """A node is gone."""
         self._waiting.pop(node, None)
         self._zones.pop(node, None)
@@ -115,7 +115,7 @@
             replica = self._replicas.find(replica_id)
             if replica is None:
                 continue
-            excess = self._replicas.must_yield(replica, now)
+            excess = self._replicas.items_to_preempt(replica, now)
             holders = self._book.holders(replica_id) if excess > 0 else []
             for holder in holders:
                 if excess <= 0:
@@ -126,7 +126,7 @@
     def _revoke(self, node: str, replica_id: str, count: int, now: float) -> None:
         decisions = self._outbox.of(node)
         decisions.revokes[replica_id] = decisions.revokes.get(replica_id, 0) + count
-        tokens = -self._replicas.yielded_tokens(replica_id, count, now)
+        tokens = -self._replicas.preempted_tokens(replica_id, count, now)
         self._book.expect(node, decisions.number, replica_id, batch=-count, tokens=tokens, now=now)
 
     # --- granting ---
@@ -184,7 +184,7 @@
         """Return how many slots the items of a pool leave free."""
         reading_ms = self._reading_ms(pool)
         return sum(
-            kept_free(self._arrivals_per_s(service, now), reading_ms) for service in pool.split(",")
+            reserved_slots(self._arrivals_per_s(service, now), reading_ms) for service in pool.split(",")
         )
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -39,7 +39,7 @@
             decisions = self._open[node] = Decisions(number)
         return decisions
 
-    def take(self) -> dict[str, Decisions]:
+    def pop(self) -> dict[str, Decisions]:
         """Return what was decided since the last call."""
         taken, self._open = self._open, {}
         return taken
--- a/src/cloverwalk/scheduling/fair_shares.py
+++ b/src/cloverwalk/scheduling/fair_shares.py
@@ -125,7 +125,7 @@
 
     # --- takeover ---
 
-    def used(self) -> dict[str, float]:
+    def usage(self) -> dict[str, float]:
         """Return the tenants that are ahead, in ms, for a node that may have to take over."""
         ahead: dict[str, float] = {}
         for shares in self._by_rank.values():
@@ -134,7 +134,7 @@
         largest = sorted(ahead.items(), key=lambda one: (-one[1], one[0]))[:MOST_TOLD]
         return {tenant: round(by_ms) for tenant, by_ms in largest if by_ms >= STEP_MS}
 
-    def take_used(self, used: Mapping[str, float]) -> None:
+    def apply_usage(self, used: Mapping[str, float]) -> None:
         """Take the coordinator's count in place of an own one."""
         self._told = {tenant: self._sane(by_ms) for tenant, by_ms in used.items()}
         self._by_rank.clear()
--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -79,7 +79,7 @@
             return
         self._tells_pace.add(service)
         self._found.clear()
-        self.look()
+        self.notify_changes()
 
     def is_on(self, feature: Feature) -> bool:
         """Whether a part is in force; decisions ask many times, so what was found is kept."""
@@ -96,7 +96,7 @@
         """Return all parts, in the order of their declaration."""
         return [self._state(one) for one in Feature]
 
-    def look(self) -> None:
+    def notify_changes(self) -> None:
         """Tell what has changed since the last look; to be called after news."""
         for state in self.states():
             if self._known.get(state.feature) != state:
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -14,14 +14,14 @@
 from cloverwalk.scheduling.admission import (
     AHEAD_QUEUE_SHARE,
     CROWD_OVER_S,
-    LONGEST_HOLD_S,
+    MAX_QUEUE_WAIT_S,
     CrowdWatch,
     Prospect,
     ReturnBook,
-    Verdict,
+    PlacementVerdict,
     decide,
     most_wait_ms,
-    return_after_s,
+    retry_after_s,
     slot_wait_ms,
 )
 from cloverwalk.scheduling.arrivals import ArrivalRate
@@ -41,7 +41,7 @@
     expected_reading_ms,
 )
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import SlotBook
+from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 
 HELD_UNASKED_S = 0.8
 """A held request that its node has not asked for again for so long is given up there."""
@@ -51,7 +51,7 @@
 class _Admission:
     """Whether a request is sent, held, or told to come back."""
 
-    verdict: Verdict
+    verdict: PlacementVerdict
     ahead_ms: int = 0
     """Slot time by which its tenant is ahead of others, where its share counted."""
 
@@ -65,7 +65,7 @@
     def __init__(
         self,
         replicas: ReplicaView,
-        book: SlotBook,
+        book: ReplicaLoadTracker,
         outbox: Outbox,
         configuration: ConfigurationHolder,
         times: ServiceTimes,
@@ -106,10 +106,10 @@
             held.ask, held.heard_at = ask, now
             return self._try(held, False, now) or ""
         if ask.content and not self._ledger.try_admit(ask.content, now):
-            self._outbox.of(node).placements.append(Placement(ask.number, Verdict.CONTAINED))
+            self._outbox.of(node).placements.append(Placement(ask.number, PlacementVerdict.CONTAINED))
             return ""
         if not self._replicas.can_ever_fit(ask):
-            self._outbox.of(node).placements.append(Placement(ask.number, Verdict.TOO_LARGE))
+            self._outbox.of(node).placements.append(Placement(ask.number, PlacementVerdict.TOO_LARGE))
             return ""
         refusal = self._take_token(ask, now)
         if refusal is not None:
@@ -118,7 +118,7 @@
         priority = self._priority(ask.route, ask.tenant)
         held = HeldRequest(node, zone, ask, now, now, QueueKey(priority, ask.tenant))
         held.has_token = ask.token is TokenUse.NEW
-        held.expect(self._times.start_ms(ask.route))
+        held.expect(self._times.first_event_ms(ask.route))
         self._arrivals.setdefault(ask.service, ArrivalRate()).note(now)
         deadline_s = None if ask.deadline_ms is None else ask.deadline_ms / 1000
         may_return = not self._returns.came_back(ask.route, deadline_s)
@@ -133,17 +133,17 @@
                 return None
             case QuotaVerdict.OVER:
                 wait_s = round(self._quotas.wait_s(ask.tenant, now), 3)
-                return Placement(ask.number, Verdict.OVER_QUOTA, retry_after_s=wait_s)
+                return Placement(ask.number, PlacementVerdict.OVER_QUOTA, retry_after_s=wait_s)
             case QuotaVerdict.UNKNOWN:
                 # A node that has just started soon finds a coordinator; its requests ask again.
                 may_wait = not self._quotas.knows_fleet and not ask.must_place
-                return Placement(ask.number, Verdict.HOLD if may_wait else Verdict.QUOTA_UNKNOWN)
+                return Placement(ask.number, PlacementVerdict.QUEUE if may_wait else PlacementVerdict.QUOTA_UNKNOWN)
 
     def withdraw(self, node: str, number: int, now: float) -> None:
         """A request waits no more."""
         self._drop((node, number), now)
 
-    def forget(self, node: str, now: float) -> None:
+    def remove_node(self, node: str, now: float) -> None:
         """A node is gone, and its requests with it."""
         for held in self._held.all():
             if held.node == node:
@@ -186,14 +186,14 @@
             # Each has too little memory left; it is as if all their slots were taken.
             return self._wait_for_memory(held, now)
         if chosen is None:
-            return self._refuse(held, Placement(held.ask.number, Verdict.NONE), now)
+            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.NO_REPLICA), now)
         wait_ms = self._wait_ms(held.ask.route, chosen)
         if wait_ms > 0 and self._is_hopeless(held, candidates, now):
-            return self._refuse(held, Placement(held.ask.number, Verdict.RETURN), now)
+            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.RETRY_LATER), now)
         admission = self._admit(held, chosen, wait_ms, may_return, now)
-        if admission.verdict is Verdict.RETURN:
+        if admission.verdict is PlacementVerdict.RETRY_LATER:
             return self._send_away(held, admission, now)
-        if admission.verdict is Verdict.HOLD:
+        if admission.verdict is PlacementVerdict.QUEUE:
             self._hold(held, now)
             return None
         self._place(held, chosen, wait_ms, now)
@@ -203,8 +203,8 @@
 
     def _wait_for_memory(self, held: HeldRequest, now: float) -> str | None:
         """Hold a request until a replica has memory for it, or refuse it in the end."""
-        if held.ask.must_place or now - held.asked_at >= LONGEST_HOLD_S:
-            return self._refuse(held, Placement(held.ask.number, Verdict.NONE), now)
+        if held.ask.must_place or now - held.asked_at >= MAX_QUEUE_WAIT_S:
+            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.NO_REPLICA), now)
         held.waits_for_memory = True
         self._hold(held, now)
         return None
@@ -214,16 +214,16 @@
     ) -> _Admission:
         """Return whether a request is sent, held, or told when to come back."""
         route = self._route(held.ask.route)
-        is_overdue = held.ask.must_place or now - held.asked_at >= LONGEST_HOLD_S
+        is_overdue = held.ask.must_place or now - held.asked_at >= MAX_QUEUE_WAIT_S
         if route is None or is_overdue:
-            return _Admission(Verdict.SEND)
+            return _Admission(PlacementVerdict.SEND)
         prospect = self._prospect(held, route, wait_ms, chosen.pace, now)
         admission = self._decide(held, prospect, may_return, now)
-        if admission.verdict is not Verdict.RETURN:
+        if admission.verdict is not PlacementVerdict.RETRY_LATER:
             return admission
         after_s = self._return_after_s(prospect, held.ask, now)
         if after_s is None:
-            return _Admission(Verdict.HOLD)
+            return _Admission(PlacementVerdict.QUEUE)
         return attrs.evolve(admission, return_after_s=after_s)
 
     def _decide(
@@ -238,14 +238,14 @@
         if not self.shares.is_ahead(rank, tenant):
             is_other_ahead = now - self._ahead_at.get(rank, float("-inf")) < CROWD_OVER_S
             is_next = is_other_ahead and not self._held.has_queue(held.queue)
-            if verdict is Verdict.RETURN and is_next:
+            if verdict is PlacementVerdict.RETRY_LATER and is_next:
                 # It gets the next free slot before the tenant that is ahead.
-                return _Admission(Verdict.HOLD)
+                return _Admission(PlacementVerdict.QUEUE)
             return _Admission(verdict)
         self._ahead_at[rank] = now
         if not self._do_others_wait(rank, tenant):
             return _Admission(verdict)
-        if verdict is Verdict.SEND:
+        if verdict is PlacementVerdict.SEND:
             most_ms = AHEAD_QUEUE_SHARE * prospect.most_wait_ms
             less = attrs.evolve(prospect, most_wait_ms=most_ms)
             verdict = decide(less, may_return, is_first)
@@ -264,7 +264,7 @@
             return False
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             return False
-        start_ms, left_ms = self._times.start_ms(held.ask.route), held.time_left_ms(now)
+        start_ms, left_ms = self._times.first_event_ms(held.ask.route), held.time_left_ms(now)
         waits = (self._wait_ms(held.ask.route, one) for one in candidates)
         return all(is_hopeless(wait_ms, start_ms, left_ms) for wait_ms in waits)
 
@@ -274,7 +274,7 @@
             self.shares.held_back[held.ask.tenant] += 1
         placement = Placement(
             held.ask.number,
-            Verdict.RETURN,
+            PlacementVerdict.RETRY_LATER,
             retry_after_s=round(admission.return_after_s, 3),
             ahead_ms=admission.ahead_ms,
         )
@@ -289,7 +289,7 @@
 
     def _hold(self, held: HeldRequest, now: float) -> None:
         if self._held.add(held, now):
-            placement = Placement(held.ask.number, Verdict.HOLD)
+            placement = Placement(held.ask.number, PlacementVerdict.QUEUE)
             self._outbox.of(held.node).placements.append(placement)
 
     def _place(self, held: HeldRequest, chosen: Candidate, wait_ms: float, now: float) -> None:
@@ -303,12 +303,12 @@
         replica_id = chosen.replica.replica_id
         placement = Placement(
             held.ask.number,
-            Verdict.SEND,
+            PlacementVerdict.SEND,
             replica_id,
             round(wait_ms),
             online=chosen.in_flight.online,
             batch=chosen.in_flight.batch,
-            reading_ms=round(chosen.reading_ms),
+            reading_ms=round(chosen.prefill_ms),
         )
         decisions.placements.append(placement)
         self._book.expect(
@@ -360,7 +360,7 @@
         waited_ms = (now - held.heard_at) * 1000
         return Prospect(
             self._times.wait_factor(route.name) * wait_ms,
-            pace * self._times.start_ms(route.name),
+            pace * self._times.first_event_ms(route.name),
             held.ask.objective_left_ms - waited_ms,
             route.target_latency_s * 1000,
             most_wait_ms(route, held.queue.rank, routes, self._times),
@@ -369,7 +369,7 @@
     def _return_after_s(self, prospect: Prospect, ask: Ask, now: float) -> float | None:
         self._crowd.meet(now)
         wait_s, rest_s = prospect.wait_ms / 1000, self._crowd.rest_s(now)
-        return return_after_s(wait_s, rest_s, ask.time_left_ms / 1000, self._random)
+        return retry_after_s(wait_s, rest_s, ask.time_left_ms / 1000, self._random)
 
     def _demand(self, held: HeldRequest) -> Demand:
         ask = held.ask
@@ -380,7 +380,7 @@
             ask.shared_tokens,
             ask.own_tokens,
             self._other_zone_ms(ask),
-            self._times.start_ms(ask.route),
+            self._times.first_event_ms(ask.route),
         )
 
     def _other_zone_ms(self, ask: Ask) -> float:
@@ -392,5 +392,5 @@
         may_repeat = route is None or route.is_retryable
         if may_repeat or not self._features.is_on(Feature.ZONE_LOSS):
             return OTHER_ZONE_MS
-        spare_ms = ask.objective_left_ms - self._times.start_ms(ask.route)
+        spare_ms = ask.objective_left_ms - self._times.first_event_ms(ask.route)
         return max(OTHER_ZONE_MS, min(ONCE_OTHER_ZONE_MS, spare_ms))
--- a/src/cloverwalk/scheduling/pace.py
+++ b/src/cloverwalk/scheduling/pace.py
@@ -169,10 +169,10 @@
         return _bounded(math.exp(self.usual + max(0.0, deviation)))
 
 
-class ReplicaPaces:
+class ReplicaSlowdowns:
     """Paces by replica.
 
-    >>> paces = ReplicaPaces()
+    >>> paces = ReplicaSlowdowns()
     >>> paces.pace("r1")
     1.0
     >>> paces.take({"r1": PaceFigures(1.6, 1.6, 0)}, now=10.0)
@@ -194,7 +194,7 @@
         self.present: dict[str, float] = {}
         """Paces now, of the replicas of which something is known; see ``refresh``."""
 
-        self.dropped = 0
+        self.invalid_count = 0
         """Figures that could not be right, and were not taken."""
 
         self.on_change: Callable[[str, float, bool], None] = _nobody
@@ -223,7 +223,7 @@
             if known is None or known.is_faded(now):
                 self._fading.discard(replica_id)
 
-    def classes(self) -> Counter[str]:
+    def counts_by_class(self) -> Counter[str]:
         """Return how many replicas are fast, usual and slow by their long-term figure."""
         return Counter(_class(math.exp(one.usual)) for one in self._learnt.values())
 
@@ -232,7 +232,7 @@
     def note(self, measured: Measurement, now: float) -> None:
         """Learn from an answer that has just ended."""
         if not _can_be_right(measured):
-            self.dropped += 1
+            self.invalid_count += 1
             return
         began_at = now - measured.took_ms / 1000
         if began_at < self._since.get(measured.replica_id, -math.inf):
@@ -307,7 +307,7 @@
 
     # --- handover ---
 
-    def established(self) -> dict[str, float]:
+    def baselines(self) -> dict[str, float]:
         """Return the logarithms of long-term figures that enough answers stand for."""
         return {
             key: one.usual
@@ -315,15 +315,15 @@
             if one.answers >= ESTABLISHED_ANSWERS
         }
 
-    def figures(self, replica_ids: Iterable[str], now: float) -> dict[str, PaceFigures]:
+    def estimates(self, replica_ids: Iterable[str], now: float) -> dict[str, PaceFigures]:
         """Return what is known of some replicas, as a snapshot tells it."""
         return {key: _figures(self._learnt[key], now) for key in replica_ids}
 
-    def take(self, figures: Mapping[str, PaceFigures], now: float) -> None:
+    def apply(self, figures: Mapping[str, PaceFigures], now: float) -> None:
         """Take what another coordinator has learnt."""
         for replica_id, told in figures.items():
             if not _are_right(told):
-                self.dropped += 1
+                self.invalid_count += 1
                 continue
             usual = math.log(told.usual)
             known = _Learnt(usual, ESTABLISHED_ANSWERS)
--- a/src/cloverwalk/scheduling/pace_handover.py
+++ b/src/cloverwalk/scheduling/pace_handover.py
@@ -29,10 +29,10 @@
     copies: int = 0
 
 
-class PaceTeller:
+class SlowdownReplicator:
     """Remembers what the standbys were told.
 
-    >>> teller = PaceTeller()
+    >>> teller = SlowdownReplicator()
     >>> known = {"r1": math.log(1.6), "r2": math.log(1.02)}
     >>> [teller.due(known, ["n2"], at) for at in (0.0, 0.25, 0.5)]
     [['r1'], ['r1'], []]
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -113,7 +113,7 @@
 
     # --- in which role this node counts ---
 
-    def coordinate(self, now: float) -> None:
+    def become_coordinator(self, now: float) -> None:
         """This node counts for the fleet from now on."""
         self._is_coordinator = True
         self._since = now
@@ -125,20 +125,20 @@
             if account is not None:
                 account.bucket.drain_to(level, now)
 
-    def resign(self, now: float) -> None:
+    def stop_coordinating(self, now: float) -> None:
         """Another node counts for the fleet."""
         self._is_coordinator = False
         self._since = now
         self._accounts = {}
         self._change_share(0.0)
 
-    def distrust(self, now: float) -> None:
+    def reset_after_pause(self, now: float) -> None:
         """This process stood still: others may have counted meanwhile."""
         self._since = now
         for account in self._accounts.values():
             account.bucket.drain_to(self._careful(account.tenant), now)
 
-    def set_share(self, heard: int, nodes: int) -> None:
+    def set_fleet_fraction(self, heard: int, nodes: int) -> None:
         """Take the part of the fleet that this node decides for; ``nodes`` is 0 if not known."""
         share = min(1.0, heard / nodes) if nodes > 0 else 0.0
         if share != self._share:
@@ -270,12 +270,12 @@
             if not one.bucket.has(now, NEAR_SHARE * one.tenant.bucket_size)
         )
 
-    def take_near_limit(self, names: list[str], now: float) -> None:
+    def apply_near_limit(self, names: list[str], now: float) -> None:
         """Take what the coordinator told of tenants near their limits."""
         self._near = frozenset(names)
         self._near_at = now
 
-    def levels(self, now: float) -> dict[str, float]:
+    def bucket_levels(self, now: float) -> dict[str, float]:
         """Return the buckets that are not full, for a node that may have to take over."""
         return {
             name: round(one.bucket.level(now), 2)
@@ -283,15 +283,15 @@
             if not one.bucket.has(now, one.bucket.burst)
         }
 
-    def take_levels(self, levels: dict[str, float]) -> None:
+    def apply_bucket_levels(self, levels: dict[str, float]) -> None:
         """Take the coordinator's levels; they hold when this node takes over."""
         self._told_levels = levels
 
-    def deputy_grants(self, now: float) -> DeputyGrants | None:
+    def local_grants(self, now: float) -> DeputyGrants | None:
         """Return what this node gave out as a deputy lately; None is nothing."""
         return self._granted.report(now)
 
-    def hear_deputy(self, node: str, run: str, grants: DeputyGrants | None, now: float) -> None:
+    def record_local_grants(self, node: str, run: str, grants: DeputyGrants | None, now: float) -> None:
         """Count what a node gave out itself since it last told."""
         for name, count in self._deputies.news(node, run, grants, now).items():
             account = self._account(name, now)
--- a/src/cloverwalk/scheduling/replica_memory.py
+++ b/src/cloverwalk/scheduling/replica_memory.py
@@ -12,14 +12,14 @@
 from cloverwalk.gateway.configuration import ConfigurationHolder, Service
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.features import Feature, Features
-from cloverwalk.scheduling.slot_book import SlotBook
+from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 
 UNTOLD_SHARE = 0.02
 """Share of the memory that is left for what the count can't know: a node's work that is not
 reported yet, and replicas' allocation in blocks of some tokens."""
 
 
-def memory_limit(service: Service) -> int:
+def memory_limit_tokens(service: Service) -> int:
     """Return what requests may take at a replica of a service; 0: nothing is told of it."""
     return int(service.memory_tokens * (1 - UNTOLD_SHARE))
 
@@ -28,7 +28,7 @@
     """Tells where a request fits; everywhere, while nobody says that memory is scarce."""
 
     def __init__(
-        self, configuration: ConfigurationHolder, book: SlotBook, features: Features
+        self, configuration: ConfigurationHolder, book: ReplicaLoadTracker, features: Features
     ) -> None:
         self._configuration = configuration
         self._book = book
@@ -40,7 +40,7 @@
         known = None if current is None else current.services.get(service)
         if known is None or not self._features.is_on(Feature.REPLICA_MEMORY):
             return 0
-        return memory_limit(known)
+        return memory_limit_tokens(known)
 
     def can_ever_fit(self, service: str, tokens: int) -> bool:
         """Whether a request fits into an empty replica of a service."""
@@ -71,7 +71,7 @@
         work = self._book.total(replica.replica_id, now)
         return limit == 0 or work.tokens - work.batch_tokens + tokens <= limit
 
-    def must_yield(self, replica: Replica, now: float) -> int:
+    def items_to_preempt(self, replica: Replica, now: float) -> int:
         """Return how many items have to give way for the rest to fit into a replica."""
         work = self._book.total(replica.replica_id, now)
         limit = self.limit_tokens(replica.service)
@@ -80,7 +80,7 @@
             return 0
         return min(work.batch, math.ceil(excess * work.batch / work.batch_tokens))
 
-    def yielded_tokens(self, replica_id: str, items: int, now: float) -> int:
+    def preempted_tokens(self, replica_id: str, items: int, now: float) -> int:
         """Return about how much memory comes free when so many items give way."""
         work = self._book.total(replica_id, now)
         if work.batch <= 0:
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -8,10 +8,10 @@
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
 from cloverwalk.scheduling.selection import Candidate
-from cloverwalk.scheduling.share import batch_room, may_read_more, must_yield
-from cloverwalk.scheduling.slot_book import SlotBook
+from cloverwalk.scheduling.share import batch_room, may_read_more, items_to_preempt
+from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 from cloverwalk.scheduling.slot_time import ReplicaUse
-from cloverwalk.scheduling.zone_reach import ZoneReach
+from cloverwalk.scheduling.zone_reach import ZoneReachability
 
 SUSPECT_RUN_S = 1.0
 """How long a suspect counts at its replica; online requests last 0.02 to 0.5 s there."""
@@ -28,9 +28,9 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        book: SlotBook,
+        book: ReplicaLoadTracker,
         memory: ReplicaMemory,
-        reach: ZoneReach,
+        reach: ZoneReachability,
         features: Features,
         random: Random,
     ) -> None:
@@ -97,7 +97,7 @@
         if replica is not None:
             self._reach.note_answer(self._zones.get(node, ""), replica.zone, now)
 
-    def forget(self, node: str) -> None:
+    def remove_node(self, node: str) -> None:
         """A node is gone, and its word with it."""
         self._suspects.pop(node, None)
         self._zones.pop(node, None)
@@ -136,7 +136,7 @@
         begins_at = max(now, self._read_until.get(replica_id, now))
         self._read_until[replica_id] = begins_at + reading_ms / 1000
 
-    def reading_ms(self, replica_id: str, now: float) -> float:
+    def prefill_ms(self, replica_id: str, now: float) -> float:
         """Return how long a replica still reads what was sent."""
         return max(0.0, self._read_until.get(replica_id, now) - now) * 1000
 
@@ -173,7 +173,7 @@
                 self._book.total(one.replica_id, now),
                 one.replica_id in suspects or self._directory.is_suspect(one.replica_id, now),
                 self._directory.is_peer_suspect(one.replica_id, now),
-                self.reading_ms(one.replica_id, now),
+                self.prefill_ms(one.replica_id, now),
                 self._other_suspects(one.replica_id, ask.content, now),
                 paces.get(one.replica_id, 1.0),
             )
@@ -200,14 +200,14 @@
         """Whether any replica of a service takes new work, full ones included."""
         return bool(self._directory.usable(service))
 
-    def must_yield(self, replica: Replica, now: float) -> int:
+    def items_to_preempt(self, replica: Replica, now: float) -> int:
         """Return how many items have to give way at a replica, for slots or for memory."""
-        by_slots = must_yield(replica.slots, self._book.total(replica.replica_id, now))
-        return max(by_slots, self._memory.must_yield(replica, now))
+        by_slots = items_to_preempt(replica.slots, self._book.total(replica.replica_id, now))
+        return max(by_slots, self._memory.items_to_preempt(replica, now))
 
-    def yielded_tokens(self, replica_id: str, items: int, now: float) -> int:
+    def preempted_tokens(self, replica_id: str, items: int, now: float) -> int:
         """Return about how much memory comes free when so many items give way."""
-        return self._memory.yielded_tokens(replica_id, items, now)
+        return self._memory.preempted_tokens(replica_id, items, now)
 
     def fits(self, replica_id: str, tokens: int, now: float) -> bool:
         """Whether a request that may take so many tokens fits into a replica's memory now."""
@@ -256,4 +256,4 @@
 
     def may_read(self, replica_id: str, now: float) -> bool:
         """Whether a replica may be sent the prompt of an item now."""
-        return may_read_more(self.reading_ms(replica_id, now))
+        return may_read_more(self.prefill_ms(replica_id, now))
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -24,18 +24,18 @@
 from cloverwalk.scheduling.decisions import Decisions, Outbox
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.online import OnlineQueue
-from cloverwalk.scheduling.pace import Measurement, ReplicaPaces
+from cloverwalk.scheduling.pace import Measurement, ReplicaSlowdowns
 from cloverwalk.scheduling.quotas import FleetQuotas, QuotaBounds
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
 from cloverwalk.scheduling.replica_view import ReplicaView
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import SlotBook
+from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 from cloverwalk.scheduling.slot_time import ReplicaUse
-from cloverwalk.scheduling.zone_reach import ZoneReach
+from cloverwalk.scheduling.zone_reach import ZoneReachability
 
 
 class Scheduler:
-    """Decides for the nodes that report to it. ``take_decisions`` returns what to tell them."""
+    """Decides for the nodes that report to it. ``pop_decisions`` returns what to tell them."""
 
     def __init__(
         self,
@@ -49,23 +49,23 @@
     ) -> None:
         self.features = features or Features(configuration)
         self.times = times
-        self.paces = ReplicaPaces()
+        self.slowdowns = ReplicaSlowdowns()
         self._directory = directory
         self._is_paced = False
         """Whether choices go by pace, as of the last look."""
 
         self._paced_fingerprint: int | None = None
         self.quotas = FleetQuotas(configuration, quota_bounds, random)
-        self.book = SlotBook()
+        self.load_tracker = ReplicaLoadTracker()
         self._outbox = Outbox()
-        self.reach = ZoneReach()
-        memory = ReplicaMemory(configuration, self.book, self.features)
+        self.reachability = ZoneReachability()
+        memory = ReplicaMemory(configuration, self.load_tracker, self.features)
         self._replicas = ReplicaView(
-            directory, self.book, memory, self.reach, self.features, random
+            directory, self.load_tracker, memory, self.reachability, self.features, random
         )
         self._online = OnlineQueue(
             self._replicas,
-            self.book,
+            self.load_tracker,
             self._outbox,
             configuration,
             times,
@@ -75,20 +75,20 @@
             self.features,
         )
         self._batch = BatchGrants(
-            self._replicas, self.book, self._outbox, self._online.arrivals_per_s, self.features
+            self._replicas, self.load_tracker, self._outbox, self._online.arrivals_per_s, self.features
         )
-        self.shares = self._online.shares
+        self.online_shares = self._online.shares
         self.item_shares = self._batch.shares
 
-    def use_store_time(self, store_ms: StoreMs) -> None:
+    def set_store_time(self, store_ms: StoreMs) -> None:
         """Have items be granted by what is left until they are due, in the store's time."""
         self._batch.store_ms = store_ms
 
-    def hear(self, report: Report, now: float) -> None:
+    def handle_report(self, report: Report, now: float) -> None:
         """Take a node's state and its asks, and decide what follows."""
         node = report.node
-        changed = self.book.hear(node, report.loads, report.settled)
-        self._batch.hear(node, report.zone, report.waiting)
+        changed = self.load_tracker.record_report(node, report.loads, report.settled)
+        self._batch.record_waiting(node, report.zone, report.waiting)
         self._replicas.hear_zone(node, report.zone)
         has_returned = not report.has_lost_coordinator
         self._replicas.hear_suspects(node, report.suspects, now, has_returned=has_returned)
@@ -111,12 +111,12 @@
     def _learn(self, node: str, served: Served, now: float) -> None:
         self._replicas.note_answer(node, served.replica_id, now)
         self._learn_pace(served, False, served.events, served.hold_ms, now)
-        usual = self.paces.usual(served.replica_id)
+        usual = self.slowdowns.usual(served.replica_id)
         self.times.note_hold(served.route, served.hold_ms / usual)
         if served.expected_wait_ms > 0:
             self.times.note_wait(served.route, served.expected_wait_ms, served.start_ms)
         else:
-            self.times.note_start(served.route, served.start_ms / usual)
+            self.times.record_start(served.route, served.start_ms / usual)
 
     def _look_at_paces(self, now: float) -> None:
         """Have choices go by the replicas' paces of this moment, where that is in force."""
@@ -126,9 +126,9 @@
             return
         if self._paced_fingerprint != self._directory.fingerprint:
             self._paced_fingerprint = self._directory.fingerprint
-            self.paces.note_replicas(self._directory.all(), now)
-        self.paces.refresh(now)
-        self._replicas.paces = self.paces.present
+            self.slowdowns.note_replicas(self._directory.all(), now)
+        self.slowdowns.refresh(now)
+        self._replicas.paces = self.slowdowns.present
 
     def _learn_pace(
         self, told: Served | ReplicaTiming, is_item: bool, events: int, took_ms: int, now: float
@@ -142,14 +142,14 @@
         if not self._is_paced:
             return
         # The answer has just ended, and the book does not count it any more.
-        running = self.book.total(replica.replica_id, now).total + 1
+        running = self.load_tracker.total(replica.replica_id, now).total + 1
         percent, fill = told.slowdown_percent, running / replica.slots
         measured = Measurement(
             replica.replica_id, replica.service, is_item, events, took_ms, percent, fill
         )
-        self.paces.note(measured, now)
+        self.slowdowns.note(measured, now)
 
-    def take_paces(self, figures: Mapping[str, PaceFigures], now: float) -> None:
+    def apply_slowdowns(self, figures: Mapping[str, PaceFigures], now: float) -> None:
         """Take the paces that another coordinator has learnt."""
         for replica_id in figures:
             replica = self._directory.find(replica_id)
@@ -157,24 +157,24 @@
                 self.features.note_told_pace(replica.service)
         # A standby that nobody reports to decides nothing: it forgets here who is gone.
         self._look_at_paces(now)
-        self.paces.take(figures, now)
+        self.slowdowns.apply(figures, now)
 
-    def forget(self, node: str, now: float) -> None:
+    def remove_node(self, node: str, now: float) -> None:
         """A node is gone: its work ends, and its requests wait no more."""
-        changed = self.book.forget(node)
-        self._batch.forget(node)
-        self._replicas.forget(node)
-        self._online.forget(node, now)
+        changed = self.load_tracker.remove_node(node)
+        self._batch.remove_node(node)
+        self._replicas.remove_node(node)
+        self._online.remove_node(node, now)
         self._settle(changed, now)
 
-    def grant_within(self, zone: str) -> None:
+    def restrict_grants_to(self, zone: str) -> None:
         """Grant items only slots of replicas of a zone; empty: of all."""
         self._batch.zone = zone
 
     def tick(self, now: float) -> None:
         """Do what is due by time alone."""
-        self.reach.tick(now)
-        changed = self.book.expire(now)
+        self.reachability.tick(now)
+        changed = self.load_tracker.expire(now)
         self._look_at_paces(now)
         self._online.expire(now)
         self._settle(changed, now)
@@ -190,17 +190,17 @@
 
     # --- what was decided, and what is known ---
 
-    def take_decisions(self) -> dict[str, Decisions]:
+    def pop_decisions(self) -> dict[str, Decisions]:
         """Return what was decided since the last call, by node."""
-        return self._outbox.take()
+        return self._outbox.pop()
 
-    def last_number(self, node: str) -> int:
+    def last_decision_number(self, node: str) -> int:
         """Return the number of the last decisions for a node."""
         return self._outbox.last_number(node)
 
-    def totals(self) -> dict[str, NodeLoad]:
+    def replica_loads(self) -> dict[str, NodeLoad]:
         """Return the work of all nodes by replica."""
-        return self.book.totals()
+        return self.load_tracker.replica_loads()
 
     @property
     def replica_count(self) -> int:
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -61,7 +61,7 @@
     in_flight: InFlight
     is_suspect: bool
     is_doubted: bool = False
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     """Time that the replica needs for prompts that were sent there and are not read yet."""
 
     other_suspects: int = 0
@@ -90,7 +90,7 @@
     """How long its first event takes at a free slot of a replica of the usual pace."""
 
 
-def reading_ms(tokens: int) -> float:
+def prefill_ms(tokens: int) -> float:
     """Return the time that a replica is expected to read a prompt of so many tokens for."""
     return tokens / READ_TOKENS_PER_MS
 
@@ -120,7 +120,7 @@
     """Return how long the chosen replica is expected to read the request's prompt for."""
     is_home = chosen.replica.replica_id in _home_by_zone(among, demand)
     tokens = demand.own_tokens + (0 if is_home else demand.shared_tokens)
-    return chosen.pace * reading_ms(tokens)
+    return chosen.pace * prefill_ms(tokens)
 
 
 def _home_by_zone(candidates: Sequence[Candidate], demand: Demand) -> set[str]:
@@ -138,7 +138,7 @@
     cost = SUSPECT_COST_MS if candidate.is_suspect else 0.0
     cost += DOUBT_COST_MS if candidate.is_doubted else 0.0
     in_flight = candidate.in_flight
-    cost += candidate.reading_ms
+    cost += candidate.prefill_ms
     cost += COMPANY_COST_MS * candidate.other_suspects
     used = in_flight.online / replica.slots
     cost += pace * LOAD_COST_MS * used
@@ -153,7 +153,7 @@
         # That of a fast replica is short, but nobody should queue while another has a free slot.
         cost += max(1.0, pace) * FULL_COST_MS * queue
     if homes and replica.replica_id not in homes:
-        cost += pace * reading_ms(demand.shared_tokens)
+        cost += pace * prefill_ms(demand.shared_tokens)
     if replica.zone != demand.zone:
         cost += demand.other_zone_ms + OTHER_ZONE_MS_PER_KB * demand.size_bytes / 1024
     return cost
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -62,7 +62,7 @@
     """Times by route.
 
     >>> times = ServiceTimes()
-    >>> times.note_start("r", 100.0)
+    >>> times.record_start("r", 100.0)
     >>> times.start_ms("r"), times.hold_ms("r")
     (100.0, 500.0)
     """
@@ -80,7 +80,7 @@
         """Return the time from the first event to the end: a request keeps its slot so long."""
         return self._of(route).hold.value
 
-    def start_ms(self, route: str) -> float:
+    def first_event_ms(self, route: str) -> float:
         """Return the time from sending to the first event, where a slot is free."""
         return self._of(route).start.value
 
@@ -91,21 +91,21 @@
         """
         return self._of(route).wait_factor
 
-    def figures(self) -> dict[str, tuple[float, float, float]]:
+    def estimates(self) -> dict[str, tuple[float, float, float]]:
         """Return start and hold in ms and the wait factor, by route."""
         return {
             name: (round(one.start.value, 1), round(one.hold.value, 1), round(one.wait_factor, 3))
             for name, one in self._by_route.items()
         }
 
-    def take_figures(self, route: str, start_ms: float, hold_ms: float, wait_factor: float) -> None:
+    def apply_estimate(self, route: str, start_ms: float, hold_ms: float, wait_factor: float) -> None:
         """Take what another node has learnt of a route."""
         times = self._of(route)
         times.start.replace(start_ms)
         times.hold.replace(hold_ms)
         times.wait_factor = wait_factor
 
-    def note_start(self, route: str, took_ms: float) -> None:
+    def record_start(self, route: str, took_ms: float) -> None:
         """A request that found a free slot had its first event after so long."""
         self._of(route).start.note(took_ms)
 
--- a/src/cloverwalk/scheduling/share.py
+++ b/src/cloverwalk/scheduling/share.py
@@ -22,7 +22,7 @@
 """A replica with more prompts to read gets no items yet: online requests would wait for them."""
 
 
-def kept_free(arrivals_per_s: float, reading_ms: float) -> int:
+def reserved_slots(arrivals_per_s: float, reading_ms: float) -> int:
     """Return how many slots, of all replicas together, items leave free.
 
     As many as online requests arrive while an item would not pay its start; ``reading_ms`` is the
@@ -53,15 +53,15 @@
     return reading_ms <= MOST_READING_MS
 
 
-def must_yield(slots: int, in_flight: InFlight) -> int:
+def items_to_preempt(slots: int, in_flight: InFlight) -> int:
     """Return how many items must give way to the online work that is already counted.
 
     Replicas serve in order of arrival, so every item beyond the slots stands in the way of the
     next online request, not one item a request.
 
-    >>> must_yield(16, InFlight(online=4, batch=13)), must_yield(16, InFlight(online=17))
+    >>> items_to_preempt(16, InFlight(online=4, batch=13)), items_to_preempt(16, InFlight(online=17))
     (1, 0)
-    >>> must_yield(8, InFlight(online=2, batch=9))
+    >>> items_to_preempt(8, InFlight(online=2, batch=9))
     3
     """
     return max(0, min(in_flight.batch, in_flight.total - slots))
--- a/src/cloverwalk/scheduling/share_watch.py
+++ b/src/cloverwalk/scheduling/share_watch.py
@@ -15,22 +15,22 @@
 
 
 @attrs.frozen
-class HeldBack:
+class ThrottledRequests:
     """Requests that were sent away for shares since the last look."""
 
     by_tenant: dict[str, int]
     others: int
     """Those of tenants that are not named."""
 
-    bad_figures: int
+    invalid_count: int
     """Figures of slot time that were left out since they can't be true."""
 
 
-class ShareWatch:
+class FairShareReporter:
     """Looks at the counts of online requests and of items at the node that coordinates."""
 
     def __init__(
-        self, shares: FairShares, item_shares: FairShares, tell: Callable[[HeldBack], None]
+        self, shares: FairShares, item_shares: FairShares, tell: Callable[[ThrottledRequests], None]
     ) -> None:
         self._shares = shares
         self._item_shares = item_shares
@@ -48,7 +48,7 @@
         news, self._told_bad = bad - self._told_bad, bad
         if counts or news:
             named = dict(counts.most_common(MOST_NAMED))
-            self._tell(HeldBack(named, counts.total() - sum(named.values()), news))
+            self._tell(ThrottledRequests(named, counts.total() - sum(named.values()), news))
 
     def slot_ms(self) -> dict[tuple[str, str], int]:
         """Return the slot time that was given, by work and by whether its tenant was ahead."""
--- a/src/cloverwalk/scheduling/slot_book.py
+++ b/src/cloverwalk/scheduling/slot_book.py
@@ -46,10 +46,10 @@
     unsettled: list[_Decision] = attrs.Factory(list)
 
 
-class SlotBook:
+class ReplicaLoadTracker:
     """Work by replica.
 
-    >>> book = SlotBook()
+    >>> book = ReplicaLoadTracker()
     >>> book.hear("n1", {"r1": NodeLoad(2, 3)}, settled=0)
     {'r1'}
     >>> book.expect("n1", 1, "r1", online=1, now=0.0)
@@ -72,7 +72,7 @@
 
     # --- changes ---
 
-    def hear(self, node: str, loads: dict[str, NodeLoad], settled: int) -> set[str]:
+    def record_report(self, node: str, loads: dict[str, NodeLoad], settled: int) -> set[str]:
         """Take what a node reports; return the replicas whose sums may have changed."""
         work = self._work.setdefault(node, _NodeWork())
         changed = set(work.loads) | set(loads)
@@ -102,7 +102,7 @@
         work.unsettled.append(decision)
         self._change(replica_id, _expected(decision), 1)
 
-    def forget(self, node: str) -> set[str]:
+    def remove_node(self, node: str) -> set[str]:
         """A node is gone, and its connections with it; return the replicas concerned."""
         work = self._work.pop(node, None)
         if work is None:
@@ -121,18 +121,18 @@
                 self._drop(work, decision)
         return changed
 
-    def take_snapshot(
-        self, totals: dict[str, NodeLoad], now: float, *, knows_all: bool = True
+    def apply_snapshot(
+        self, totals: dict[str, NodeLoad], now: float, *, is_complete: bool = True
     ) -> None:
         """Take another coordinator's sums; they count until the nodes have reported here.
 
-        Where they never will, since this node decides for itself alone, ``knows_all`` is False:
+        Where they never will, since this node decides for itself alone, ``is_complete`` is False:
         work that comes here is added to the sums.
         """
         self._snapshot = totals
         self._snapshot_until = now + SNAPSHOT_VALID_S
-        self._base = {} if knows_all else {key: one.online for key, one in self._sums.items()}
-        self._adds = not knows_all
+        self._base = {} if is_complete else {key: one.online for key, one in self._sums.items()}
+        self._adds = not is_complete
 
     def _drop(self, work: _NodeWork, decision: _Decision) -> None:
         work.unsettled.remove(decision)
@@ -168,11 +168,11 @@
         )
 
     @property
-    def replica_count(self) -> int:
+    def busy_replica_count(self) -> int:
         """How many replicas have work."""
         return len(self._sums)
 
-    def totals(self) -> dict[str, NodeLoad]:
+    def replica_loads(self) -> dict[str, NodeLoad]:
         """Return the work of all nodes by replica, without what another coordinator told."""
         return {
             key: NodeLoad(one.online, one.batch, one.tokens, one.batch_tokens)
--- a/src/cloverwalk/scheduling/slot_time.py
+++ b/src/cloverwalk/scheduling/slot_time.py
@@ -78,7 +78,7 @@
         pause_s = min(LONGEST_LOOK_S, LOOK_EVERY_S * (1 + replicas / 1000))
         return now - self._looked_at >= pause_s
 
-    def look(
+    def sample(
         self,
         replicas: Iterable[ReplicaUse],
         waiting: Mapping[str, int],
--- a/src/cloverwalk/scheduling/slot_watch.py
+++ b/src/cloverwalk/scheduling/slot_watch.py
@@ -11,7 +11,7 @@
 TellUses = Callable[[dict[SlotUse, float]], None]
 
 
-class SlotWatch:
+class SlotTimeReporter:
     """Counts slot time at the node that coordinates."""
 
     def __init__(self, scheduler: Scheduler, tell: TellUses) -> None:
@@ -19,20 +19,20 @@
         self._tell = tell
         self._told_at = float("-inf")
         self._told: dict[SlotUse, float] = {}
-        self.time = SlotTime()
+        self.slot_time = SlotTime()
 
     def tick(self, now: float) -> None:
         """Look if it is time to; tell what came since it was last told."""
         uses = self._scheduler.replica_uses
-        if self.time.is_due(now, self._scheduler.replica_count):
+        if self.slot_time.is_due(now, self._scheduler.replica_count):
             waiting, kept = self._scheduler.waiting_items(now)
-            self.time.look(uses(now), waiting, kept, now)
+            self.slot_time.sample(uses(now), waiting, kept, now)
         if now - self._told_at < TELL_EVERY_S:
             return
         self._told_at = now
         news = {
-            use: seconds - self._told.get(use, 0.0) for use, seconds in self.time.seconds.items()
+            use: seconds - self._told.get(use, 0.0) for use, seconds in self.slot_time.seconds.items()
         }
-        self._told = dict(self.time.seconds)
+        self._told = dict(self.slot_time.seconds)
         if any(news.values()):
             self._tell(news)
--- a/src/cloverwalk/scheduling/zone_reach.py
+++ b/src/cloverwalk/scheduling/zone_reach.py
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class ReachChange:
+class ReachabilityChange:
     """A zone can be reached from another one, or can't be any more."""
 
     source: str
@@ -82,10 +82,10 @@
     """When the first probe since the last failure was sent."""
 
 
-class ZoneReach:
+class ZoneReachability:
     """The ways between zones.
 
-    >>> reach = ZoneReach()
+    >>> reach = ZoneReachability()
     >>> for number in range(FAILED_REPLICAS):
     ...     reach.note_failure("a", "b", f"r{number}", 30, now=1.0)
     >>> reach.has_shut("a"), reach.may_send("a", "b", 1.2), reach.may_send("a", "b", 1.6)
@@ -100,7 +100,7 @@
     def __init__(self) -> None:
         self._links: dict[tuple[str, str], _Link] = {}
         self._shut: set[tuple[str, str]] = set()
-        self.on_change: Callable[[ReachChange], None] = _nobody
+        self.on_change: Callable[[ReachabilityChange], None] = _nobody
 
     # --- what is seen ---
 
@@ -129,7 +129,7 @@
         if link.is_shut:
             self._set(source, zone, True, Evidence.ANSWER, now)
 
-    def hear_nodes(self, source: str, zone: str, heard_at: Sequence[float], now: float) -> None:
+    def record_last_seen(self, source: str, zone: str, heard_at: Sequence[float], now: float) -> None:
         """Take when the known nodes of a zone were last heard from ``source``."""
         link = self._links.get((source, zone))
         is_silent = len(heard_at) >= SILENT_NODES and now - max(heard_at) > SILENT_S
@@ -150,7 +150,7 @@
     # --- what follows ---
 
     @property
-    def shut_count(self) -> int:
+    def unreachable_count(self) -> int:
         """How many ways between zones can't be used."""
         return len(self._shut)
 
@@ -193,8 +193,8 @@
             self._shut.discard((source, zone))
         else:
             self._shut.add((source, zone))
-        self.on_change(ReachChange(source, zone, is_reachable, evidence))
+        self.on_change(ReachabilityChange(source, zone, is_reachable, evidence))
 
 
-def _nobody(change: ReachChange) -> None:
+def _nobody(change: ReachabilityChange) -> None:
     return
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -83,7 +83,7 @@
         )
         fleet.link.batch = self.runner
         self._store_time = store_clock.now
-        fleet.scheduler.use_store_time(self._store_ms)
+        fleet.scheduler.set_store_time(self._store_ms)
         self.lister = ResultLister(committer, self.view, cache, self.runner.drop, log, clock)
         self.reader = JobReader(store, self.view, self._is_run_here, cache, clock)
         self.verifier = JobVerifier(self.runner, self.reader, log)
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -16,10 +16,10 @@
 from cloverwalk.scheduling.features import Features, FeatureState
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.share_watch import HeldBack, ShareWatch
+from cloverwalk.scheduling.share_watch import ThrottledRequests, FairShareReporter
 from cloverwalk.scheduling.slot_time import SlotUse
-from cloverwalk.scheduling.slot_watch import SlotWatch
-from cloverwalk.scheduling.zone_reach import ReachChange
+from cloverwalk.scheduling.slot_watch import SlotTimeReporter
+from cloverwalk.scheduling.zone_reach import ReachabilityChange
 from cloverwalk.serving.knowledge import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.health import StoreHealth
@@ -70,8 +70,8 @@
             random,
             self.features,
         )
-        self.scheduler.reach.on_change = self._note_reach
-        self.scheduler.paces.on_change = self._note_pace
+        self.scheduler.reachability.on_change = self._note_reach
+        self.scheduler.slowdowns.on_change = self._note_pace
         self.cases = CaseSync(knowledge.crash_ledger, self.transport, log, clock)
         self.coordinator = Coordinator(
             self.identity,
@@ -99,9 +99,9 @@
             log,
             clock,
         )
-        self.slots = SlotWatch(self.scheduler, self._note_slot_time)
-        shares, item_shares = self.scheduler.shares, self.scheduler.item_shares
-        self.shares = ShareWatch(shares, item_shares, self._note_held_back)
+        self.slots = SlotTimeReporter(self.scheduler, self._note_slot_time)
+        shares, item_shares = self.scheduler.online_shares, self.scheduler.item_shares
+        self.shares = FairShareReporter(shares, item_shares, self._note_held_back)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
         self.link.on_placed = knowledge.startup.record_placement
@@ -124,19 +124,19 @@
         self.slots.tick(now)
         self.shares.tick(now)
 
-    def _note_held_back(self, held_back: HeldBack) -> None:
+    def _note_held_back(self, held_back: ThrottledRequests) -> None:
         self._log.write(
             catalogue.TENANTS_HELD_BACK,
             tenants=held_back.by_tenant,
             others=held_back.others,
-            bad_figures=held_back.bad_figures,
+            bad_figures=held_back.invalid_count,
         )
 
     def _note_slot_time(self, uses: dict[SlotUse, float]) -> None:
         told = {use.value: round(seconds, 2) for use, seconds in uses.items() if seconds > 0}
         self._log.write(catalogue.SLOT_TIME, **told)
 
-    def _note_reach(self, change: ReachChange) -> None:
+    def _note_reach(self, change: ReachabilityChange) -> None:
         event = catalogue.ZONE_REACHABLE if change.is_reachable else catalogue.ZONE_UNREACHABLE
         self._log.write(
             event, zone=change.zone, source=change.source, evidence=change.evidence.value
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -370,14 +370,14 @@
         metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
         coordinator = self._fleet.coordinator
         known = len(coordinator.roster.live()) if coordinator.is_active else 0
-        uses = self._fleet.slots.time.seconds
-        paces = self._fleet.scheduler.paces
-        metrics.replica_slowdowns = paces.classes()
-        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.dropped)
+        uses = self._fleet.slots.slot_time.seconds
+        paces = self._fleet.scheduler.slowdowns
+        metrics.replica_slowdowns = paces.counts_by_class()
+        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.invalid_count)
         metrics.slot_seconds = {use.value: seconds for use, seconds in uses.items()}
         metrics.share_ms = self._fleet.shares.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
-        shut = self._fleet.scheduler.reach.shut_count
+        shut = self._fleet.scheduler.reachability.unreachable_count
         metrics.gauge("cloverwalk_zones_unreachable", "Pairs of zones, as seen here", shut)
         metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", known)
         if self._room is not None:
@@ -403,7 +403,7 @@
     async def _housekeeping(self) -> None:
         while True:
             await curio.sleep(HOUSEKEEPING_S)
-            self._fleet.features.look()
+            self._fleet.features.notify_changes()
             self._restarts.abort_stale()
             await self._pool.close_expired()
             self._refusals.expire()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -558,15 +558,15 @@
     Mutant(
         "serving: requests beyond the slots are sent all the same",
         "scheduling/admission.py",
-        "    return Verdict.RETURN if may_return else Verdict.HOLD",
-        "    return Verdict.SEND",
+        "    return PlacementVerdict.RETURN if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.SEND",
         ONLINE + "test_requests_beyond_the_slots_are_told_at_once_to_come_back_and_never_run",
     ),
     Mutant(
         "serving: who came back is turned away again",
         "scheduling/admission.py",
-        "    return Verdict.RETURN if may_return else Verdict.HOLD",
-        "    return Verdict.RETURN",
+        "    return PlacementVerdict.RETURN if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.RETURN",
         ADMISSION + "test_a_request_that_came_back_is_not_turned_away_again",
     ),
     Mutant(
@@ -608,7 +608,7 @@
     Mutant(
         "memory: items keep the memory that an online request needs",
         "scheduling/replica_view.py",
-        "return max(by_slots, self._memory.must_yield(replica, now))",
+        "return max(by_slots, self._memory.items_to_preempt(replica, now))",
         "return by_slots",
         "tests/serving/test_replica_memory.py::"
         "test_items_give_way_where_they_hold_the_memory_that_an_online_request_needs",
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -30,7 +30,7 @@
 from cloverwalk.fleet.places import ASK_TIMEOUT_MAX_S, MOST_ASKED, Place
 from cloverwalk.fleet.roster import NODE_SILENT_S
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.store.types import Expectation, Put, Transaction
 
 LARGE = 195
@@ -261,11 +261,11 @@
         assert leadership is not None
         standby = leadership.standbys[0].node
         asking = plain_node(world)
-        assert (await place(world, asking)).verdict is Verdict.SEND
+        assert (await place(world, asking)).verdict is PlacementVerdict.SEND
         world.wire.silent.add(old.host)
         world.now += 1.0
         found = await place(world, asking)
-        assert found.verdict is Verdict.SEND
+        assert found.verdict is PlacementVerdict.SEND
         assert asking.follows == standby
         node = next(one for one in world.nodes if one.name == standby)
         assert asking.name in node.coordinator.roster.by_name
@@ -280,7 +280,7 @@
         world.wire.silent.add(asking.host)
         world.now += 1.0
         places = [await place(world, asking) for _ in range(6)]
-        assert {one.verdict for one in places} == {Verdict.SEND}
+        assert {one.verdict for one in places} == {PlacementVerdict.SEND}
         assert len({one.replica_id for one in places}) > 1
         assert sum(one.online for one in asking.loads.own.values()) == 6
 
@@ -312,7 +312,7 @@
         leadership = world.coordinator.leader.current
         assert leadership is not None
         standby = next(one for one in world.nodes if one.name == leadership.standbys[0].node)
-        totals = [standby.scheduler.book.total(f"r{n}", world.now).online for n in range(4)]
+        totals = [standby.scheduler.load_tracker.total(f"r{n}", world.now).online for n in range(4)]
         assert sum(totals) == 5
 
     in_fleet(SMALL, test)
@@ -327,7 +327,7 @@
         await world.deliver()
         await world.run(1.0)
         assert asking.loads.own == {}
-        totals = [world.coordinator.scheduler.book.total(f"r{n}", world.now) for n in range(4)]
+        totals = [world.coordinator.scheduler.load_tracker.total(f"r{n}", world.now) for n in range(4)]
         assert sum(one.total for one in totals) == 0
 
     in_fleet(SMALL, test)
@@ -383,7 +383,7 @@
         node.link.waiting = {"model": [WaitingGroup(1, 5)]}
         await node.link._report()
         assert recorder.grants == []
-        assert all(one.batch == 0 for one in node.scheduler.totals().values())
+        assert all(one.batch == 0 for one in node.scheduler.replica_loads().values())
 
     in_fleet(SMALL, test)
 
@@ -514,7 +514,7 @@
         asking = plain_node(world)
         world.wire.silent.add(asking.host)
         world.now += 1.0
-        assert (await place(world, asking)).verdict is Verdict.SEND
+        assert (await place(world, asking)).verdict is PlacementVerdict.SEND
         assert 1 <= world.wire.asks <= MOST_ASKED
 
     assert MOST_ASKED * ASK_TIMEOUT_MAX_S <= 0.25
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -9,7 +9,7 @@
 
 from cloverwalk.fleet.messages import Ask
 from cloverwalk.gateway.configuration import ClientLimits, Configuration
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.tenants.directory import Tenant
 
@@ -29,7 +29,7 @@
         self.ask = msgspec.structs.replace(ASK, tenant=tenant)
         self.per_step = per_step
         self.sent: list[float] = []
-        self.verdicts: list[Verdict] = []
+        self.verdicts: list[PlacementVerdict] = []
         self._next = 0
 
     async def step(self, nodes: list[FleetNode]) -> None:
@@ -48,7 +48,7 @@
     async def _one(self, node: FleetNode) -> None:
         place = await node.link.place(self.ask, self.world.now)
         self.verdicts.append(place.verdict)
-        if place.verdict is Verdict.SEND:
+        if place.verdict is PlacementVerdict.SEND:
             self.sent.append(self.world.now)
         if place.work is not None:
             node.loads.end(place.work)
@@ -81,8 +81,8 @@
         await go_on(world, [hot, steady], 8.0)
         assert hot.most_in_window() <= MOST
         assert len(hot.sent) >= 8 * HOT.rate_per_s
-        assert set(steady.verdicts) == {Verdict.SEND}
-        assert set(hot.verdicts) == {Verdict.SEND, Verdict.OVER_QUOTA}
+        assert set(steady.verdicts) == {PlacementVerdict.SEND}
+        assert set(hot.verdicts) == {PlacementVerdict.SEND, PlacementVerdict.OVER_QUOTA}
 
     in_fleet(nodes, test)
 
@@ -98,7 +98,7 @@
         await go_on(world, [hot, steady], 6.0)
         assert world.coordinator is not old
         assert hot.most_in_window() <= MOST
-        assert steady.verdicts.count(Verdict.SEND) >= 0.8 * len(steady.verdicts)
+        assert steady.verdicts.count(PlacementVerdict.SEND) >= 0.8 * len(steady.verdicts)
 
     in_fleet(nodes, test)
 
@@ -172,7 +172,7 @@
         world.wire.silent.add(node.host)
         world.now += 1.0
         await steady.step([node])
-        assert steady.verdicts == [Verdict.SEND]
+        assert steady.verdicts == [PlacementVerdict.SEND]
 
     in_fleet(15, test)
 
@@ -184,12 +184,12 @@
         world.wire.silent.add(node.host)
         world.now += 1.0
         await steady.step([node])
-        assert steady.verdicts == [Verdict.SEND]
+        assert steady.verdicts == [PlacementVerdict.SEND]
         world.wire.silent.clear()
         await node.link._report()
         node.link._try_silent()
         await world.deliver()
-        levels = world.coordinator.scheduler.quotas.levels(world.now)
+        levels = world.coordinator.scheduler.quotas.bucket_levels(world.now)
         assert levels["steady"] <= STEADY.bucket_size - 1 + 0.5
 
     in_fleet(15, test)
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -70,7 +70,7 @@
         self.node = next(one for one in world.nodes if one is not self.holder)
         self.caller = SlowlyClosing()
         self.runner = runner_of(self.node, self.caller, world)
-        self._number = self.holder.scheduler.last_number(self.node.name) + 1
+        self._number = self.holder.scheduler.last_decision_number(self.node.name) + 1
 
     async def order(self, change: int, tokens: int = 0) -> int:
         """Have the node start or suspend items, as its coordinator would; return the number.
--- a/tests/serving/test_pace.py
+++ b/tests/serving/test_pace.py
@@ -32,11 +32,11 @@
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.scheduling import pace, selection
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.scheduling.decisions import Decisions
 from cloverwalk.scheduling.features import Feature
-from cloverwalk.scheduling.pace import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaPaces
-from cloverwalk.scheduling.pace_handover import COPIES, MOST_TOLD, TELL_AGAIN_S, PaceTeller
+from cloverwalk.scheduling.pace import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaSlowdowns
+from cloverwalk.scheduling.pace_handover import COPIES, MOST_TOLD, TELL_AGAIN_S, SlowdownReplicator
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
@@ -65,7 +65,7 @@
         self.scheduler = Scheduler(
             self.directory, holder, ServiceTimes(), quotas, CrashLedger(), random
         )
-        self.scheduler.use_store_time(lambda: STORE_MS)
+        self.scheduler.set_store_time(lambda: STORE_MS)
         self.sequence = 0
 
     def hear(self, **more: object) -> Decisions | None:
@@ -74,8 +74,8 @@
         fields = {"settled": self.sequence - 1, "configuration_version": 1, "directory": 1}
         fields |= {"store_age_ms": 0, **more}  # type: ignore[dict-item]
         report = Report("n0", "0a", "z1", self.sequence, **fields)  # type: ignore[arg-type]
-        self.scheduler.hear(report, self.now)
-        return self.scheduler.take_decisions().get("n0")
+        self.scheduler.handle_report(report, self.now)
+        return self.scheduler.pop_decisions().get("n0")
 
     def answered(self, replica_id: str, factor: float, told: int = 100, count: int = 1) -> None:
         """Have a replica answer requests at a pace, while it tells one."""
@@ -99,7 +99,7 @@
         ]
         decided = self.hear(asks=asks)
         assert decided is not None
-        return [one.replica_id for one in decided.placements if one.verdict is Verdict.SEND]
+        return [one.replica_id for one in decided.placements if one.verdict is PlacementVerdict.SEND]
 
     def grants(self, rest_ms: int, left_ms: float, items: int, replica_id: str = "") -> set[str]:
         """Return where waiting items are granted slots, that are due in ``left_ms``."""
@@ -110,7 +110,7 @@
 
     def pace(self, replica_id: str) -> float:
         self.scheduler.tick(self.now)
-        return self.scheduler.paces.pace(replica_id)
+        return self.scheduler.slowdowns.pace(replica_id)
 
 
 # --- under load ---
@@ -121,7 +121,7 @@
     fleet = PacedFleet(replicas=9)
     fast = fleet.ids[:3]
     fleet.learn(dict.fromkeys(fast, 0.6))
-    usual = [fleet.scheduler.paces.usual(one) for one in fleet.ids]
+    usual = [fleet.scheduler.slowdowns.usual(one) for one in fleet.ids]
     ratios = [one / usual[8] for one in usual[:3]]
     assert all(0.5 < one < 0.75 for one in ratios)
     fleet.now += 2.0
@@ -177,7 +177,7 @@
         fleet.now += 0.1
         timings = [ReplicaTiming("r0", 115, 700, 100), ReplicaTiming("r1", 115, 1120, 100)]
         fleet.hear(timings=timings)
-    paces = fleet.scheduler.paces
+    paces = fleet.scheduler.slowdowns
     assert paces.usual("r1") / paces.usual("r0") > 1.4
 
 
@@ -258,9 +258,9 @@
 def test_some_odd_answers_do_not_move_a_pace_far() -> None:
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
-    before = fleet.scheduler.paces.usual("r0")
+    before = fleet.scheduler.slowdowns.usual("r0")
     fleet.answered("r0", 100.0, count=3)
-    assert fleet.scheduler.paces.usual("r0") / before < 1.1
+    assert fleet.scheduler.slowdowns.usual("r0") / before < 1.1
 
 
 def test_a_coordinator_that_takes_over_knows_the_paces() -> None:
@@ -269,22 +269,22 @@
         await world.start()
         before = world.coordinator
         figures = {"r1": PaceFigures(1.6, 1.6, 0), "r2": PaceFigures(0.6, 0.6, 0)}
-        before.scheduler.take_paces(figures, world.now)
+        before.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         world.kill(before)
         await world.run(3.0)
         after = world.coordinator.scheduler
         assert after.features.is_on(Feature.REPLICA_PACE)
-        assert [after.paces.usual(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
+        assert [after.slowdowns.usual(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
 
     curio.run(test)
 
 
 def test_figures_of_another_coordinator_that_cannot_be_are_dropped() -> None:
-    paces = ReplicaPaces()
+    paces = ReplicaSlowdowns()
     odd = [(math.nan, 1.0, 0), (1.0, math.inf, 0), (-1.0, 1.0, 0), (99.0, 1.0, 0), (1.0, 1.0, -5)]
-    paces.take({f"r{i}": PaceFigures(*one) for i, one in enumerate(odd)}, now=10.0)
-    assert paces.dropped == len(odd)
+    paces.apply({f"r{i}": PaceFigures(*one) for i, one in enumerate(odd)}, now=10.0)
+    assert paces.invalid_count == len(odd)
     assert paces.present == {}
 
 
@@ -300,14 +300,14 @@
         fleet = coordinator._fleet
         served: list[Served] = []
         timings: list[ReplicaTiming] = []
-        hear = fleet.scheduler.hear
+        hear = fleet.scheduler.handle_report
 
         def watch(report: Report, now: float) -> None:
             served.extend(report.served)
             timings.extend(report.timings)
             hear(report, now)
 
-        fleet.scheduler.hear = watch  # type: ignore[method-assign]
+        fleet.scheduler.handle_report = watch  # type: ignore[method-assign]
         assert not fleet.features.is_on(Feature.REPLICA_PACE)
         world.replicas[0].slowdown_percent = 250
         for number in range(2):
@@ -362,7 +362,7 @@
         world = CoordinationWorld(5)
         await world.start()
         figures = {f"r{number}": PaceFigures(1.6, 1.6, 0) for number in range(4)}
-        world.coordinator.scheduler.take_paces(figures, world.now)
+        world.coordinator.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         told: list[Snapshot] = []
         put = world.wire.put
@@ -382,7 +382,7 @@
 
 @given(st.lists(st.floats(LEAST_FACTOR, MOST_FACTOR), min_size=1, max_size=60))
 def test_a_replica_is_told_at_most_so_often(factors: list[float]) -> None:
-    teller = PaceTeller()
+    teller = SlowdownReplicator()
     told = 0
     for step, factor in enumerate(factors):
         known = {f"r{number}": math.log(factor) for number in range(2 * MOST_TOLD)}
@@ -407,7 +407,7 @@
 def test_whatever_is_told_paces_stay_in_their_bounds(
     history: list[tuple[str, bool, int, int, int, float, float]],
 ) -> None:
-    paces, now = ReplicaPaces(), 100.0
+    paces, now = ReplicaSlowdowns(), 100.0
     for replica_id, is_item, events, took_ms, told, fill, passed in history:
         now += passed
         paces.note(Measurement(replica_id, "s", is_item, events, took_ms, told, fill), now)
@@ -459,7 +459,7 @@
     used = load.online / slots
     cost = selection.SUSPECT_COST_MS if one.is_suspect else 0.0
     cost += selection.DOUBT_COST_MS if one.is_doubted else 0.0
-    cost += one.reading_ms
+    cost += one.prefill_ms
     cost += selection.COMPANY_COST_MS * one.other_suspects
     cost += selection.LOAD_COST_MS * used
     crowded_from = selection.CROWDED_FROM
@@ -512,16 +512,16 @@
         plain.now += 0.05
         fed.now += 0.05
     assert not fed.scheduler.features.is_on(Feature.REPLICA_PACE)
-    assert fed.scheduler.paces.present == {}
+    assert fed.scheduler.slowdowns.present == {}
 
 
 def test_a_standby_forgets_the_paces_of_replicas_that_are_gone_or_have_started_again() -> None:
     """Replicas come and go for months at a standby that nobody reports to."""
     fleet = PacedFleet(2)
     figures = {key: PaceFigures(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
-    fleet.scheduler.take_paces(figures, fleet.now)
-    assert fleet.scheduler.paces.usual("r0") == 1.6
+    fleet.scheduler.apply_slowdowns(figures, fleet.now)
+    assert fleet.scheduler.slowdowns.usual("r0") == 1.6
     fleet.directory.put(Replica("r0", "model", "h", 99, "z1", SLOTS, False, 2))
     fleet.directory.remove("r1", 2)
-    fleet.scheduler.take_paces({}, fleet.now)
-    assert fleet.scheduler.paces.established() == {}
+    fleet.scheduler.apply_slowdowns({}, fleet.now)
+    assert fleet.scheduler.slowdowns.baselines() == {}
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -32,7 +32,7 @@
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.platform import names
 from cloverwalk.platform.adapter import PlatformAdapter
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.serving.calls import RequestHandler
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
@@ -46,11 +46,11 @@
 NEVER = 100
 LATE = "the place comes after the deadline"
 
-Step = Verdict | str
+Step = PlacementVerdict | str
 """How an ask is answered: refused by a verdict, sent to the replica named, or late."""
 
 refusing = st.sampled_from(
-    [Verdict.RETURN, Verdict.NONE, Verdict.OVER_QUOTA, Verdict.QUOTA_UNKNOWN]
+    [PlacementVerdict.RETRY_LATER, PlacementVerdict.NO_REPLICA, PlacementVerdict.OVER_QUOTA, PlacementVerdict.QUOTA_UNKNOWN]
 )
 sending = st.sampled_from([*(f"i-{n}" for n in range(REPLICAS)), UNKNOWN_REPLICA, DEAD_REPLICA])
 steps = st.lists(st.one_of(sending, sending, sending, refusing, st.just(LATE)), max_size=5)
@@ -95,12 +95,12 @@
         await curio.sleep(0)
         self._turn += 1
         step = self._script.pop(0) if self._script else f"i-{self._turn % REPLICAS}"
-        if isinstance(step, Verdict):
+        if isinstance(step, PlacementVerdict):
             return Place(Placement(0, step, retry_after_s=0.2))
         if step == LATE:
             await curio.sleep(2 * DEADLINE_MS / 1000)
             step = "i-0"
-        return Place(Placement(0, Verdict.SEND, step), self._loads.begin(step, is_batch=False))
+        return Place(Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False))
 
     async def note_change(self) -> None:
         """Nobody is told."""
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -13,7 +13,7 @@
 from cloverwalk.emulator.replica_runs import Misdeed
 from cloverwalk.fleet.messages import Ask, Placement
 from cloverwalk.fleet.places import Place
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.telemetry.story import describe_work_state, parse_line
 
 PROMISES = (408, 421, 429, 503)
@@ -32,7 +32,7 @@
     return answers
 
 
-def answer_next_asks(world: FleetWorld, verdicts: list[Verdict | None]) -> None:
+def answer_next_asks(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
     """Have the first node's asks answered by these verdicts; None leaves it to the coordinator."""
     link = world.nodes[0]._fleet.link
     place = link.place
@@ -85,7 +85,7 @@
         for replica in world.replicas:
             replica.always = Misdeed.RESET_UNANSWERED
         # A tenant's refusal is remembered for a moment: it comes last.
-        refusing = (Verdict.RETURN, Verdict.NONE, Verdict.QUOTA_UNKNOWN, Verdict.OVER_QUOTA)
+        refusing = (PlacementVerdict.RETRY_LATER, PlacementVerdict.NO_REPLICA, PlacementVerdict.QUOTA_UNKNOWN, PlacementVerdict.OVER_QUOTA)
         for verdict in refusing:
             answer_next_asks(world, [None, verdict])
             answers = await send_while_promised(world, "/safe/a", verdict.value)
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -11,7 +11,7 @@
 from cloverwalk.fleet.messages import NodeLoad, WaitingGroup
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, Service
 from cloverwalk.jobs.order import pick
-from cloverwalk.scheduling.admission import LONGEST_HOLD_S, Verdict
+from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.features import Features
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.scheduling.replica_memory import UNTOLD_SHARE
@@ -49,7 +49,7 @@
     """Ask for a request of so many tokens; the node reports them where it is sent."""
     number = fleet.ask(node, tokens=tokens)
     placement = fleet.nodes[node].placements[number]
-    if placement.verdict is Verdict.SEND:
+    if placement.verdict is PlacementVerdict.SEND:
         held = fleet.nodes[node].tokens
         held[placement.replica_id] = held.get(placement.replica_id, 0) + tokens
         fleet.tell(node)
@@ -57,7 +57,7 @@
 
 
 def tokens_at(fleet: Fleet, replica_id: str) -> int:
-    return fleet.scheduler.book.total(replica_id, fleet.now).tokens
+    return fleet.scheduler.load_tracker.total(replica_id, fleet.now).tokens
 
 
 @given(st.lists(st.integers(1, LIMIT), min_size=1, max_size=14))
@@ -72,48 +72,48 @@
 
 def test_a_request_larger_than_any_replica_is_refused_at_once() -> None:
     fleet = small_fleet()
-    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT + 1)) is Verdict.TOO_LARGE
-    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT)) is Verdict.SEND
+    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT + 1)) is PlacementVerdict.TOO_LARGE
+    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT)) is PlacementVerdict.SEND
 
 
 def test_a_request_without_room_waits_for_it() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, LIMIT)
     number = fleet.ask(1, tokens=500)
-    assert fleet.verdict(1, number) is Verdict.HOLD
+    assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
     fleet.nodes[0].online, fleet.nodes[0].tokens = {}, {}
     fleet.tell(0)
-    assert fleet.verdict(1, number) is Verdict.SEND
+    assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
 def test_a_long_request_that_waits_for_room_holds_up_no_shorter_one() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, 8_000)
     long, short = fleet.ask(1, tokens=5_000), fleet.ask(2, tokens=3_000)
-    assert fleet.verdict(1, long) is fleet.verdict(2, short) is Verdict.HOLD
+    assert fleet.verdict(1, long) is fleet.verdict(2, short) is PlacementVerdict.QUEUE
     fleet.nodes[0].online, fleet.nodes[0].tokens = {"r0": 1}, {"r0": 6_000}
     fleet.tell(0)
-    assert fleet.verdict(1, long) is Verdict.HOLD
-    assert fleet.verdict(2, short) is Verdict.SEND
+    assert fleet.verdict(1, long) is PlacementVerdict.QUEUE
+    assert fleet.verdict(2, short) is PlacementVerdict.SEND
 
 
 def test_a_request_that_finds_no_room_for_long_is_refused_and_not_sent() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, LIMIT)
     number = fleet.ask(1, tokens=500)
-    fleet.now += LONGEST_HOLD_S
+    fleet.now += MAX_QUEUE_WAIT_S
     fleet.tell(1)
-    assert fleet.verdict(1, number) is Verdict.NONE
+    assert fleet.verdict(1, number) is PlacementVerdict.NO_REPLICA
 
 
 def test_items_give_way_where_they_hold_the_memory_that_an_online_request_needs() -> None:
     fleet = small_fleet(replicas=1)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
-    fleet.scheduler.hear(report, fleet.now)
+    fleet.scheduler.handle_report(report, fleet.now)
     number = fleet.ask(1, tokens=5_000)
-    assert fleet.verdict(1, number) is Verdict.SEND
-    book = fleet.scheduler.book
+    assert fleet.verdict(1, number) is PlacementVerdict.SEND
+    book = fleet.scheduler.load_tracker
     assert book.total("r0", fleet.now).batch == 2
     assert tokens_at(fleet, "r0") <= LIMIT
 
@@ -122,11 +122,11 @@
     fleet = small_fleet(replicas=2)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(1, 0, 9_000, 0), "r1": NodeLoad(1, 0, 5_000, 0)}
-    fleet.scheduler.hear(report, fleet.now)
+    fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[1].waiting = [WaitingGroup(1, 2, tokens=4_000), WaitingGroup(2, 1, tokens=500)]
     told = fleet.nodes[1].report()
-    fleet.scheduler.hear(told, fleet.now)
-    grants = fleet.scheduler.take_decisions()["n1"].grants
+    fleet.scheduler.handle_report(told, fleet.now)
+    grants = fleet.scheduler.pop_decisions()["n1"].grants
     assert grants == {"r1": 1, "r0": 1}
 
 
@@ -134,10 +134,10 @@
     fleet = small_fleet(replicas=2)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(1, 0, 9_000, 0), "r1": NodeLoad(1, 0, 1_000, 0)}
-    fleet.scheduler.hear(report, fleet.now)
+    fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[1].waiting = [WaitingGroup(1, 2, tokens=4_000), WaitingGroup(2, 1, tokens=500)]
-    fleet.scheduler.hear(fleet.nodes[1].report(), fleet.now)
-    told = fleet.scheduler.take_decisions()["n1"].grant_tokens
+    fleet.scheduler.handle_report(fleet.nodes[1].report(), fleet.now)
+    told = fleet.scheduler.pop_decisions()["n1"].grant_tokens
     assert told == {"r1": 8_000, "r0": 500}
     sizes = [4_000, 3_000, 500]
     # The items due first would be started at r0, which has no memory for them, and fall over it.
@@ -147,17 +147,17 @@
 
 def test_a_takeover_counts_the_memory_that_the_coordinator_before_knew() -> None:
     fleet = small_fleet(replicas=1)
-    fleet.scheduler.book.take_snapshot({"r0": NodeLoad(2, 0, 9_500, 0)}, fleet.now)
-    assert fleet.verdict(0, fleet.ask(0, tokens=1_000)) is Verdict.HOLD
+    fleet.scheduler.load_tracker.apply_snapshot({"r0": NodeLoad(2, 0, 9_500, 0)}, fleet.now)
+    assert fleet.verdict(0, fleet.ask(0, tokens=1_000)) is PlacementVerdict.QUEUE
 
 
 def test_a_takeover_knows_which_memory_items_hold_and_takes_it_back() -> None:
     before, after = small_fleet(replicas=1), small_fleet(replicas=1)
     report = before.nodes[0].report()
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
-    before.scheduler.hear(report, before.now)
-    after.scheduler.book.take_snapshot(before.scheduler.totals(), after.now)
-    assert after.verdict(1, after.ask(1, tokens=5_000)) is Verdict.SEND
+    before.scheduler.handle_report(report, before.now)
+    after.scheduler.load_tracker.apply_snapshot(before.scheduler.replica_loads(), after.now)
+    assert after.verdict(1, after.ask(1, tokens=5_000)) is PlacementVerdict.SEND
 
 
 @pytest.mark.parametrize("is_ordered", [False, True])
@@ -171,8 +171,8 @@
     long = fleet.ask(1, tokens=5_000, objective_left_ms=-200)
     fleet.now += 0.01
     late = fleet.ask(2, tokens=500, objective_left_ms=-100)
-    assert fleet.verdict(1, long) is Verdict.HOLD
-    assert fleet.verdict(2, late) is Verdict.SEND
+    assert fleet.verdict(1, long) is PlacementVerdict.QUEUE
+    assert fleet.verdict(2, late) is PlacementVerdict.SEND
 
 
 @given(st.lists(st.integers(0, 3 * MEMORY), min_size=1, max_size=12))
@@ -221,5 +221,5 @@
     large = fleet.ask(1, tokens=5_000, tenant="a")
     fleet.now += 0.01
     late = fleet.ask(2, tokens=500, tenant="b", deadline_ms=3000, objective_left_ms=1)
-    assert fleet.verdict(1, large) is Verdict.HOLD
-    assert fleet.verdict(2, late) is Verdict.SEND
+    assert fleet.verdict(1, large) is PlacementVerdict.QUEUE
+    assert fleet.verdict(2, late) is PlacementVerdict.SEND
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -125,7 +125,7 @@
     replicas.note_reading(entry.replica_id, 500.0, fleet.now)
     replicas.note_sent_suspect(entry.replica_id, CONTENT, fleet.now)
     fleet.directory.put(msgspec.structs.replace(entry, version=3, born_ms=9))
-    assert replicas.reading_ms(entry.replica_id, fleet.now) == 0
+    assert replicas.prefill_ms(entry.replica_id, fleet.now) == 0
     assert replicas._other_suspects(entry.replica_id, "d" * 20, fleet.now) == 0
 
 
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -18,13 +18,13 @@
 )
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.scheduling.admission import LONGEST_HOLD_S, Verdict
+from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.online import HELD_UNASKED_S
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.scheduling.replica_view import MOST_CONSIDERED
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import UNSETTLED_S, SlotBook
+from cloverwalk.scheduling.slot_book import UNSETTLED_S, ReplicaLoadTracker
 from cloverwalk.tenants.directory import Tenant
 
 SLOTS = 8
@@ -120,23 +120,23 @@
             **more,
         }
         ask = Ask(self._asked, route, "model", **fields)  # type: ignore[arg-type]
-        self.scheduler.hear(self.nodes[node].report([ask]), self.now)
+        self.scheduler.handle_report(self.nodes[node].report([ask]), self.now)
         self.obey()
         return self._asked
 
     def tell(self, node: int) -> None:
-        self.scheduler.hear(self.nodes[node].report(), self.now)
+        self.scheduler.handle_report(self.nodes[node].report(), self.now)
         self.obey()
 
     def obey(self) -> None:
         """Have every node carry out what was decided for it."""
         by_name = {one.name: one for one in self.nodes}
-        for name, decided in self.scheduler.take_decisions().items():
+        for name, decided in self.scheduler.pop_decisions().items():
             node = by_name[name]
             node.settled = decided.number
             for placement in decided.placements:
                 node.placements[placement.number] = placement
-                if placement.verdict is Verdict.SEND:
+                if placement.verdict is PlacementVerdict.SEND:
                     key = placement.replica_id
                     node.online[key] = node.online.get(key, 0) + 1
             for key, count in decided.grants.items():
@@ -160,7 +160,7 @@
         online = sum(one.online.get(replica_id, 0) for one in self.nodes)
         return online, sum(one.batch.get(replica_id, 0) for one in self.nodes)
 
-    def verdict(self, node: int, number: int) -> Verdict:
+    def verdict(self, node: int, number: int) -> PlacementVerdict:
         return self.nodes[node].placements[number].verdict
 
 
@@ -224,10 +224,10 @@
     for _ in range(SLOTS):
         fleet.ask(0)
     first = fleet.ask(1, objective_left_ms=LITTLE_MS)
-    assert fleet.verdict(1, first) is Verdict.RETURN
+    assert fleet.verdict(1, first) is PlacementVerdict.RETRY_LATER
     assert fleet.nodes[1].placements[first].retry_after_s > 0
     again = fleet.ask(1, deadline_ms=3000, objective_left_ms=LITTLE_MS)
-    assert fleet.verdict(1, again) is Verdict.HOLD
+    assert fleet.verdict(1, again) is PlacementVerdict.QUEUE
 
 
 def held_fleet() -> tuple[Fleet, int]:
@@ -245,7 +245,7 @@
     fleet.tell(2)
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
-    assert fleet.verdict(1, number) is Verdict.SEND
+    assert fleet.verdict(1, number) is PlacementVerdict.SEND
     assert fleet.nodes[2].batch == {}
 
 
@@ -261,18 +261,18 @@
             (node, number)
             for node in range(3)
             for number, one in fleet.nodes[node].placements.items()
-            if one.verdict is Verdict.SEND and number >= first
+            if one.verdict is PlacementVerdict.SEND and number >= first
         ]
         assert expected in placed
 
 
 def test_a_request_that_waited_for_long_is_sent_whatever_it_finds() -> None:
     fleet, number = held_fleet()
-    fleet.now += LONGEST_HOLD_S
+    fleet.now += MAX_QUEUE_WAIT_S
     ask = Ask(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
-    fleet.scheduler.hear(fleet.nodes[1].report([ask]), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[1].report([ask]), fleet.now)
     fleet.obey()
-    assert fleet.verdict(1, number) is Verdict.SEND
+    assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
 def test_a_request_whose_node_asks_no_more_takes_no_slot() -> None:
@@ -281,7 +281,7 @@
     fleet.scheduler.tick(fleet.now)
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
-    assert fleet.verdict(1, number) is Verdict.HOLD
+    assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
     assert fleet.work("r0") == (SLOTS - 1, 0)
 
 
@@ -289,10 +289,10 @@
     fleet, number = held_fleet()
     report = fleet.nodes[1].report()
     report.withdrawn = [number]
-    fleet.scheduler.hear(report, fleet.now)
+    fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
-    assert fleet.verdict(1, number) is Verdict.HOLD
+    assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
 
 
 def test_the_work_of_a_lost_node_leaves_its_slots() -> None:
@@ -303,7 +303,7 @@
     fleet.tell(1)
     assert fleet.nodes[1].batch == {}
     fleet.nodes[0].online = {}
-    fleet.scheduler.forget("n0", fleet.now + 5.0)
+    fleet.scheduler.remove_node("n0", fleet.now + 5.0)
     fleet.obey()
     assert fleet.nodes[1].batch == {"r0": 3}
 
@@ -350,7 +350,7 @@
     assert "r0" not in fleet.nodes[2].batch
     fleet.nodes[0].suspects = []
     served = Served("chat", "r0", 50, 300, 0)
-    fleet.scheduler.hear(fleet.nodes[0].report(served=[served]), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
     fleet.obey()
     # A slot or two are kept for requests like those before.
     assert fleet.nodes[2].batch["r0"] >= SLOTS - 2
@@ -358,7 +358,7 @@
 
 def test_without_a_replica_the_answer_says_so() -> None:
     fleet = Fleet(replicas=0)
-    assert fleet.verdict(0, fleet.ask(0)) is Verdict.NONE
+    assert fleet.verdict(0, fleet.ask(0)) is PlacementVerdict.NO_REPLICA
 
 
 # --- the book ---
@@ -374,37 +374,37 @@
     history: list[tuple[str, int]], are_orders_lost: bool
 ) -> None:
     """Whether or not orders arrive, the sums are those of the nodes once they have reported."""
-    book = SlotBook()
+    book = ReplicaLoadTracker()
     truth = {"n1": 4, "n2": 4}
     for number, (node, batch) in enumerate(history, 1):
         book.expect(node, number, "r", batch=batch, now=0.0)
         if not are_orders_lost:
             truth[node] += batch
-        book.hear(node, {"r": NodeLoad(0, truth[node])}, settled=number)
+        book.record_report(node, {"r": NodeLoad(0, truth[node])}, settled=number)
     for node, items in truth.items():
-        book.hear(node, {"r": NodeLoad(0, items)}, settled=len(history))
+        book.record_report(node, {"r": NodeLoad(0, items)}, settled=len(history))
     assert book.total("r", 0.1).batch == sum(truth.values())
 
 
 def test_a_decision_that_was_lost_on_the_way_is_forgotten() -> None:
-    book = SlotBook()
+    book = ReplicaLoadTracker()
     book.expect("n1", 1, "r", online=1, now=10.0)
     book.expire(10.0 + UNSETTLED_S + 0.1)
     assert book.total("r", 10.7).total == 0
 
 
 def test_another_coordinators_sums_count_until_the_nodes_have_reported() -> None:
-    book = SlotBook()
-    book.take_snapshot({"r": NodeLoad(5, 2)}, now=10.0)
-    book.hear("n1", {"r": NodeLoad(1, 0)}, settled=0)
+    book = ReplicaLoadTracker()
+    book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0)
+    book.record_report("n1", {"r": NodeLoad(1, 0)}, settled=0)
     assert (book.total("r", 10.5).online, book.total("r", 10.5).batch) == (5, 2)
     assert book.total("r", 12.0).online == 1
 
 
 def test_a_node_that_decides_alone_adds_its_own_work_to_what_it_was_told() -> None:
-    book = SlotBook()
-    book.hear("n1", {"r": NodeLoad(1, 0)}, settled=0)
-    book.take_snapshot({"r": NodeLoad(5, 2)}, now=10.0, knows_all=False)
+    book = ReplicaLoadTracker()
+    book.record_report("n1", {"r": NodeLoad(1, 0)}, settled=0)
+    book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0, is_complete=False)
     book.expect("n1", 1, "r", online=1, now=10.1)
     assert book.total("r", 10.2).online == 6
 
@@ -412,14 +412,14 @@
 def test_a_decision_looks_at_some_of_many_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = Fleet(replicas=3000)
     looks = 0
-    total = SlotBook.total
+    total = ReplicaLoadTracker.total
 
-    def counting(book: SlotBook, replica_id: str, now: float) -> object:
+    def counting(book: ReplicaLoadTracker, replica_id: str, now: float) -> object:
         nonlocal looks
         looks += 1
         return total(book, replica_id, now)
 
-    monkeypatch.setattr(SlotBook, "total", counting)
+    monkeypatch.setattr(ReplicaLoadTracker, "total", counting)
     fleet.ask(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 5, reading_ms=5)]
     fleet.tell(1)
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -10,7 +10,7 @@
 from test_scheduler import SLOTS, Fleet
 
 from cloverwalk.fleet.messages import Ask, Served, WaitingGroup, WorkCorrection
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.tenants.directory import Tenant
 
 TENANTS = tuple(Tenant(name, ()) for name in ("hot", "small", "other"))
@@ -31,7 +31,7 @@
     number = fleet.ask(
         node, deadline_ms=3000, time_left_ms=3000, objective_left_ms=left_ms, tenant=tenant
     )
-    assert fleet.verdict(node, number) is Verdict.HOLD
+    assert fleet.verdict(node, number) is PlacementVerdict.QUEUE
     return number
 
 
@@ -41,7 +41,7 @@
         number
         for node in fleet.nodes
         for number, one in node.placements.items()
-        if one.verdict is Verdict.SEND
+        if one.verdict is PlacementVerdict.SEND
     }
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
@@ -49,7 +49,7 @@
         number
         for node in fleet.nodes
         for number, one in node.placements.items()
-        if one.verdict is Verdict.SEND
+        if one.verdict is PlacementVerdict.SEND
     }
     (placed,) = after - before
     return placed
@@ -85,32 +85,32 @@
     for _ in range(8):
         # Long requests of one tenant: it has had far more than the others.
         served = Served("chat", "r0", 50, 9000, 0, tenant="hot")
-        fleet.scheduler.hear(fleet.nodes[0].report(served=[served]), fleet.now)
-        fleet.scheduler.shares.charge(0, "hot", 2000.0, ["small"])
-    assert fleet.scheduler.shares.is_ahead(0, "hot")
-    fleet.scheduler.times.take_figures("chat", 50.0, 500.0, 1.0)
+        fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
+        fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
+    assert fleet.scheduler.online_shares.is_ahead(0, "hot")
+    fleet.scheduler.times.apply_estimate("chat", 50.0, 500.0, 1.0)
     small = hold(fleet, "small")
     more: dict[str, Any] = {"deadline_ms": 5000, "objective_left_ms": 300}
     fleet.nodes[0].online["r0"] = SLOTS + 2
     fleet.tell(0)
     refused = fleet.ask(1, tenant="hot", **more)
-    assert fleet.verdict(1, refused) is not Verdict.SEND
-    assert fleet.verdict(1, fleet.ask(1, tenant="other", **more)) is Verdict.SEND
+    assert fleet.verdict(1, refused) is not PlacementVerdict.SEND
+    assert fleet.verdict(1, fleet.ask(1, tenant="other", **more)) is PlacementVerdict.SEND
     fleet.nodes[1].online["r0"] -= 1
     report = fleet.nodes[1].report()
     report.withdrawn = [small]
-    fleet.scheduler.hear(report, fleet.now)
-    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **more)) is Verdict.SEND
+    fleet.scheduler.handle_report(report, fleet.now)
+    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **more)) is PlacementVerdict.SEND
 
 
 def test_while_one_tenant_is_ahead_each_other_one_has_a_request_that_waits() -> None:
     fleet = busy_fleet()
     for _ in range(4):
-        fleet.scheduler.shares.charge(0, "hot", 2000.0, ["small"])
+        fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
     late: dict[str, Any] = {"objective_left_ms": LATE_MS}
-    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **late)) is Verdict.RETURN
+    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **late)) is PlacementVerdict.RETRY_LATER
     verdicts = [fleet.verdict(1, fleet.ask(1, tenant="small", **late)) for _ in range(2)]
-    assert verdicts == [Verdict.HOLD, Verdict.RETURN]
+    assert verdicts == [PlacementVerdict.QUEUE, PlacementVerdict.RETRY_LATER]
 
 
 def test_an_ask_that_comes_again_under_another_tenant_stays_in_its_line() -> None:
@@ -118,9 +118,9 @@
     fleet = busy_fleet()
     number = hold(fleet, "small")
     again = Ask(number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other")
-    fleet.scheduler.hear(fleet.nodes[1].report([again]), fleet.now)
-    fleet.scheduler.forget("n1", fleet.now)
-    assert fleet.verdict(1, number) is Verdict.HOLD
+    fleet.scheduler.handle_report(fleet.nodes[1].report([again]), fleet.now)
+    fleet.scheduler.remove_node("n1", fleet.now)
+    assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
 
 
 def test_what_is_hopeless_is_refused_at_once_without_a_time_to_come_back() -> None:
@@ -129,11 +129,11 @@
     fleet.tell(0)
     number = fleet.ask(1, deadline_ms=3000, time_left_ms=3000, objective_left_ms=300, tenant="hot")
     placement = fleet.nodes[1].placements[number]
-    assert (placement.verdict, placement.retry_after_s) == (Verdict.RETURN, 0.0)
+    assert (placement.verdict, placement.retry_after_s) == (PlacementVerdict.RETRY_LATER, 0.0)
 
 
 def grants(fleet: Fleet, node: int) -> dict[str, int]:
-    decided = fleet.scheduler.take_decisions()[fleet.nodes[node].name]
+    decided = fleet.scheduler.pop_decisions()[fleet.nodes[node].name]
     return decided.grants_by_tenant["r0"]
 
 
@@ -143,7 +143,7 @@
         WaitingGroup(1, 20, tenant="hot", rest_ms=1000),
         WaitingGroup(5, 20, tenant="small", rest_ms=1000),
     ]
-    fleet.scheduler.hear(fleet.nodes[0].report(), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "small": SLOTS // 2}
 
 
@@ -154,7 +154,7 @@
     assert fleet.scheduler.item_shares.ahead_ms(0, "hot") > 0
     report = fleet.nodes[0].report()
     report.corrections = [WorkCorrection("hot", 0, -4000)]
-    fleet.scheduler.hear(report, fleet.now)
+    fleet.scheduler.handle_report(report, fleet.now)
     assert fleet.scheduler.item_shares.step(0, "hot") == 0
 
 
@@ -177,7 +177,7 @@
         await world.run(3.0)
         old = world.coordinator
         for _ in range(3):
-            old.scheduler.shares.charge(0, "hot", 1000.0, ["small"])
+            old.scheduler.online_shares.charge(0, "hot", 1000.0, ["small"])
             old.scheduler.item_shares.charge(0, "small", 500.0, ["hot"])
         await world.run(0.5)
         world.wire.silent.add(old.host)
@@ -185,7 +185,7 @@
         await world.run(4.0)
         new = world.coordinator.scheduler
         assert world.coordinator is not old
-        assert new.shares.is_ahead(0, "hot") and not new.shares.is_ahead(0, "small")
+        assert new.online_shares.is_ahead(0, "hot") and not new.online_shares.is_ahead(0, "small")
         assert new.item_shares.step(0, "small") > new.item_shares.step(0, "hot")
 
     curio.run(main)
@@ -199,9 +199,9 @@
         WaitingGroup(1, 400, tenant="hot", rest_ms=2000),
         WaitingGroup(5, 400, tenant="small", rest_ms=2000),
     ]
-    fleet.scheduler.hear(fleet.nodes[0].report(), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     granted = Counter[str]()
-    for by_tenant in fleet.scheduler.take_decisions()["n0"].grants_by_tenant.values():
+    for by_tenant in fleet.scheduler.pop_decisions()["n0"].grants_by_tenant.values():
         granted.update(by_tenant)
     assert granted == {"hot": replicas * SLOTS // 2, "small": replicas * SLOTS // 2}
 
@@ -213,14 +213,14 @@
         WaitingGroup(1, 20, tenant="hot", rest_ms=1000),
         WaitingGroup(5, 20, rest_ms=1000),
     ]
-    fleet.scheduler.hear(fleet.nodes[0].report(), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "": SLOTS // 2}
 
 
 def test_a_request_without_a_tenant_is_charged_for_what_it_took() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.ask(0, tenant="")
-    before_ms = fleet.scheduler.shares.ahead_ms(0, "")
+    before_ms = fleet.scheduler.online_shares.ahead_ms(0, "")
     served = Served("chat", "r0", 50, round(before_ms) + 700, 0)
-    fleet.scheduler.hear(fleet.nodes[0].report(served=[served]), fleet.now)
-    assert fleet.scheduler.shares.ahead_ms(0, "") == before_ms + 700
+    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
+    assert fleet.scheduler.online_shares.ahead_ms(0, "") == before_ms + 700
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -25,8 +25,8 @@
     SILENT_S,
     WINDOW_S,
     Evidence,
-    ReachChange,
-    ZoneReach,
+    ReachabilityChange,
+    ZoneReachability,
 )
 from cloverwalk.tenants.directory import Tenant
 
@@ -287,14 +287,14 @@
 # --- which zones can be reached ---
 
 
-def fail(reach: ZoneReach, count: int, now: float, replicas: int = 30) -> None:
+def fail(reach: ZoneReachability, count: int, now: float, replicas: int = 30) -> None:
     for number in range(count):
         reach.note_failure("a", "b", f"r{number}", replicas, now)
 
 
 def test_a_cut_zone_is_found_by_its_replicas_and_its_return_by_an_answer() -> None:
-    reach = ZoneReach()
-    told: list[ReachChange] = []
+    reach = ZoneReachability()
+    told: list[ReachabilityChange] = []
     reach.on_change = told.append
     fail(reach, FAILED_REPLICAS, 1.0)
     assert not reach.may_send("a", "b", 1.1)
@@ -303,13 +303,13 @@
     assert not reach.may_send("a", "b", 1.1 + PROBE_EVERY_S)
     reach.note_answer("a", "b", 2.0)
     assert told == [
-        ReachChange("a", "b", False, Evidence.FAILURES),
-        ReachChange("a", "b", True, Evidence.ANSWER),
+        ReachabilityChange("a", "b", False, Evidence.FAILURES),
+        ReachabilityChange("a", "b", True, Evidence.ANSWER),
     ]
 
 
 def test_a_probe_without_a_failure_opens_the_way_and_one_that_fails_does_not() -> None:
-    reach = ZoneReach()
+    reach = ZoneReachability()
     fail(reach, FAILED_REPLICAS, 1.0)
     reach.note_sent("a", "b", 2.0)
     reach.note_failure("a", "b", "r9", 30, 2.4)
@@ -321,20 +321,20 @@
 
 
 def test_silence_of_all_nodes_shuts_a_zone_once_until_one_is_heard() -> None:
-    reach = ZoneReach()
+    reach = ZoneReachability()
     heard = [10.0, 10.2, 10.4]
-    reach.hear_nodes("a", "b", heard[:2], 20.0)
-    reach.hear_nodes("a", "b", heard, 10.3 + SILENT_S)
+    reach.record_last_seen("a", "b", heard[:2], 20.0)
+    reach.record_last_seen("a", "b", heard, 10.3 + SILENT_S)
     assert not reach.has_shut("a")
-    reach.hear_nodes("a", "b", heard, 12.0)
+    reach.record_last_seen("a", "b", heard, 12.0)
     assert reach.has_shut("a")
     reach.note_answer("a", "b", 12.1)
-    reach.hear_nodes("a", "b", heard, 12.2)
+    reach.record_last_seen("a", "b", heard, 12.2)
     assert not reach.has_shut("a")
-    reach.hear_nodes("a", "b", [*heard, 12.3], 12.3)
-    reach.hear_nodes("a", "b", [*heard, 12.3], 14.0)
+    reach.record_last_seen("a", "b", [*heard, 12.3], 12.3)
+    reach.record_last_seen("a", "b", [*heard, 12.3], 14.0)
     assert reach.has_shut("a")
-    reach.hear_nodes("a", "b", [*heard, 14.1], 14.1)
+    reach.record_last_seen("a", "b", [*heard, 14.1], 14.1)
     assert not reach.has_shut("a")
 
 
@@ -354,7 +354,7 @@
 def test_few_failures_or_one_answer_between_them_shut_no_zone(
     events: list[tuple[str, str, int, bool, float]], replicas: int
 ) -> None:
-    reach = ZoneReach()
+    reach = ZoneReachability()
     now = 0.0
     failed: dict[tuple[str, str], dict[int, float]] = {}
     needed = max(LEAST_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
@@ -411,12 +411,12 @@
 
 def test_failures_of_a_node_that_returns_shut_no_zone() -> None:
     fleet = cut_fleet(replicas=20)
-    assert fleet.scheduler.reach.shut_count == 1
-    fleet.scheduler.forget("n0", fleet.now)
-    fleet.scheduler.reach.note_answer("z1", "z2", fleet.now)
+    assert fleet.scheduler.reachability.unreachable_count == 1
+    fleet.scheduler.remove_node("n0", fleet.now)
+    fleet.scheduler.reachability.note_answer("z1", "z2", fleet.now)
     fleet.nodes[0].suspects = [f"r{number}" for number in range(11, 20, 2)]
     fleet.tell(0)
-    assert fleet.scheduler.reach.shut_count == 0
+    assert fleet.scheduler.reachability.unreachable_count == 0
 
 
 def test_where_no_other_zone_has_room_a_cut_one_is_tried() -> None:
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -12,10 +12,10 @@
     CrowdWatch,
     Prospect,
     ReturnBook,
-    Verdict,
+    PlacementVerdict,
     decide,
     most_wait_ms,
-    return_after_s,
+    retry_after_s,
     slot_wait_ms,
 )
 from cloverwalk.scheduling.service_times import MOST_WAIT_FACTOR, ServiceTimes
@@ -35,7 +35,7 @@
     start_ms: float, left_ms: float, objective_ms: float, most_ms: float, may_return: bool
 ) -> None:
     prospect = Prospect(0.0, start_ms, left_ms, objective_ms, most_ms)
-    assert decide(prospect, may_return, is_first=True) is Verdict.SEND
+    assert decide(prospect, may_return, is_first=True) is PlacementVerdict.SEND
 
 
 @given(MS, MS, MS, MS, MS, st.booleans())
@@ -48,7 +48,7 @@
     is_first: bool,
 ) -> None:
     prospect = Prospect(wait_ms, start_ms, left_ms, objective_ms, most_ms)
-    assert decide(prospect, may_return=False, is_first=is_first) is not Verdict.RETURN
+    assert decide(prospect, may_return=False, is_first=is_first) is not PlacementVerdict.RETRY_LATER
 
 
 @given(st.integers(1, 40), st.integers(0, 80), st.floats(1.0, 9000.0))
@@ -64,7 +64,7 @@
 def test_times_to_come_back_are_worth_it_and_leave_most_of_the_callers_time(
     wait_s: float, rest_s: float, left_s: float, seed: int
 ) -> None:
-    after_s = return_after_s(wait_s, rest_s, left_s, Random(seed))
+    after_s = retry_after_s(wait_s, rest_s, left_s, Random(seed))
     if after_s is None:
         assert max(wait_s, rest_s) < LEAST_RETURN_S or RETURN_SHARE * left_s < LEAST_RETURN_S
     else:
@@ -83,7 +83,7 @@
 def test_expected_waits_follow_what_requests_met() -> None:
     times = ServiceTimes()
     for _ in range(60):
-        times.note_wait("r", expected_ms=100.0, took_ms=times.start_ms("r") + 250.0)
+        times.note_wait("r", expected_ms=100.0, took_ms=times.first_event_ms("r") + 250.0)
     assert 2.3 < times.wait_factor("r") < 2.5
     times.note_wait("r", expected_ms=1.0, took_ms=10_000.0)
     assert times.wait_factor("r") <= MOST_WAIT_FACTOR
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -64,9 +64,9 @@
     random, server = Random(seed), Server()
     for number in range(400):
         if number == takeover_at:
-            told = server.shares.used()
+            told = server.shares.usage()
             server.shares = FairShares()
-            server.shares.take_used(told)
+            server.shares.apply_usage(told)
             server.since = {tenant: dict(server.served) for tenant in server.waiting}
         for tenant in random.choices(TENANTS, [8, 1, 1, 1], k=random.randrange(6)):
             server.send(tenant, random.uniform(20.0, LONGEST_MS))
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -13,7 +13,7 @@
 from cloverwalk.cli.report import report
 from cloverwalk.fleet.messages import WaitingGroup
 from cloverwalk.scheduling.slot_time import LONGEST_LOOK_S, ReplicaUse, SlotTime, SlotUse
-from cloverwalk.scheduling.slot_watch import SlotWatch
+from cloverwalk.scheduling.slot_watch import SlotTimeReporter
 from cloverwalk.telemetry.lateness import (
     ItemTimes,
     LateCause,
@@ -44,10 +44,10 @@
 ) -> None:
     time = SlotTime()
     now = expected = 0.0
-    time.look([], {}, {}, now)
+    time.sample([], {}, {}, now)
     for replicas, waiting, kept, passed_s in looks:
         now += passed_s
-        time.look(replicas, waiting, kept, now)
+        time.sample(replicas, waiting, kept, now)
         expected += passed_s * sum(one.slots for one in replicas)
     assert sum(time.seconds.values()) == pytest.approx(expected)
     assert all(seconds >= 0 for seconds in time.seconds.values())
@@ -55,8 +55,8 @@
 
 def _use(replica: ReplicaUse, waiting: int, kept: int = 0) -> dict[SlotUse, float]:
     time = SlotTime()
-    time.look([], {}, {}, 0.0)
-    time.look([replica], {replica.service: waiting}, {replica.service: kept}, 1.0)
+    time.sample([], {}, {}, 0.0)
+    time.sample([replica], {replica.service: waiting}, {replica.service: kept}, 1.0)
     return {use: seconds for use, seconds in time.seconds.items() if seconds}
 
 
@@ -75,8 +75,8 @@
 
 def test_time_without_a_look_is_not_counted_for_long() -> None:
     time = SlotTime()
-    time.look([], {}, {}, 0.0)
-    time.look([ReplicaUse("s", 2, 0, 0)], {}, {}, 500.0)
+    time.sample([], {}, {}, 0.0)
+    time.sample([ReplicaUse("s", 2, 0, 0)], {}, {}, 500.0)
     assert time.seconds[SlotUse.IDLE] == 2 * LONGEST_LOOK_S
 
 
@@ -167,7 +167,7 @@
 def test_the_coordinator_tells_each_second_what_slots_were_used_for() -> None:
     fleet = Fleet(replicas=2)
     told: list[dict[SlotUse, float]] = []
-    watch = SlotWatch(fleet.scheduler, told.append)
+    watch = SlotTimeReporter(fleet.scheduler, told.append)
     fleet.ask(0)
     fleet.nodes[1].waiting = [WaitingGroup(5, 3)]
     fleet.tell(1)
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -105,14 +105,14 @@
     features = Features(holder, is_memory_scarce=True)
     told: list[FeatureState] = []
     features.on_change = told.append
-    features.look()
-    features.look()
+    features.notify_changes()
+    features.notify_changes()
     assert [one.feature for one in told] == list(Feature)
     assert [one.feature for one in told if one.is_on] == [Feature.NODE_CAPACITY]
     told.clear()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
     holder.update_if_newer(Configuration(1, (), services, ClientLimits(), tenants=()))
-    features.look()
+    features.notify_changes()
     assert {one.feature for one in told if one.is_on} == {
         Feature.FAIR_SHARES,
         Feature.REPLICA_MEMORY,
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -28,7 +28,7 @@
 
 def coordinating(configuration: ConfigurationHolder, now: float = 0.0) -> FleetQuotas:
     quotas = FleetQuotas(configuration, BOUNDS, Random(1))
-    quotas.coordinate(now)
+    quotas.become_coordinator(now)
     return quotas
 
 
@@ -100,10 +100,10 @@
     for step in range(200):
         now = 0.05 * step
         if counting is first and now >= taken_over_at:
-            heir.coordinate(now)
+            heir.become_coordinator(now)
             counting = heir
         elif has_levels and counting is first and step % 5 == 0:
-            heir.take_levels(first.levels(now))
+            heir.apply_bucket_levels(first.bucket_levels(now))
         for _ in range(per_step):
             if counting.reserve("quiz", now) is QuotaVerdict.TAKEN:
                 counting.spend("quiz", now)
@@ -130,13 +130,13 @@
         for step in range(200):
             now = 0.05 * step
             if not self.reports and now > NODE_SILENT_S:
-                main.set_share(self.nodes - self.alone, self.nodes)
+                main.set_fleet_fraction(self.nodes - self.alone, self.nodes)
             for number, deputy in enumerate(deputies):
                 if step == 0:
-                    deputy.take_near_limit([], now)
-                deputy.set_share(1, self.nodes)
+                    deputy.apply_near_limit([], now)
+                deputy.set_fleet_fraction(1, self.nodes)
                 if self.reports:
-                    main.hear_deputy(f"n{number}", "0a", deputy.deputy_grants(now), now)
+                    main.record_local_grants(f"n{number}", "0a", deputy.local_grants(now), now)
             for quotas in [main, *deputies]:
                 for _ in range(per_step):
                     if quotas.reserve("quiz", now) is QuotaVerdict.TAKEN:
@@ -161,14 +161,14 @@
 
 def test_a_tenant_far_from_its_limit_is_served_by_a_node_alone() -> None:
     quotas = FleetQuotas(holder(tenant(15, 15)), BOUNDS, Random(1))
-    quotas.take_near_limit([], 0.0)
-    quotas.set_share(1, 12)
+    quotas.apply_near_limit([], 0.0)
+    quotas.set_fleet_fraction(1, 12)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
 def test_a_node_that_knows_nothing_of_the_fleet_gives_out_nothing() -> None:
     quotas = FleetQuotas(holder(tenant()), BOUNDS, Random(1))
-    quotas.set_share(1, 0)
+    quotas.set_fleet_fraction(1, 0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.UNKNOWN
     assert not quotas.knows_fleet
 
@@ -220,17 +220,17 @@
 
 def test_what_a_deputy_gave_out_is_counted_once() -> None:
     quotas = coordinating(holder(tenant(rate=0.1, burst=10.0)), now=-100.0)
-    quotas.hear_deputy("n1", "0a", None, 0.0)
+    quotas.record_local_grants("n1", "0a", None, 0.0)
     for _ in range(3):
-        quotas.hear_deputy("n1", "0a", DeputyGrants(0, {"quiz": 4}), 0.0)
-    quotas.hear_deputy("n1", "0a", DeputyGrants(0, {"quiz": 6}), 0.0)
-    quotas.hear_deputy("n1", "0a", DeputyGrants(1, {"quiz": 1}), 0.0)
-    assert quotas.levels(0.0) == {"quiz": 3.0}
+        quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 4}), 0.0)
+    quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 6}), 0.0)
+    quotas.record_local_grants("n1", "0a", DeputyGrants(1, {"quiz": 1}), 0.0)
+    assert quotas.bucket_levels(0.0) == {"quiz": 3.0}
 
 
 def test_the_first_report_after_a_takeover_charges_nothing() -> None:
     quotas = coordinating(holder(tenant(rate=1.0, burst=10.0)), now=-1.0)
-    quotas.hear_deputy("n1", "0a", DeputyGrants(0, {"quiz": 400}), 0.0)
+    quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 400}), 0.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
@@ -238,6 +238,6 @@
     one = tenant(rate=60.0, burst=60.0)
     quotas = coordinating(holder(one), now=-100.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
-    quotas.distrust(4.0)
+    quotas.reset_after_pause(4.0)
     given_out = sum(quotas.reserve("quiz", 4.0) is QuotaVerdict.TAKEN for _ in range(100))
     assert given_out <= BOUNDS.tolerance(one)
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -16,7 +16,7 @@
 from cloverwalk.platform.codec import PlatformCodec
 from cloverwalk.platform.documents import decode_configuration
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
-from cloverwalk.scheduling.share import batch_room, kept_free, must_yield
+from cloverwalk.scheduling.share import batch_room, reserved_slots, items_to_preempt
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
 
@@ -73,19 +73,19 @@
 
 @given(st.floats(0.0, 30_000.0))
 def test_slots_are_kept_for_online_work_only(arrivals_per_s: float) -> None:
-    assert kept_free(0.0, 24.0) == 0
-    kept = kept_free(arrivals_per_s, 24.0)
-    assert 0 <= kept <= kept_free(arrivals_per_s + 10.0, 24.0)
+    assert reserved_slots(0.0, 24.0) == 0
+    kept = reserved_slots(arrivals_per_s, 24.0)
+    assert 0 <= kept <= reserved_slots(arrivals_per_s + 10.0, 24.0)
     # Shorter prompts pay their start sooner, and never at once.
-    assert kept_free(arrivals_per_s, 0.0) <= kept_free(arrivals_per_s, 5.0) <= kept
-    assert kept_free(100.0, 0.0) > 0
+    assert reserved_slots(arrivals_per_s, 0.0) <= reserved_slots(arrivals_per_s, 5.0) <= kept
+    assert reserved_slots(100.0, 0.0) > 0
 
 
 @given(st.integers(1, 40), st.integers(0, 60), st.integers(0, 60))
 def test_no_item_stands_before_online_work_that_has_a_slot(
     slots: int, online: int, batch: int
 ) -> None:
-    yielding = must_yield(slots, InFlight(online, batch))
+    yielding = items_to_preempt(slots, InFlight(online, batch))
     assert 0 <= yielding <= batch
     left = batch - yielding
     assert left == 0 or online + left <= slots
