--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -44,7 +44,7 @@
     """Each node counts what it sees itself."""
     for node in world.nodes:
         node.cases.for_report = list  # type: ignore[method-assign]
-        node.cases.hear = lambda report, known: None  # type: ignore[method-assign]
+        node.cases.handle_report = lambda report, known: None  # type: ignore[method-assign]
         node.cases.push = lambda others: None  # type: ignore[method-assign]
 
 
--- a/src/cloverwalk/fleet/case_keeper.py
+++ b/src/cloverwalk/fleet/case_keeper.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CaseSync
+from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.gateway.crash_ledger import CrashRecord
 from cloverwalk.store.clock import StoreClock
@@ -38,12 +38,12 @@
     store_ms: float
 
 
-class CaseKeeper:
+class CrashRecordStore:
     """Reads and writes the rows."""
 
     def __init__(
         self,
-        cases: CaseSync,
+        cases: CrashRecordSync,
         coordinator: Coordinator,
         store: Store,
         health: StoreHealth,
@@ -68,7 +68,7 @@
         """Read the rows, and write them whenever this node coordinates, until cancelled."""
         await self._repeat(self.read)
         while True:
-            await self._coordinator.until_active()
+            await self._coordinator.wait_until_active()
             # Another coordinator may have written meanwhile.
             await self._repeat(self.read)
             while self._coordinator.is_active:
@@ -90,7 +90,7 @@
             return False
         self._stored = {}
         copies = [copy for row in page.rows if (copy := self._decode(row)) is not None]
-        self._cases.take(copies, "store")
+        self._cases.merge(copies, "store")
         self.is_read = True
         return True
 
--- a/src/cloverwalk/fleet/case_sync.py
+++ b/src/cloverwalk/fleet/case_sync.py
@@ -18,7 +18,7 @@
 """What differs is told again after this time at the soonest; a change goes out at once."""
 
 
-class CaseSync:
+class CrashRecordSync:
     """Merges and tells cases, at a node and at the coordinator."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self._coordinator_digest = 0
         self._told_all_at = float("-inf")
 
-    def take(self, cases: list[CrashRecord], source: str) -> bool:
+    def merge(self, cases: list[CrashRecord], source: str) -> bool:
         """Merge what another node knows; what makes no sense is logged and left out.
 
         Return whether this node knows better: it has seen an answer since.
@@ -70,11 +70,11 @@
 
     # --- the coordinator ---
 
-    def hear(self, report: Report, known: KnownNode) -> None:
+    def handle_report(self, report: Report, known: KnownNode) -> None:
         """Take what a node knows, and tell it what it lacks."""
-        self.take(report.cases, report.node)
+        self.merge(report.crash_records, report.node)
         now = self._clock()
-        if report.cases_digest == self.ledger.digest or now - known.cases_at < REPEAT_EVERY_S:
+        if report.crash_digest == self.ledger.digest or now - known.cases_at < REPEAT_EVERY_S:
             return
         known.cases_at = now
         self._transport.send(known.contact.host, CrashCases(self.ledger.shared_records(now)))
--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -9,14 +9,14 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CaseSync
-from cloverwalk.fleet.copies import STORE_SERVES_MS, CopySender, directory_age_ms
+from cloverwalk.fleet.case_sync import CrashRecordSync
+from cloverwalk.fleet.copies import STORE_SERVES_MS, StateSender, directory_age_ms
 from cloverwalk.fleet.fullness import median_by_zone
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
 from cloverwalk.fleet.messages import (
     Contact,
-    DeputyGrants,
+    LocalGrants,
     Introduction,
     Leadership,
     NodeLoad,
@@ -24,7 +24,7 @@
     Report,
     StoreReturned,
 )
-from cloverwalk.fleet.roster import REMEMBERED_S, KnownNode, Roster
+from cloverwalk.fleet.roster import REMEMBERED_S, KnownNode, NodeRegistry
 from cloverwalk.fleet.snapshots import SnapshotMaker
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.configuration import ConfigurationHolder
@@ -77,7 +77,7 @@
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
         health: StoreHealth,
-        cases: CaseSync,
+        cases: CrashRecordSync,
         log: ServingLog,
         clock: Callable[[], float],
     ) -> None:
@@ -91,7 +91,7 @@
         self._health = health
         self._log = log
         self._clock = clock
-        self.roster = Roster()
+        self.registry = NodeRegistry()
         self.deliver_locally: DeliverLocally = _nobody
         self.on_tick: Callable[[float], None] = _ignore
         """Called with the time at each tick of the coordinator, not of a standby."""
@@ -99,7 +99,7 @@
         self.active_since: float | None = None
         """Since when this node holds the role; None while it does not."""
 
-        self._copies = CopySender(transport, configuration, directory)
+        self._copies = StateSender(transport, configuration, directory)
         self._snapshots = SnapshotMaker(scheduler, health)
         self._snapshot_at = float("-inf")
         self._pinged_at = float("-inf")
@@ -151,7 +151,7 @@
             self._copies.note_known()
             await self._has_work.set()
             await self._is_active.set()
-        known = {one.contact.host for one in self.roster.live()}
+        known = {one.contact.host for one in self.registry.live()}
         hosts = known | {one.host for one in nodes}
         for host in sorted(hosts - {self._identity.host}):
             self._transport.send(host, self._orders("", None, now))
@@ -165,25 +165,25 @@
         self.active_since = None
         self._is_active.clear()
 
-    async def until_active(self) -> None:
+    async def wait_until_active(self) -> None:
         """Return when this node coordinates."""
         await self._is_active.wait()
 
-    async def wait_active(self, longest_s: float) -> None:
+    async def wait_until_active_or_timeout(self, longest_s: float) -> None:
         """Return when this node coordinates, or after ``longest_s``."""
         async with curio.ignore_after(longest_s):
             await self._is_active.wait()
 
     # --- reports ---
 
-    async def hear(self, report: Report, host: str) -> None:
+    async def handle_report(self, report: Report, host: str) -> None:
         """Serve a node, or tell it whom to turn to."""
         if not self.is_active and not report.has_lost_coordinator:
             if self._leader.current is not None:
                 self._transport.send(host, Introduction(self._leader.current))
             return
         now = self._clock()
-        heard = self.roster.hear(report, host, now)
+        heard = self.registry.record_report(report, host, now)
         if heard is None:
             return
         known, is_new = heard
@@ -192,13 +192,13 @@
             self._take_share()
             self._note_served_zone()
         elif report.node != self._identity.node:
-            grants = report.deputy_grants
+            grants = report.local_grants
             self._scheduler.quotas.record_local_grants(report.node, report.run, grants, now)
         if is_new:
             self._log.write(catalogue.PEER_HEARD, peer=report.node, host=host)
             self._scheduler.remove_node(report.node, now)
         if report.node != self._identity.node:
-            self._cases.hear(report, known)
+            self._cases.handle_report(report, known)
         self._scheduler.handle_report(report, now)
         await self.tell_decisions()
         if now - known.told_at >= ACK_EVERY_S:
@@ -207,12 +207,12 @@
 
     def _take_share(self) -> None:
         """Count for the part of the fleet that reports here."""
-        heard = self.roster.heard_since(self._clock() - COUNTED_SILENT_S)
+        heard = self.registry.heard_since(self._clock() - COUNTED_SILENT_S)
         self._scheduler.quotas.set_fleet_fraction(heard, self._fleet_nodes())
 
     def _fleet_nodes(self) -> int:
         """Return how many nodes the whole fleet has, as far as this one knows; 0: it doesn't."""
-        nodes = len(self.roster.by_name) if self.is_active else self._fleet_size
+        nodes = len(self.registry.by_name) if self.is_active else self._fleet_size
         if self.active_since is not None and self.bears_zone_loss:
             # Nodes that have not turned here since may be served by a coordinator elsewhere.
             is_recent = self._clock() - self.active_since < REMEMBERED_S
@@ -224,7 +224,7 @@
         if not self.bears_zone_loss:
             return
         own = self._identity
-        live = self.roster.live()
+        live = self.registry.live()
         others = [one for one in live if one.contact.node != own.node]
         serves = not self.is_active and bool(others) and self._leader.has_lost_coordinator
         if serves == self._serves_zone:
@@ -241,7 +241,7 @@
             if node == self._identity.node:
                 await self.deliver_locally(orders)
                 continue
-            known = self.roster.by_name.get(node)
+            known = self.registry.by_name.get(node)
             if known is None:
                 continue
             self._add_totals(orders, known, now)
@@ -256,13 +256,13 @@
         self._transport.send(known.contact.host, orders)
 
     def _add_totals(self, orders: Orders, known: KnownNode, now: float) -> None:
-        is_busy = bool(known.report.loads or known.report.asks)
+        is_busy = bool(known.report.loads or known.report.placement_requests)
         if is_busy and self._are_totals_due(known, now):
             known.totals_at = now
-            orders.totals = self._scheduler.replica_loads()
+            orders.replica_loads = self._scheduler.replica_loads()
 
     def _are_totals_due(self, known: KnownNode, now: float) -> bool:
-        entries = self._scheduler.load_tracker.busy_replica_count * len(self.roster.by_name)
+        entries = self._scheduler.load_tracker.busy_replica_count * len(self.registry.by_name)
         if entries <= TOTALS_ENTRIES_PER_S * TOTALS_EVERY_S:
             return now - known.totals_at >= TOTALS_EVERY_S
         # Many nodes that are heard at the same time are not told at the same time.
@@ -283,11 +283,11 @@
             directory_age_ms(self._directory, now),
             self._store_serves_another(node),
         )
-        orders.cases_digest = self._cases.ledger.digest
+        orders.crash_digest = self._cases.ledger.digest
         if self.is_active:
             orders.nodes = self._fleet_nodes()
             orders.near_limit = self._near_limit
-            orders.zone_fullness_percent = self._zone_fullness(node)
+            orders.zone_utilization_percent = self._zone_fullness(node)
         if decisions is not None:
             orders.placements = decisions.placements
             orders.grants = decisions.grants
@@ -297,7 +297,7 @@
         return orders
 
     def _zone_fullness(self, node: str) -> int:
-        known = self.roster.by_name.get(node)
+        known = self.registry.by_name.get(node)
         return 0 if known is None else self._fullness_by_zone.get(known.report.zone, 0)
 
     def _store_serves_another(self, node: str) -> bool:
@@ -307,7 +307,7 @@
             return True
         return any(
             one.report.store_age_ms < STORE_SERVES_MS
-            for one in self.roster.live()
+            for one in self.registry.live()
             if one.contact.node not in (node, own)
         )
 
@@ -319,7 +319,7 @@
             await self._has_work.wait()
             await curio.sleep(TICK_S)
             await self.tick()
-            if not self.is_active and not self.roster.by_name:
+            if not self.is_active and not self.registry.by_name:
                 self._has_work.clear()
 
     async def tick(self) -> None:
@@ -340,7 +340,7 @@
         self._copies.push_directory(self._others(), now)
         self._cases.push(self._others)
         if self._must_tell_returned:
-            self.tell_store_returned()
+            self.broadcast_store_returned()
         if now - self._snapshot_at >= SNAPSHOT_EVERY_S:
             self._snapshot_at = now
             self._tell_standbys(now)
@@ -349,7 +349,7 @@
     def _expire_nodes(self, now: float) -> None:
         """Forget the work of nodes that are silent for too long."""
         remembered_s = REMEMBERED_S if self.is_active else 0.0
-        for known in self.roster.expire(now, remembered_s):
+        for known in self.registry.expire(now, remembered_s):
             if self.is_active:
                 # Elsewhere a node that turned back to the coordinator is not lost.
                 silent_s = round(now - known.heard_at, 2)
@@ -361,28 +361,28 @@
         if now - self._fullness_at < FULLNESS_EVERY_S:
             return
         self._fullness_at = now
-        self._fullness_by_zone = median_by_zone(one.report for one in self.roster.live())
+        self._fullness_by_zone = median_by_zone(one.report for one in self.registry.live())
 
     def _ping_lost(self, now: float) -> None:
         """Tell lost nodes who coordinates: they may have started anew."""
         if now - self._pinged_at < PING_LOST_EVERY_S:
             return
         self._pinged_at = now
-        for known in self.roster.lost():
+        for known in self.registry.lost():
             node = known.contact.node
             self._transport.send(known.contact.host, self._orders(node, None, now))
 
     def _note_zones(self, now: float) -> None:
         """Tell which zones' nodes are heard, and which are silent as a whole."""
         own_zone = self._identity.zone
-        heard = self.roster.heard_by_zone()
+        heard = self.registry.heard_by_zone()
         for zone in sorted(set(heard) - {own_zone}):
             self._scheduler.reachability.record_last_seen(own_zone, zone, heard[zone], now)
 
     def _others(self) -> list[KnownNode]:
         """Return the live nodes but this one."""
         own = self._identity.node
-        return [known for known in self.roster.live() if known.contact.node != own]
+        return [known for known in self.registry.live() if known.contact.node != own]
 
     def _tell_standbys(self, now: float) -> None:
         """Send the standbys what they need to take over."""
@@ -390,7 +390,7 @@
         if current is None:
             return
         is_leaving = self.is_leaving or self._should_hand_over(current)
-        snapshot = self._snapshots.make(current, self.roster.live(), is_leaving, now)
+        snapshot = self._snapshots.make(current, self.registry.live(), is_leaving, now)
         for standby in current.standbys:
             if standby.node != self._identity.node:
                 self._transport.send(standby.host, snapshot)
@@ -399,7 +399,7 @@
         """Whether the first standby should coordinate: it has room, and this node has none."""
         if not current.standbys or not self.must_hand_over():
             return False
-        first = self.roster.by_name.get(current.standbys[0].node)
+        first = self.registry.by_name.get(current.standbys[0].node)
         return first is not None and not first.is_lost and not first.report.is_full
 
     # --- for other parts of the node ---
@@ -410,7 +410,7 @@
             self._fleet_size = nodes
             self._scheduler.quotas.apply_near_limit(near_limit, now)
 
-    def deputy_grants(self, now: float) -> DeputyGrants | None:
+    def deputy_grants(self, now: float) -> LocalGrants | None:
         """Return the tokens that this node gave out itself lately, as reports tell them."""
         return self._scheduler.quotas.local_grants(now)
 
@@ -419,9 +419,9 @@
         if not self.is_active:
             self._scheduler.load_tracker.apply_snapshot(totals, now, is_complete=False)
 
-    def order_take_over(self, incarnation: str, job_ids: list[str]) -> None:
+    def send_takeover(self, incarnation: str, job_ids: list[str]) -> None:
         """Have a node run jobs that have no owner."""
-        known = self.roster.by_name.get(incarnation.rpartition(".")[0])
+        known = self.registry.by_name.get(incarnation.rpartition(".")[0])
         if known is None or known.report.incarnation != incarnation:
             return
         orders = self._orders(known.contact.node, None, self._clock())
@@ -429,7 +429,7 @@
         orders.take_over = job_ids
         self._transport.send(known.contact.host, orders)
 
-    def tell_store_returned(self) -> None:
+    def broadcast_store_returned(self) -> None:
         """Tell the nodes that the store answers again; they need not find out themselves."""
         now = self._clock()
         self._must_tell_returned = now - self._told_returned_at < TELL_RETURNED_EVERY_S
--- a/src/cloverwalk/fleet/copies.py
+++ b/src/cloverwalk/fleet/copies.py
@@ -36,7 +36,7 @@
     return int(min(MOST_AGE_MS, (now - directory.confirmed_at) * 1000))
 
 
-class CopySender:
+class StateSender:
     """Sends whole copies to nodes that are behind, and changes of the list to all."""
 
     def __init__(
--- a/src/cloverwalk/fleet/directory_sync.py
+++ b/src/cloverwalk/fleet/directory_sync.py
@@ -27,7 +27,7 @@
         if orders.directory == self._directory.fingerprint:
             self._note_confirmed(orders.directory_age_ms, orders.directory_version)
 
-    def take(self, update: DirectoryUpdate) -> bool:
+    def apply(self, update: DirectoryUpdate) -> bool:
         """Take changes or a whole list; return whether nothing more has to be asked for."""
         if update.since is None:
             if update.version < self._directory.version:
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -16,7 +16,7 @@
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorLink
+from cloverwalk.fleet.link import CoordinatorClient
 from cloverwalk.fleet.messages import Contact, Leadership, Snapshot
 from cloverwalk.fleet.roster import FULL_CORE
 from cloverwalk.scheduling.scheduler import Scheduler
@@ -92,7 +92,7 @@
         identity: Identity,
         leader: LeaderView,
         coordinator: Coordinator,
-        link: CoordinatorLink,
+        link: CoordinatorClient,
         scheduler: Scheduler,
         store: Store,
         health: StoreHealth,
@@ -117,11 +117,11 @@
         self._usurped_since: float | None = None
         self._patience_s = self._random.random()
         self.is_leaving = False
-        link.on_leadership = self._on_leadership
+        link.on_leadership_change = self._on_leadership
 
     # --- what comes ---
 
-    async def take_snapshot(self, snapshot: Snapshot, host: str) -> None:
+    async def handle_snapshot(self, snapshot: Snapshot, host: str) -> None:
         """Take what the coordinator told its standbys."""
         now = self._clock()
         await self._link.offer(snapshot.leadership)
@@ -130,14 +130,14 @@
         self._leader.note_heard(host, now)
         self._snapshot = snapshot
         self._nodes = snapshot.nodes or self._nodes
-        self._scheduler.load_tracker.apply_snapshot(snapshot.totals, now)
+        self._scheduler.load_tracker.apply_snapshot(snapshot.replica_loads, now)
         self._scheduler.quotas.apply_bucket_levels(snapshot.quota_levels)
-        self._scheduler.online_shares.apply_usage(snapshot.used_shares)
-        self._scheduler.item_shares.apply_usage(snapshot.used_item_shares)
-        self._scheduler.apply_slowdowns(snapshot.paces, now)
-        for route, known in snapshot.figures.items():
+        self._scheduler.online_shares.apply_usage(snapshot.usage_by_tenant)
+        self._scheduler.item_shares.apply_usage(snapshot.item_usage_by_tenant)
+        self._scheduler.apply_slowdowns(snapshot.slowdowns, now)
+        for route, known in snapshot.route_estimates.items():
             self._scheduler.times.apply_estimate(
-                route, known.start_ms, known.hold_ms, known.wait_factor
+                route, known.first_event_ms, known.hold_ms, known.wait_factor
             )
         if snapshot.is_leaving and self._leader.standby_rank == 0:
             await self._claim()
@@ -163,7 +163,7 @@
             is_near = is_near or self._leader.is_unheard
             step_s = ACTIVE_LOOK_EVERY_S if is_near else LOOK_EVERY_S
             await curio.sleep(step_s)
-            await self.look(step_s)
+            await self.check(step_s)
 
     async def _start(self) -> None:
         """Read who coordinates; take the role where nobody does."""
@@ -175,7 +175,7 @@
         if self._leader.current is None:
             await self._claim()
 
-    async def look(self, step_s: float) -> None:
+    async def check(self, step_s: float) -> None:
         """Check whether the coordinator is there; ``step_s`` passed since the last look."""
         now = self._clock()
         was_away = now - self._looked_at > 3 * step_s
@@ -274,7 +274,7 @@
     def _able_standbys(self) -> tuple[Contact, ...]:
         by_zone = self._coordinator.bears_zone_loss
         own = self._identity
-        return self._coordinator.roster.choose_standbys(own.node, own.zone, by_zone)
+        return self._coordinator.registry.choose_standbys(own.node, own.zone, by_zone)
 
     async def _write(self, expected: int, standbys: tuple[Contact, ...]) -> None:
         role = RoleRow(self._identity.contact, self._identity.run, standbys)
@@ -340,7 +340,7 @@
 
     def _is_heard(self) -> bool:
         """Whether another node reports to this one: the fleet, or a part of it, follows it."""
-        live = self._coordinator.roster.live()
+        live = self._coordinator.registry.live()
         return any(one.contact.node != self._identity.node for one in live)
 
     def _needs_standbys(self, able: tuple[Contact, ...]) -> bool:
@@ -350,7 +350,7 @@
             return False
         live = {
             (one.contact.node, one.contact.host)
-            for one in self._coordinator.roster.live()
+            for one in self._coordinator.registry.live()
             if not one.report.is_leaving
         }
         if len(current.standbys) < len(able):
--- a/src/cloverwalk/fleet/fullness.py
+++ b/src/cloverwalk/fleet/fullness.py
@@ -13,6 +13,6 @@
     """
     by_zone: dict[str, list[int]] = {}
     for report in reports:
-        if report.fullness_percent > 0 and not report.is_leaving:
-            by_zone.setdefault(report.zone, []).append(report.fullness_percent)
+        if report.utilization_percent > 0 and not report.is_leaving:
+            by_zone.setdefault(report.zone, []).append(report.utilization_percent)
     return {zone: sorted(told)[(len(told) - 1) // 2] for zone, told in by_zone.items()}
--- a/src/cloverwalk/fleet/link.py
+++ b/src/cloverwalk/fleet/link.py
@@ -11,14 +11,14 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CaseSync
+from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import ACK_EVERY_S, Coordinator
 from cloverwalk.fleet.directory_sync import DirectorySync
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import (
-    Ask,
+    PlacementRequest,
     Contact,
     CrashCases,
     Datagram,
@@ -27,13 +27,13 @@
     Leadership,
     NodeLoad,
     Orders,
-    ReplicaTiming,
+    ItemTiming,
     Report,
-    Served,
-    Waiting,
+    RequestTiming,
+    WaitingByPool,
     WorkCorrection,
 )
-from cloverwalk.fleet.places import Place, PlaceDesk
+from cloverwalk.fleet.places import PlacementResult, PlacementClient
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.replicas import ReplicaDirectory
@@ -69,17 +69,17 @@
 """Told as the age of the store's last answer while the store is lost."""
 
 
-class BatchSide:
+class BatchOrderHandler:
     """What orders mean for the node's batch items; a node without any ignores them.
 
     The node's loads contain the whole effect of grants and revokes before anything is waited for:
     a report that goes out meanwhile counts an order either in its loads or as not settled yet.
     """
 
-    async def take_grants(self, grants: dict[str, int]) -> None:
+    async def apply_grants(self, grants: dict[str, int]) -> None:
         """Start items at replicas."""
 
-    async def take_tenant_grants(
+    async def apply_tenant_grants(
         self,
         grants: dict[str, int],
         by_tenant: dict[str, dict[str, int]],
@@ -89,12 +89,12 @@
 
         Together they may take the ``tokens`` of their replica; any, where these are empty.
         """
-        await self.take_grants(grants)
+        await self.apply_grants(grants)
 
-    async def take_revokes(self, revokes: dict[str, int]) -> None:
+    async def apply_revokes(self, revokes: dict[str, int]) -> None:
         """Suspend items at replicas."""
 
-    async def take_jobs(self, job_ids: list[str]) -> None:
+    async def take_over_jobs(self, job_ids: list[str]) -> None:
         """Run jobs that have no owner."""
 
 
@@ -114,7 +114,7 @@
         return self.asked_again_at + ANSWER_S
 
 
-class CoordinatorLink:
+class CoordinatorClient:
     """Reports to the coordinator and acts on its orders."""
 
     def __init__(
@@ -123,11 +123,11 @@
         leader: LeaderView,
         coordinator: Coordinator,
         transport: Sender,
-        loads: LoadBook,
+        loads: InFlightTracker,
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
         health: StoreHealth,
-        cases: CaseSync,
+        cases: CrashRecordSync,
         seeds: list[str],
         log: ServingLog,
         clock: Callable[[], float],
@@ -145,28 +145,28 @@
         self.use_seeds(seeds)
         self._log = log
         self._clock = clock
-        self.batch = BatchSide()
-        self.on_placed: Callable[[], None] = _ignore
+        self.batch_handler = BatchOrderHandler()
+        self.on_placement: Callable[[], None] = _ignore
         """Called when an online request has its place."""
 
-        self.on_leadership: Callable[[], Awaitable[None]] = _nothing
-        self.waiting: Waiting = {}
+        self.on_leadership_change: Callable[[], Awaitable[None]] = _nothing
+        self.waiting: WaitingByPool = {}
         """Own waiting items, as the next report tells them."""
 
         self.is_leaving = False
-        self.fullness_percent = 0
+        self.utilization_percent = 0
         """How full this node's machine is, as reports tell it; 0: nobody measures it."""
 
-        self.on_zone_fullness: Callable[[int], None] = _ignore_figure
+        self.on_zone_utilization: Callable[[int], None] = _ignore_figure
         """Called with how full the nodes of this zone are."""
 
         self._served_at = float("-inf")
         self._settled: dict[str, tuple[str, int]] = {}
-        self._places = PlaceDesk(self, loads, clock)
+        self._places = PlacementClient(self, loads, clock)
         self._replicas = DirectorySync(directory, log, clock)
-        self._served: list[Served] = []
+        self._served: list[RequestTiming] = []
         self._corrections: Counter[tuple[str, int]] = Counter()
-        self._timings: deque[ReplicaTiming] = deque(maxlen=MOST_TIMINGS)
+        self._timings: deque[ItemTiming] = deque(maxlen=MOST_TIMINGS)
         self._sequence = 0
         self._sent_at = float("-inf")
         self._heard_at = float("-inf")
@@ -204,18 +204,18 @@
         due_at = self._sent_at + longest_s
         return due_at if self._unanswered is None else min(due_at, self._unanswered.due_at)
 
-    async def note_change(self) -> None:
+    async def trigger_report(self) -> None:
         """Loads, waiting items or the like have changed: the coordinator should know soon."""
         if self._clock() - self._sent_at >= REPORT_GAP_S:
             await self._report()
         else:
             await self._wake.set()
 
-    def note_served(self, served: Served) -> None:
+    def record_request_timing(self, served: RequestTiming) -> None:
         """A request was answered; the next report tells its times."""
         self._served.append(served)
 
-    def note_correction(self, tenant: str, rank: int, more_ms: int) -> None:
+    def record_work_correction(self, tenant: str, rank: int, more_ms: int) -> None:
         """An item of a tenant held a slot for so much longer than expected, or shorter."""
         self._corrections[tenant, rank] += more_ms
 
@@ -223,7 +223,7 @@
         corrections, self._corrections = self._corrections, Counter()
         return [WorkCorrection(*key, more_ms) for key, more_ms in corrections.items()]
 
-    def note_timing(self, timing: ReplicaTiming) -> None:
+    def record_item_timing(self, timing: ItemTiming) -> None:
         """A run of an item ended; the next report tells how fast its replica was."""
         self._timings.append(timing)
 
@@ -270,12 +270,12 @@
         for host in sorted(hosts):
             self._transport.send(host, self._new_report(host, [], False))
 
-    def _send(self, target: Contact, asks: list[Ask]) -> None:
+    def _send(self, target: Contact, asks: list[PlacementRequest]) -> None:
         self._note_report(target)
         is_standby = self._leader.has_lost_coordinator
         self._transport.send(target.host, self._new_report(target.host, asks, is_standby))
 
-    async def _tell_self(self, asks: list[Ask]) -> None:
+    async def _tell_self(self, asks: list[PlacementRequest]) -> None:
         """Have this node's own coordinator decide; alone, it grants no slots to items.
 
         Its zone's standby isn't alone: it grants slots within the zone, to its own items too.
@@ -284,14 +284,14 @@
         report = self._new_report(host, asks, not self._coordinator.is_active)
         if not self._coordinator.is_active and not self._leader.serves_zone:
             report.waiting = {}
-        await self._coordinator.hear(report, host)
+        await self._coordinator.handle_report(report, host)
 
-    def _new_report(self, host: str, asks: list[Ask], has_lost: bool) -> Report:
+    def _new_report(self, host: str, asks: list[PlacementRequest], has_lost: bool) -> Report:
         self._sequence += 1
         self._sent_at = now = self._clock()
         loads = {
             key: NodeLoad(one.online, one.batch, one.tokens, one.batch_tokens)
-            for key, one in self._loads.own.items()
+            for key, one in self._loads.by_replica.items()
         }
         report = Report(
             self._identity.node,
@@ -314,9 +314,9 @@
             self._coordinator.deputy_grants(now),
             self._cases.for_report(),
             self._cases.ledger.digest,
-            timings=list(self._timings),
+            item_timings=list(self._timings),
             corrections=self._take_corrections(),
-            fullness_percent=self.fullness_percent,
+            utilization_percent=self.utilization_percent,
         )
         self._served = []
         self._timings.clear()
@@ -329,13 +329,13 @@
 
     # --- places for online requests ---
 
-    async def place(self, ask: Ask, until: float) -> Place:
+    async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
         """Return where a request goes, or why it goes nowhere, before ``until``."""
         place = await self._places.place(ask, until)
-        self.on_placed()
+        self.on_placement()
         return place
 
-    async def send_ask(self, ask: Ask) -> Contact | None:
+    async def send_ask(self, ask: PlacementRequest) -> Contact | None:
         """Send an ask to the coordinator or its stand-in; None: this node has to decide."""
         target = self._leader.target()
         if target is None or target.node == self._identity.node:
@@ -343,7 +343,7 @@
         self._send(target, [ask])
         return target
 
-    async def decide_alone(self, ask: Ask) -> None:
+    async def decide_alone(self, ask: PlacementRequest) -> None:
         """Answer an ask by what this node knows."""
         await self._tell_self([ask])
 
@@ -364,20 +364,20 @@
 
     # --- what comes ---
 
-    async def take(self, message: Datagram, host: str) -> None:
+    async def handle_message(self, message: Datagram, host: str) -> None:
         """Take a message of the coordinator or of another node."""
         self._note_word(host)
         match message:
             case Orders():
-                await self.take_orders(message, host)
+                await self.handle_orders(message, host)
             case Introduction():
                 await self.offer(message.leadership)
                 self._note_standby(host)
             case CrashCases():
-                if self._cases.take(message.cases, host):
-                    await self.note_change()
+                if self._cases.merge(message.crash_records, host):
+                    await self.trigger_report()
             case DirectoryUpdate():
-                if not self._replicas.take(message):
+                if not self._replicas.apply(message):
                     # Another change was lost on the way; the report asks for the whole list.
                     await self._wake.set()
 
@@ -411,15 +411,15 @@
             term=leadership.term,
             standbys=[one.node for one in leadership.standbys],
         )
-        await self.on_leadership()
+        await self.on_leadership_change()
         await self._wake.set()
 
-    async def take_orders(self, orders: Orders, host: str) -> None:
+    async def handle_orders(self, orders: Orders, host: str) -> None:
         """Act on orders, once."""
         now = self._clock()
         await self.offer(orders.leadership)
         for placement in orders.placements:
-            await self._places.take(placement)
+            await self._places.handle_placement(placement)
         current = self._leader.current
         if current is not None and orders.leadership.term < current.term:
             # Its sender has not heard that another node coordinates now.
@@ -429,13 +429,13 @@
         self._leader.note_heard(host, now)
         self._served_at = now if orders.is_store_served else self._served_at
         self._replicas.confirm(orders)
-        self._cases.note_coordinator(orders.cases_digest)
-        self.on_zone_fullness(orders.zone_fullness_percent)
+        self._cases.note_coordinator(orders.crash_digest)
+        self.on_zone_utilization(orders.zone_utilization_percent)
         if orders.take_over:
-            await self.batch.take_jobs(orders.take_over)
+            await self.batch_handler.take_over_jobs(orders.take_over)
         self._coordinator.take_fleet(orders.nodes, orders.near_limit, now)
-        if orders.totals:
-            self._coordinator.take_totals(orders.totals, now)
+        if orders.replica_loads:
+            self._coordinator.take_totals(orders.replica_loads, now)
         await self._take_batch_orders(orders, host)
 
     async def _take_batch_orders(self, orders: Orders, host: str) -> None:
@@ -446,17 +446,17 @@
         target = self._leader.target()
         is_followed = target is not None and target.host == host
         if is_followed and orders.revokes:
-            await self.batch.take_revokes(orders.revokes)
+            await self.batch_handler.apply_revokes(orders.revokes)
         if is_followed and (orders.grants_by_tenant or orders.grant_tokens):
-            await self.batch.take_tenant_grants(
+            await self.batch_handler.apply_tenant_grants(
                 orders.grants, orders.grants_by_tenant, orders.grant_tokens
             )
         elif is_followed and orders.grants:
-            await self.batch.take_grants(orders.grants)
+            await self.batch_handler.apply_grants(orders.grants)
         if orders.grants or orders.revokes:
-            await self.note_change()
+            await self.trigger_report()
 
-    def store_serves_others(self) -> bool:
+    def is_store_available_elsewhere(self) -> bool:
         """Whether the coordinator said lately that the store answers some other node."""
         return self._clock() - self._served_at < 2 * HEARTBEAT_S
 
--- a/src/cloverwalk/fleet/load.py
+++ b/src/cloverwalk/fleet/load.py
@@ -21,12 +21,12 @@
         return self.online + self.batch
 
 
-NOTHING = InFlight()
+NOTHING_IN_FLIGHT = InFlight()
 """Work in flight at a replica that has none; not to be changed."""
 
 
 @attrs.define
-class Work:
+class InFlightEntry:
     """A request or an item that this node has at a replica."""
 
     replica_id: str
@@ -36,10 +36,10 @@
     """Whether the replica has put something out: the work has a slot."""
 
 
-class LoadBook:
+class InFlightTracker:
     """Own work in flight.
 
-    >>> book = LoadBook()
+    >>> book = InFlightTracker()
     >>> work = book.begin("r1", is_batch=False)
     >>> book.begin("r1", is_batch=True).has_output
     False
@@ -51,25 +51,25 @@
     """
 
     def __init__(self, counts_tokens: bool = False) -> None:
-        self.own: dict[str, InFlight] = {}
+        self.by_replica: dict[str, InFlight] = {}
         self.counts_tokens = counts_tokens
         """Whether replicas' memory is scarce; else nobody asks for tokens, and none are told."""
 
-    def begin(self, replica_id: str, is_batch: bool, tokens: int = 0) -> Work:
+    def begin(self, replica_id: str, is_batch: bool, tokens: int = 0) -> InFlightEntry:
         """Work was sent to a replica; the result is passed to ``end``."""
         tokens = tokens if self.counts_tokens else 0
-        own = self.own.setdefault(replica_id, InFlight())
+        own = self.by_replica.setdefault(replica_id, InFlight())
         if is_batch:
             own.batch += 1
             own.batch_tokens += tokens
         else:
             own.online += 1
         own.tokens += tokens
-        return Work(replica_id, is_batch, tokens)
+        return InFlightEntry(replica_id, is_batch, tokens)
 
-    def end(self, work: Work) -> None:
+    def end(self, work: InFlightEntry) -> None:
         """Work ended at a replica, or its connection was closed."""
-        own = self.own[work.replica_id]
+        own = self.by_replica[work.replica_id]
         if work.is_batch:
             own.batch -= 1
             own.batch_tokens -= work.tokens
@@ -77,4 +77,4 @@
             own.online -= 1
         own.tokens -= work.tokens
         if own.total == 0:
-            del self.own[work.replica_id]
+            del self.by_replica[work.replica_id]
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -42,44 +42,44 @@
 class WaitingGroup(Struct, array_like=True, frozen=True):
     """Batch items of a node that wait for a slot and are due at about the same time."""
 
-    due_step: int
+    sort_key: int
     """Due time, in steps of the store's clock, see ``cloverwalk.jobs.order``."""
 
     items: int
     replica_id: str = ""
     """The replica that may still keep their prompts and output; empty: any is as good."""
 
-    reading_ms: int = 0
+    prefill_ms: int = 0
     """How long a replica reads the prompt of one of them, about."""
 
     tenant: str = ""
     """Whose items they are; empty where callers have no keys, or where nobody shares by tenant."""
 
-    rest_ms: int = 0
+    remaining_ms: int = 0
     """How long one of them still runs at a replica of the usual pace, about; 0: not told."""
 
     tokens: int = 0
     """Memory that one of them may take at a replica, in tokens; 0: not told."""
 
 
-Waiting = dict[str, list[WaitingGroup]]
-"""Waiting items by pool: the services that take them."""
+WaitingByPool = dict[str, list[WaitingGroup]]
+"""WaitingByPool items by pool: the services that take them."""
 
 
-class TokenUse(enum.Enum):
+class QuotaTokenUse(enum.Enum):
     """What a request needs of its tenant's quota."""
 
     NEW = "new"
     """A token: it goes nowhere without one."""
 
-    KEPT = "kept"
+    ALREADY_GRANTED = "kept"
     """Nothing: it has a token, and no replica has run it."""
 
-    AGAIN = "again"
+    RETRY = "again"
     """It may have run and is sent once more. That is counted, whether there is a token or not."""
 
 
-class DeputyGrants(Struct, array_like=True, frozen=True):
+class LocalGrants(Struct, array_like=True, frozen=True):
     """Tokens that a node gave out itself while the coordinator did not answer.
 
     Counts go up within a process and series; a node begins another series after a quiet time.
@@ -89,7 +89,7 @@
     counts: dict[str, int]
 
 
-class Ask(Struct, array_like=True, frozen=True):
+class PlacementRequest(Struct, array_like=True, frozen=True):
     """Asks for a place for one online request."""
 
     number: int
@@ -119,7 +119,7 @@
     tenant: str = ""
     """Who sends it; empty for callers without a key."""
 
-    token: TokenUse = TokenUse.NEW
+    quota_token: QuotaTokenUse = QuotaTokenUse.NEW
     content: str = ""
     """Its content, where a replica has ended under it; empty for all others."""
 
@@ -128,12 +128,12 @@
     0: its caller did not say."""
 
 
-class Served(Struct, array_like=True, frozen=True):
+class RequestTiming(Struct, array_like=True, frozen=True):
     """Times of an online request that was answered at its first attempt, in ms."""
 
     route: str
     replica_id: str
-    start_ms: int
+    first_event_ms: int
     """From sending to its first event."""
 
     hold_ms: int
@@ -153,7 +153,7 @@
     """Who sent it; empty for callers without a key."""
 
 
-class ReplicaTiming(Struct, array_like=True, frozen=True):
+class ItemTiming(Struct, array_like=True, frozen=True):
     """How an item ran at a replica, in ms."""
 
     replica_id: str
@@ -162,7 +162,7 @@
     """From its first event in this run to its last."""
 
     slowdown_percent: int = 0
-    """As in ``Served``."""
+    """As in ``RequestTiming``."""
 
 
 class WorkCorrection(Struct, array_like=True, frozen=True):
@@ -170,7 +170,7 @@
 
     tenant: str
     rank: int
-    more_ms: int
+    extra_ms: int
     """Negative: less, also where they gave way."""
 
 
@@ -185,7 +185,7 @@
     run: str
     zone: str
     sequence: int
-    settled: int
+    last_applied_order: int
     configuration_version: int
     directory: int
     """Fingerprint of the node's list of replicas."""
@@ -195,40 +195,40 @@
 
     cores: float = 1.0
     loads: dict[str, NodeLoad] = {}
-    waiting: Waiting = {}
+    waiting: WaitingByPool = {}
     suspects: list[str] = []
     """Replicas that failed at this node lately."""
 
-    asks: list[Ask] = []
+    placement_requests: list[PlacementRequest] = []
     withdrawn: list[int] = []
     """Asks whose requests wait no more."""
 
-    served: list[Served] = []
+    request_timings: list[RequestTiming] = []
     is_leaving: bool = False
     has_lost_coordinator: bool = False
     """Whether the coordinator does not answer this node, which turns to the receiver instead."""
 
-    deputy_grants: DeputyGrants | None = None
+    local_grants: LocalGrants | None = None
     """Tokens of quotas that this node gave out itself lately."""
 
-    cases: list[CrashRecord] = []
+    crash_records: list[CrashRecord] = []
     """Requests under which replicas have ended or that were answered, as seen here lately; all
     that are known where the coordinator knows others."""
 
-    cases_digest: int = 0
+    crash_digest: int = 0
     """Digest of the cases that all nodes should know."""
 
-    timings: list[ReplicaTiming] = []
+    item_timings: list[ItemTiming] = []
     """How items ran that have ended since the last report; bounded by the sender."""
 
-    fullness_percent: int = 0
+    utilization_percent: int = 0
     """How much of what the node's machine can carry is in use, by whatever is scarcest there; 0:
     nobody measures it."""
 
     @property
     def is_full(self) -> bool:
         """Whether the node's machine is nearly full, and gets what can go elsewhere last."""
-        return self.fullness_percent >= FULL_PERCENT
+        return self.utilization_percent >= FULL_PERCENT
 
     corrections: list[WorkCorrection] = []
     """Those since the last report; none where nobody shares by tenant."""
@@ -255,7 +255,7 @@
     """Online work at the replica when it was chosen; for the log, as the next two."""
 
     batch: int = 0
-    reading_ms: int = 0
+    prefill_ms: int = 0
     """Time that the replica needed for prompts which were sent before."""
 
     ahead_ms: int = 0
@@ -314,7 +314,7 @@
     take_over: list[str] = []
     """Jobs without an owner that the receiver should run."""
 
-    totals: dict[str, NodeLoad] = {}
+    replica_loads: dict[str, NodeLoad] = {}
     """Work of all nodes, for a node that has to decide alone for a while; may be left out."""
 
     nodes: int = 0
@@ -323,13 +323,13 @@
     near_limit: list[str] = []
     """Tenants that may be near the limit of their quota."""
 
-    cases_digest: int = 0
+    crash_digest: int = 0
     """Digest of the sender's cases, as in a report."""
 
     grants_by_tenant: dict[str, dict[str, int]] = {}
     """Whose items the grants are for, by replica; what it leaves out is for any item."""
 
-    zone_fullness_percent: int = 0
+    zone_utilization_percent: int = 0
     """How full the nodes of the receiver's zone are in the middle; 0: not told."""
 
     grant_tokens: dict[str, int] = {}
@@ -337,21 +337,21 @@
     nobody counts it."""
 
 
-class RouteFigures(Struct, array_like=True, frozen=True):
+class RouteEstimates(Struct, array_like=True, frozen=True):
     """What was learnt of a route's requests."""
 
-    start_ms: float
+    first_event_ms: float
     hold_ms: float
     wait_factor: float
 
 
-class PaceFigures(Struct, array_like=True, frozen=True):
+class SlowdownEstimate(Struct, array_like=True, frozen=True):
     """What was learnt of a replica's pace, as factors of its service's usual time."""
 
-    usual: float
+    baseline: float
     """What its kind of machine takes; changes slowly."""
 
-    now: float
+    current: float
     """What it took lately, its neighbours' work included."""
 
     age_ms: int
@@ -363,8 +363,8 @@
 
     leadership: Leadership
     store_age_ms: int
-    totals: dict[str, NodeLoad]
-    figures: dict[str, RouteFigures]
+    replica_loads: dict[str, NodeLoad]
+    route_estimates: dict[str, RouteEstimates]
     nodes: list[Contact] = []
     """All live nodes; told less often than the rest."""
 
@@ -372,13 +372,13 @@
     quota_levels: dict[str, float] = {}
     """Tokens that are left, by tenant, where it is not the whole quota."""
 
-    paces: dict[str, PaceFigures] = {}
+    slowdowns: dict[str, SlowdownEstimate] = {}
     """By replica, where it differs from its service's usual one."""
 
-    used_shares: dict[str, float] = {}
+    usage_by_tenant: dict[str, float] = {}
     """Slot time that tenants have had ahead of others, in ms, by tenant."""
 
-    used_item_shares: dict[str, float] = {}
+    item_usage_by_tenant: dict[str, float] = {}
     """The same for their items."""
 
 
@@ -419,7 +419,7 @@
 class CrashCases(Struct, tag="crash_cases", array_like=True):
     """Requests under which replicas have ended, for all nodes to know."""
 
-    cases: list[CrashRecord]
+    crash_records: list[CrashRecord]
 
 
 class Introduction(Struct, tag="introduction", array_like=True):
--- a/src/cloverwalk/fleet/places.py
+++ b/src/cloverwalk/fleet/places.py
@@ -10,8 +10,8 @@
 import curio
 import msgspec
 
-from cloverwalk.fleet.load import LoadBook, Work
-from cloverwalk.fleet.messages import Ask, Contact, Placement
+from cloverwalk.fleet.load import InFlightTracker, InFlightEntry
+from cloverwalk.fleet.messages import PlacementRequest, Contact, Placement
 from cloverwalk.scheduling.admission import PlacementVerdict
 
 ASK_TIMEOUT_LEAST_S = 0.03
@@ -29,14 +29,14 @@
 
 
 @attrs.define
-class Place:
+class PlacementResult:
     """The answer to a request that asked for a place."""
 
     placement: Placement
-    work: Work | None = None
+    work: InFlightEntry | None = None
     """The request as the load of its replica counts it, where the verdict is SEND."""
 
-    was_held: bool = False
+    was_queued: bool = False
     """Whether it was held for a slot before."""
 
     @property
@@ -56,7 +56,7 @@
 
     tokens: int
     event: curio.Event = attrs.Factory(curio.Event)
-    place: Place | None = None
+    place: PlacementResult | None = None
     is_held: bool = False
     was_held: bool = False
 
@@ -64,11 +64,11 @@
 class AskSender(Protocol):
     """Sends asks to whoever coordinates."""
 
-    async def send_ask(self, ask: Ask) -> Contact | None:
+    async def send_ask(self, ask: PlacementRequest) -> Contact | None:
         """Send an ask; None: this node has to decide."""
         ...
 
-    async def decide_alone(self, ask: Ask) -> None:
+    async def decide_alone(self, ask: PlacementRequest) -> None:
         """Answer an ask by what this node knows."""
         ...
 
@@ -77,10 +77,10 @@
         ...
 
 
-class PlaceDesk:
+class PlacementClient:
     """Places for the online requests of this node."""
 
-    def __init__(self, sender: AskSender, loads: LoadBook, clock: Callable[[], float]) -> None:
+    def __init__(self, sender: AskSender, loads: InFlightTracker, clock: Callable[[], float]) -> None:
         self._sender = sender
         self._loads = loads
         self._clock = clock
@@ -89,7 +89,7 @@
         self._withdrawn: list[int] = []
         self._round_trip_s = FIRST_ROUND_TRIP_S
 
-    async def place(self, ask: Ask, until: float) -> Place:
+    async def place(self, ask: PlacementRequest, until: float) -> PlacementResult:
         """Return where a request goes, or why it goes nowhere, before ``until``.
 
         ``ask`` gets its number here. A place that was found counts as work in flight already.
@@ -115,7 +115,7 @@
             if pending.is_held:
                 self._withdrawn.append(ask.number)
 
-    async def _ask(self, ask: Ask, pending: _Pending) -> None:
+    async def _ask(self, ask: PlacementRequest, pending: _Pending) -> None:
         """Ask until somebody has answered, if only that the request is held."""
         pending.is_held = False
         for _ in range(MOST_ASKED):
@@ -146,7 +146,7 @@
             await pending.event.wait()
         pending.event.clear()
 
-    async def take(self, placement: Placement) -> None:
+    async def handle_placement(self, placement: Placement) -> None:
         """Take the answer to an ask; late and repeated ones are of no use any more."""
         pending = self._pending.get(placement.number)
         if pending is None or pending.place is not None:
@@ -157,7 +157,7 @@
             work = None
             if placement.verdict is PlacementVerdict.SEND:
                 work = self._loads.begin(placement.replica_id, False, pending.tokens)
-            pending.place = Place(placement, work, pending.was_held)
+            pending.place = PlacementResult(placement, work, pending.was_held)
         await pending.event.set()
 
     def take_withdrawn(self) -> list[int]:
@@ -166,7 +166,7 @@
         return withdrawn
 
 
-def _later(ask: Ask, waited_ms: int, must_place: bool) -> Ask:
+def _later(ask: PlacementRequest, waited_ms: int, must_place: bool) -> PlacementRequest:
     """Return an ask as it is after a wait."""
     return msgspec.structs.replace(
         ask,
--- a/src/cloverwalk/fleet/roster.py
+++ b/src/cloverwalk/fleet/roster.py
@@ -4,7 +4,7 @@
 
 from cloverwalk.fleet.messages import Contact, Report
 
-NODE_SILENT_S = 2.3
+NODE_TIMEOUT_S = 2.3
 """A node that was silent for so long is lost: two of its reports, one a second, are missing."""
 
 REMEMBERED_S = 60.0
@@ -38,13 +38,13 @@
     is_lost: bool = False
 
 
-class Roster:
+class NodeRegistry:
     """Nodes by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, KnownNode] = {}
 
-    def hear(self, report: Report, host: str, now: float) -> tuple[KnownNode, bool] | None:
+    def record_report(self, report: Report, host: str, now: float) -> tuple[KnownNode, bool] | None:
         """Take a report; return the node and whether it is a new process, None if it is late."""
         known = self.by_name.get(report.node)
         is_new = known is None or known.is_lost or known.report.run != report.run
@@ -64,7 +64,7 @@
         lost: list[KnownNode] = []
         for name, known in list(self.by_name.items()):
             silent_s = now - known.heard_at
-            if silent_s > NODE_SILENT_S and not known.is_lost:
+            if silent_s > NODE_TIMEOUT_S and not known.is_lost:
                 known.is_lost = True
                 lost.append(known)
             if known.is_lost and silent_s > remembered_s:
@@ -96,12 +96,12 @@
         """Return the nodes that are lost and remembered, sorted by name."""
         return [self.by_name[name] for name in sorted(self.by_name) if self.by_name[name].is_lost]
 
-    def has_replaced(self, incarnation: str) -> bool:
+    def is_superseded(self, incarnation: str) -> bool:
         """Whether a process was heard that runs in place of an earlier one."""
         known = self.by_name.get(incarnation.rpartition(".")[0])
         return known is not None and known.report.incarnation != incarnation
 
-    def is_heard(self, incarnation: str) -> bool:
+    def is_reporting(self, incarnation: str) -> bool:
         """Whether a process reports; one that is about to stop hands its jobs over itself."""
         known = self.by_name.get(incarnation.rpartition(".")[0])
         return known is not None and not known.is_lost and known.report.incarnation == incarnation
--- a/src/cloverwalk/fleet/snapshots.py
+++ b/src/cloverwalk/fleet/snapshots.py
@@ -1,6 +1,6 @@
 """Snapshots of what the coordinator knows, for its standbys."""
 
-from cloverwalk.fleet.messages import Leadership, PaceFigures, RouteFigures, Snapshot
+from cloverwalk.fleet.messages import Leadership, SlowdownEstimate, RouteEstimates, Snapshot
 from cloverwalk.fleet.roster import KnownNode
 from cloverwalk.scheduling.pace_handover import SlowdownReplicator
 from cloverwalk.scheduling.scheduler import Scheduler
@@ -33,16 +33,16 @@
             current,
             int(min(MOST_STORE_AGE_MS, self._health.ms_since_answer())),
             scheduler.replica_loads(),
-            {route: RouteFigures(*figures) for route, figures in times.items()},
+            {route: RouteEstimates(*figures) for route, figures in times.items()},
             [one.contact for one in live] if self._made % NODES_EVERY == 0 else [],
             is_leaving,
             scheduler.quotas.bucket_levels(now),
-            paces=self._paces_due([one.node for one in current.standbys], now),
-            used_shares=scheduler.online_shares.usage(),
-            used_item_shares=scheduler.item_shares.usage(),
+            slowdowns=self._paces_due([one.node for one in current.standbys], now),
+            usage_by_tenant=scheduler.online_shares.usage(),
+            item_usage_by_tenant=scheduler.item_shares.usage(),
         )
 
-    def _paces_due(self, standbys: list[str], now: float) -> dict[str, PaceFigures]:
+    def _paces_due(self, standbys: list[str], now: float) -> dict[str, SlowdownEstimate]:
         paces = self._scheduler.slowdowns
         due = self._pace_teller.due(paces.baselines(), standbys, now)
         return paces.estimates(due, now)
--- a/src/cloverwalk/gateway/progress.py
+++ b/src/cloverwalk/gateway/progress.py
@@ -3,7 +3,7 @@
 from msgspec import Struct, field
 
 from cloverwalk.core.final_answer import WorkState
-from cloverwalk.fleet.load import Work
+from cloverwalk.fleet.load import InFlightEntry
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.gateway.crash_witness import Delivery
 
@@ -31,7 +31,7 @@
     is_sent: bool = False
     """Whether bytes went to a replica whose answer is not known yet."""
 
-    work: Work | None = None
+    work: InFlightEntry | None = None
     """The present attempt, as the load of its replica counts it."""
 
     sent_at: float | None = None
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -10,10 +10,10 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.core.final_answer import error_response
-from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.fleet.load import LoadBook
-from cloverwalk.fleet.messages import Ask, TokenUse
-from cloverwalk.fleet.places import Place
+from cloverwalk.fleet.link import CoordinatorClient
+from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.fleet.messages import PlacementRequest, QuotaTokenUse
+from cloverwalk.fleet.places import PlacementResult
 from cloverwalk.gateway import refusals
 from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_SILENCE_S, AnswerRelay
 from cloverwalk.gateway.configuration import Route, RouteKind
@@ -50,12 +50,12 @@
         self,
         codec: GatewayCodec,
         directory: ReplicaDirectory,
-        loads: LoadBook,
+        loads: InFlightTracker,
         pool: ReplicaPool,
         log: ServingLog,
         metrics: ServingMetrics,
         clock: Callable[[], float],
-        link: CoordinatorLink,
+        link: CoordinatorClient,
         refusals: QuotaRefusalCache,
         containment: ContainmentGate,
     ) -> None:
@@ -127,7 +127,7 @@
             suspected = await self._containment.check(request, progress)
             ask = self._ask(request, progress, suspected)
             self._check_remembered(ask)
-            place = await self._link.place(ask, request.received_at + MAX_QUEUE_WAIT_S)
+            place = await self._link.request_placement(ask, request.received_at + MAX_QUEUE_WAIT_S)
             self._check_verdict(request, progress, place)
             replica = self._directory.find(place.replica_id)
             if replica is not None:
@@ -139,7 +139,7 @@
             await self._end_work(place)
 
     def _check_verdict(
-        self, request: ClientRequest, progress: RequestProgress, place: Place
+        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
     ) -> None:
         """Raise the refusal of a request that got no place."""
         match place.verdict:
@@ -159,27 +159,27 @@
             case PlacementVerdict.SEND | PlacementVerdict.QUEUE:
                 return
 
-    def _check_remembered(self, ask: Ask) -> None:
+    def _check_remembered(self, ask: PlacementRequest) -> None:
         """Raise the refusal of a tenant that the coordinator has refused just now."""
-        if ask.token is not TokenUse.NEW:
+        if ask.quota_token is not QuotaTokenUse.NEW:
             return
         rest_s = self._refusals.remaining_s(ask.tenant)
         if rest_s > 0:
             raise refusals.over_quota(rest_s)
 
-    async def _end_work(self, place: Place) -> None:
+    async def _end_work(self, place: PlacementResult) -> None:
         if place.work is not None:
             self._loads.end(place.work)
-            await self._link.note_change()
+            await self._link.trigger_report()
 
-    def _ask(self, request: ClientRequest, progress: RequestProgress, suspected: str) -> Ask:
+    def _ask(self, request: ClientRequest, progress: RequestProgress, suspected: str) -> PlacementRequest:
         now = self._clock()
         fields, route = request.fields, progress.route
         elapsed_s = now - request.received_at
         own_tokens = fields.prompt[-1].tokens if fields.prompt else 0
         shared = max(fields.prompt[:-1], key=lambda part: part.tokens, default=None)
         deadline_s = fields.deadline_s
-        return Ask(
+        return PlacementRequest(
             0,
             route.name,
             progress.service,
@@ -203,11 +203,11 @@
         has_begun = progress.may_have_run or bool(progress.refused)
         return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
-    def _note_choice(self, request: ClientRequest, progress: RequestProgress, place: Place) -> None:
+    def _note_choice(self, request: ClientRequest, progress: RequestProgress, place: PlacementResult) -> None:
         now = self._clock()
         progress.work = place.work
         progress.expected_wait_ms = float(place.placement.wait_ms)
-        progress.was_queued = place.was_held
+        progress.was_queued = place.was_queued
         self._log.write(
             catalogue.REPLICA_CHOSEN,
             request=request.fields.request_id,
@@ -215,7 +215,7 @@
             tenant=request.tenant,
             online=place.placement.online,
             batch=place.placement.batch,
-            reading_ms=place.placement.reading_ms,
+            reading_ms=place.placement.prefill_ms,
             expected_wait_ms=place.placement.wait_ms,
             waited_ms=round((now - request.received_at) * 1000, 1),
             list_age_s=round(now - self._directory.confirmed_at, 3),
@@ -266,7 +266,7 @@
             if progress.work is not None:
                 self._loads.end(progress.work)
                 progress.work = None
-            await self._link.note_change()
+            await self._link.trigger_report()
 
     async def _attempt_counted(
         self, request: ClientRequest, progress: RequestProgress, replica: Replica, reply: Reply
@@ -324,7 +324,7 @@
         load = head.fields.load
         served = request_timing(progress, load, request.tenant, self._clock())
         if served is not None:
-            self._link.note_served(served)
+            self._link.record_request_timing(served)
         self._containment.note_answer(request)
         self._note_end(request, progress, "answered", head.status)
         return head
@@ -420,7 +420,7 @@
     return head.fields.was_not_run and head.status >= LEAST_FAILURE_STATUS
 
 
-def _token_use(progress: RequestProgress) -> TokenUse:
+def _token_use(progress: RequestProgress) -> QuotaTokenUse:
     if not progress.has_token:
-        return TokenUse.NEW
-    return TokenUse.AGAIN if progress.tried else TokenUse.KEPT
+        return QuotaTokenUse.NEW
+    return QuotaTokenUse.RETRY if progress.tried else QuotaTokenUse.ALREADY_GRANTED
--- a/src/cloverwalk/gateway/served_times.py
+++ b/src/cloverwalk/gateway/served_times.py
@@ -1,13 +1,13 @@
 """What a node tells the coordinator of a request that was answered."""
 
-from cloverwalk.fleet.messages import Served
+from cloverwalk.fleet.messages import RequestTiming
 from cloverwalk.gateway.messages import ReplicaLoad
 from cloverwalk.gateway.progress import RequestProgress
 
 
 def request_timing(
     progress: RequestProgress, load: ReplicaLoad | None, tenant: str, now: float
-) -> Served | None:
+) -> RequestTiming | None:
     """Return the times of a request that ends now; None unless its first attempt was answered.
 
     Events that the client took late say nothing of the replica, so they are not told.
@@ -16,7 +16,7 @@
         return None
     began_at = progress.first_event_at or now
     holds_since = progress.first_event_at or progress.sent_at
-    return Served(
+    return RequestTiming(
         progress.route.name,
         progress.last_replica,
         round((began_at - progress.sent_at) * 1000),
--- a/src/cloverwalk/jobs/assigner.py
+++ b/src/cloverwalk/jobs/assigner.py
@@ -9,7 +9,7 @@
 from cloverwalk.core.hashing import rendezvous_owner
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.roster import NODE_SILENT_S
+from cloverwalk.fleet.roster import NODE_TIMEOUT_S
 from cloverwalk.jobs.records import JobRecord
 from cloverwalk.jobs.view import JobView, KnownJob
 from cloverwalk.telemetry.log import ServingLog
@@ -56,7 +56,7 @@
     async def run(self) -> None:
         """Assign jobs until cancelled."""
         while True:
-            await self._coordinator.until_active()
+            await self._coordinator.wait_until_active()
             await curio.sleep(LOOK_EVERY_S)
             self.assign()
 
@@ -75,11 +75,11 @@
                 self._ordered_at[known.record.job_id] = now
                 by_heir.setdefault(heir, []).append(known.record.job_id)
         for heir, job_ids in sorted(by_heir.items()):
-            self._coordinator.order_take_over(heir, job_ids)
+            self._coordinator.send_takeover(heir, job_ids)
 
     def _heirs(self) -> list[str]:
         """Return the processes that may run jobs; those on full machines only if all are full."""
-        live = [one.report for one in self._coordinator.roster.live() if not one.report.is_leaving]
+        live = [one.report for one in self._coordinator.registry.live() if not one.report.is_leaving]
         with_room = [one for one in live if not one.is_full]
         return [one.incarnation for one in with_room or live]
 
@@ -110,11 +110,11 @@
         return now - seen.since
 
     def _is_orphan(self, record: JobRecord, now: float) -> bool:
-        roster = self._coordinator.roster
-        if not record.owner or roster.has_replaced(record.owner):
+        roster = self._coordinator.registry
+        if not record.owner or roster.is_superseded(record.owner):
             return True
-        if roster.is_heard(record.owner):
+        if roster.is_reporting(record.owner):
             return False
         # Whoever coordinates has to hear all nodes once before it can miss one.
         since = self._coordinator.active_since
-        return since is not None and now - since > NODE_SILENT_S
+        return since is not None and now - since > NODE_TIMEOUT_S
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -7,9 +7,9 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.link import BatchSide, CoordinatorLink
-from cloverwalk.fleet.load import LoadBook, Work
-from cloverwalk.fleet.messages import ReplicaTiming
+from cloverwalk.fleet.link import BatchOrderHandler, CoordinatorClient
+from cloverwalk.fleet.load import InFlightTracker, InFlightEntry
+from cloverwalk.fleet.messages import ItemTiming
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
 from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
@@ -35,7 +35,7 @@
 class _Running:
     """An item at a replica."""
 
-    def __init__(self, job: JobRun, one: ItemRun, work: Work, started_at: float) -> None:
+    def __init__(self, job: JobRun, one: ItemRun, work: InFlightEntry, started_at: float) -> None:
         self.job = job
         self.one = one
         self.work = work
@@ -53,17 +53,17 @@
         self.work.has_output = True
 
 
-class BatchRunner(BatchSide):
+class BatchRunner(BatchOrderHandler):
     """Starts, suspends and ends runs of items."""
 
     def __init__(
         self,
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
-        loads: LoadBook,
+        loads: InFlightTracker,
         caller: ItemCaller,
         witness: CrashDetector,
-        link: CoordinatorLink,
+        link: CoordinatorClient,
         on_finished: Callable[[JobRun], Awaitable[None]],
         on_orphans: Callable[[list[str]], Awaitable[None]],
         store_time: Callable[[], StoreTime | None],
@@ -173,7 +173,7 @@
         waiting = {pool: summarise(items) for pool, items in by_pool.items() if items}
         if waiting != self._link.waiting or self._take_has_ended():
             self._link.waiting = waiting
-            await self._link.note_change()
+            await self._link.trigger_report()
 
     def _take_has_ended(self) -> bool:
         """Return whether a run has ended since the last call; own loads have changed then."""
@@ -295,15 +295,15 @@
 
     # --- orders ---
 
-    async def take_jobs(self, job_ids: list[str]) -> None:
+    async def take_over_jobs(self, job_ids: list[str]) -> None:
         """Run jobs that have no owner."""
         await self._on_orphans(job_ids)
 
-    async def take_grants(self, grants: dict[str, int]) -> None:
+    async def apply_grants(self, grants: dict[str, int]) -> None:
         """Start as many items at each replica as there are slots for them."""
-        await self.take_tenant_grants(grants, {}, {})
+        await self.apply_tenant_grants(grants, {}, {})
 
-    async def take_tenant_grants(
+    async def apply_tenant_grants(
         self,
         grants: dict[str, int],
         by_tenant: dict[str, dict[str, int]],
@@ -341,7 +341,7 @@
         ranked.sort(key=lambda entry: entry[0])
         return [(job, one) for _, job, one in ranked]
 
-    async def take_revokes(self, revokes: dict[str, int]) -> None:
+    async def apply_revokes(self, revokes: dict[str, int]) -> None:
         """Suspend items at replicas, where online requests need their slots."""
         giving_way = [
             running
@@ -450,7 +450,7 @@
             return
         tenant, rank = running.job.record.tenant, self._priority(running.job)
         more_ms = running.one.last_run_s * 1000 - running.expected_ms
-        self._link.note_correction(tenant, rank, round(more_ms))
+        self._link.record_work_correction(tenant, rank, round(more_ms))
 
     def _tell_timing(self, running: _Running) -> None:
         timing = running.one.timing
@@ -461,8 +461,8 @@
             # Nobody asks for it, and reports stay as small as they are without it.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
-        told = ReplicaTiming(running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent)
-        self._link.note_timing(told)
+        told = ItemTiming(running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent)
+        self._link.record_item_timing(told)
 
     def _note_lateness(self, job: JobRun, one: ItemRun) -> str | None:
         """Return why a finished item is late; None for one in time, or not finished."""
--- a/src/cloverwalk/jobs/sweeper.py
+++ b/src/cloverwalk/jobs/sweeper.py
@@ -47,7 +47,7 @@
         store: Store,
         committer: Committer,
         store_time: Callable[[], StoreTime | None],
-        status_s: float,
+        job_status_ttl_s: float,
         log: ServingLog,
     ) -> None:
         self._name = name
@@ -56,7 +56,7 @@
         self._store = store
         self._committer = committer
         self._store_time = store_time
-        self._kept_ms = status_s * 1000 + MARGIN_MS
+        self._kept_ms = job_status_ttl_s * 1000 + MARGIN_MS
         self._log = log
 
     async def run(self) -> None:
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -8,7 +8,7 @@
 import attrs
 import msgspec
 
-from cloverwalk.fleet.messages import Waiting, WaitingGroup
+from cloverwalk.fleet.messages import WaitingByPool, WaitingGroup
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.decisions import Outbox
 from cloverwalk.scheduling.due_steps import band_end, due_ms, rank_of
@@ -34,7 +34,7 @@
 
 @attrs.define
 class _Claim:
-    """Waiting items of a node that may get slots now."""
+    """WaitingByPool items of a node that may get slots now."""
 
     node: str
     pool: str
@@ -48,16 +48,16 @@
 
     def rank(self) -> tuple[int, str, str]:
         """What items over the fleet are sorted by."""
-        return (self.group.due_step, self.node, self.group.replica_id)
+        return (self.group.sort_key, self.node, self.group.replica_id)
 
     @property
     def work_ms(self) -> float:
         """The slot time that one of its items is expected to take."""
-        return float(self.group.rest_ms or FIRST_GUESS_ITEM_MS)
+        return float(self.group.remaining_ms or FIRST_GUESS_ITEM_MS)
 
 
 def _due_step(claim: _Claim) -> int:
-    return claim.group.due_step
+    return claim.group.sort_key
 
 
 class BatchGrants:
@@ -77,7 +77,7 @@
         self._book = book
         self._outbox = outbox
         self._arrivals_per_s = arrivals_per_s
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, WaitingByPool] = {}
         self._zones: dict[str, str] = {}
         self.zone = ""
         """The zone whose replicas items get slots of; empty: all."""
@@ -85,7 +85,7 @@
 
     # --- what waits ---
 
-    def record_waiting(self, node: str, zone: str, waiting: Waiting) -> None:
+    def record_waiting(self, node: str, zone: str, waiting: WaitingByPool) -> None:
         """Take what waits at a node; what it was just granted does not wait any more."""
         self._zones[node] = zone
         if not waiting:
@@ -103,7 +103,7 @@
         self._zones.pop(node, None)
 
     @property
-    def waiting(self) -> dict[str, Waiting]:
+    def waiting(self) -> dict[str, WaitingByPool]:
         """What waits, by node."""
         return self._waiting
 
@@ -202,7 +202,7 @@
         """Return how long a replica reads the prompt of a waiting item, on average."""
         groups = [one for waiting in self._waiting.values() for one in waiting.get(pool, [])]
         items = sum(one.items for one in groups)
-        return sum(one.items * one.reading_ms for one in groups) / max(1, items)
+        return sum(one.items * one.prefill_ms for one in groups) / max(1, items)
 
     def _claims(self, pool: str) -> list[_Claim]:
         claims = [
@@ -229,13 +229,13 @@
         """
         start = 0
         while start < len(claims):
-            after = band_end(claims[start].group.due_step)
+            after = band_end(claims[start].group.sort_key)
             end = bisect_left(claims, after, start, key=_due_step)
             yield from self._within_band(claims[start:end])
             start = end
 
     def _within_band(self, claims: list[_Claim]) -> Iterator[_Claim]:
-        rank = rank_of(claims[0].group.due_step)
+        rank = rank_of(claims[0].group.sort_key)
         queues: dict[str, list[_Claim]] = {}
         for claim in reversed(claims):
             queues.setdefault(claim.group.tenant, []).append(claim)
@@ -282,10 +282,10 @@
 
     def _most_pace(self, group: WaitingGroup) -> float | None:
         """Return the pace at which items of a group just end in time; None: pace does not count."""
-        if not self._replicas.paces or group.rest_ms <= 0:
+        if not self._replicas.paces or group.remaining_ms <= 0:
             return None
         store_ms = self.store_ms()
-        return None if store_ms is None else (due_ms(group.due_step) - store_ms) / group.rest_ms
+        return None if store_ms is None else (due_ms(group.sort_key) - store_ms) / group.remaining_ms
 
     def _best_by_pace(
         self,
@@ -317,7 +317,7 @@
 
     def _charge(self, claim: _Claim) -> None:
         """Count the slot time that an item is expected to take to its tenant."""
-        rank = rank_of(claim.group.due_step)
+        rank = rank_of(claim.group.sort_key)
         self.shares.charge(rank, claim.group.tenant, claim.work_ms, claim.waiting)
 
     def _grant_one(self, claim: _Claim, replica_id: str, now: float) -> None:
@@ -343,7 +343,7 @@
             now=now,
         )
         pace = self._replicas.paces.get(replica_id, 1.0)
-        self._replicas.note_reading(replica_id, pace * claim.group.reading_ms, now)
+        self._replicas.note_reading(replica_id, pace * claim.group.prefill_ms, now)
         self._replicas.note_sent(claim.node, replica_id, now)
 
     def _leave(self, claim: _Claim) -> None:
--- a/src/cloverwalk/scheduling/deputies.py
+++ b/src/cloverwalk/scheduling/deputies.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from cloverwalk.fleet.messages import DeputyGrants
+from cloverwalk.fleet.messages import LocalGrants
 
 REPORTED_S = 10.0
 """Grants of a deputy are reported for so long after the last one: twice a quota's window."""
@@ -19,7 +19,7 @@
     >>> log = GrantLog()
     >>> log.note("quiz", 1.0)
     >>> log.report(2.0), log.report(20.0)
-    (DeputyGrants(series=0, counts={'quiz': 1}), None)
+    (LocalGrants(series=0, counts={'quiz': 1}), None)
     """
 
     def __init__(self) -> None:
@@ -32,12 +32,12 @@
         self._counts[tenant] += 1
         self._noted_at = now
 
-    def report(self, now: float) -> DeputyGrants | None:
+    def report(self, now: float) -> LocalGrants | None:
         """Return what reports tell; None where nothing was given out lately."""
         if self._counts and now - self._noted_at > REPORTED_S:
             self._counts = Counter()
             self._series += 1
-        return DeputyGrants(self._series, dict(self._counts)) if self._counts else None
+        return LocalGrants(self._series, dict(self._counts)) if self._counts else None
 
 
 @attrs.define
@@ -45,7 +45,7 @@
     """What a node told last."""
 
     run: str
-    grants: DeputyGrants
+    grants: LocalGrants
 
 
 class DeputyBook:
@@ -55,7 +55,7 @@
         self._since = since
         self._by_node: dict[str, _Told] = {}
 
-    def news(self, node: str, run: str, grants: DeputyGrants | None, now: float) -> dict[str, int]:
+    def news(self, node: str, run: str, grants: LocalGrants | None, now: float) -> dict[str, int]:
         """Return what a node gave out since it last told, by tenant.
 
         The first report after a takeover tells where its counts stand; what it gave out before is
@@ -63,7 +63,7 @@
         """
         known = self._by_node.get(node)
         if grants is not None or known is None or known.run != run:
-            self._by_node[node] = _Told(run, grants or DeputyGrants(0, {}))
+            self._by_node[node] = _Told(run, grants or LocalGrants(0, {}))
         is_first = known is None and now - self._since < REPORTED_S
         if grants is None or is_first:
             return {}
--- a/src/cloverwalk/scheduling/held_requests.py
+++ b/src/cloverwalk/scheduling/held_requests.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from cloverwalk.fleet.messages import Ask
+from cloverwalk.fleet.messages import PlacementRequest
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.overload_order import OrderKey, order_key
@@ -42,7 +42,7 @@
 
     node: str
     zone: str
-    ask: Ask
+    ask: PlacementRequest
     asked_at: float
     heard_at: float
     queue: QueueKey
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cloverwalk.fleet.messages import Ask, Placement, Served, TokenUse
+from cloverwalk.fleet.messages import PlacementRequest, Placement, RequestTiming, QuotaTokenUse
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.scheduling.admission import (
@@ -99,7 +99,7 @@
 
     # --- asks ---
 
-    def answer(self, node: str, zone: str, ask: Ask, now: float) -> str:
+    def answer(self, node: str, zone: str, ask: PlacementRequest, now: float) -> str:
         """Answer an ask; return the replica that got a request by it, empty for none."""
         held = self._held.find((node, ask.number))
         if held is not None:
@@ -117,16 +117,16 @@
             return ""
         priority = self._priority(ask.route, ask.tenant)
         held = HeldRequest(node, zone, ask, now, now, QueueKey(priority, ask.tenant))
-        held.has_token = ask.token is TokenUse.NEW
+        held.has_token = ask.quota_token is QuotaTokenUse.NEW
         held.expect(self._times.first_event_ms(ask.route))
         self._arrivals.setdefault(ask.service, ArrivalRate()).note(now)
         deadline_s = None if ask.deadline_ms is None else ask.deadline_ms / 1000
         may_return = not self._returns.came_back(ask.route, deadline_s)
         return self._try(held, may_return, now) or ""
 
-    def _take_token(self, ask: Ask, now: float) -> Placement | None:
+    def _take_token(self, ask: PlacementRequest, now: float) -> Placement | None:
         """Take a token of the tenant's quota; return the answer where there is none."""
-        if ask.token is not TokenUse.NEW:
+        if ask.quota_token is not QuotaTokenUse.NEW:
             return None
         match self._quotas.reserve(ask.tenant, now):
             case QuotaVerdict.TAKEN:
@@ -161,7 +161,7 @@
                 self._drop(held.ask_id, now)
 
     def try_held(self, now: float) -> list[str]:
-        """Place waiting requests while there are slots; return the replicas that got one."""
+        """PlacementResult waiting requests while there are slots; return the replicas that got one."""
         got: list[str] = []
         for held in self._held.in_turn(now):
             replica_id = self._try(held, False, now)
@@ -260,7 +260,7 @@
 
     def _is_hopeless(self, held: HeldRequest, candidates: Sequence[Candidate], now: float) -> bool:
         """Whether no replica can serve it before its deadline; one that may have run goes on."""
-        if held.ask.token is TokenUse.AGAIN or held.ask.time_left_ms <= 0:
+        if held.ask.quota_token is QuotaTokenUse.RETRY or held.ask.time_left_ms <= 0:
             return False
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             return False
@@ -297,7 +297,7 @@
         self._charge(held)
         if held.has_token:
             self._quotas.spend(held.ask.tenant, now)
-        elif held.ask.token is TokenUse.AGAIN:
+        elif held.ask.quota_token is QuotaTokenUse.RETRY:
             self._quotas.charge(held.ask.tenant, now)
         decisions = self._outbox.of(held.node)
         replica_id = chosen.replica.replica_id
@@ -308,7 +308,7 @@
             round(wait_ms),
             online=chosen.in_flight.online,
             batch=chosen.in_flight.batch,
-            reading_ms=round(chosen.prefill_ms),
+            prefill_ms=round(chosen.prefill_ms),
         )
         decisions.placements.append(placement)
         self._book.expect(
@@ -326,7 +326,7 @@
             self._held.note_charged(held.queue)
             self.shares.charge(rank, tenant, work_ms, self._held.tenants(rank))
 
-    def correct(self, served: Served) -> None:
+    def correct(self, served: RequestTiming) -> None:
         """Count what a request took beyond what was expected; before its times are learnt."""
         if not self._features.is_on(Feature.FAIR_SHARES):
             return
@@ -366,7 +366,7 @@
             most_wait_ms(route, held.queue.rank, routes, self._times),
         )
 
-    def _return_after_s(self, prospect: Prospect, ask: Ask, now: float) -> float | None:
+    def _return_after_s(self, prospect: Prospect, ask: PlacementRequest, now: float) -> float | None:
         self._crowd.meet(now)
         wait_s, rest_s = prospect.wait_ms / 1000, self._crowd.rest_s(now)
         return retry_after_s(wait_s, rest_s, ask.time_left_ms / 1000, self._random)
@@ -383,7 +383,7 @@
             self._times.first_event_ms(ask.route),
         )
 
-    def _other_zone_ms(self, ask: Ask) -> float:
+    def _other_zone_ms(self, ask: PlacementRequest) -> float:
         """Return what another zone costs a request: more for one that a cut would end for good.
 
         It is at most the time that the request has to spare: it rather crosses than is late.
--- a/src/cloverwalk/scheduling/pace.py
+++ b/src/cloverwalk/scheduling/pace.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from cloverwalk.fleet.messages import PaceFigures
+from cloverwalk.fleet.messages import SlowdownEstimate
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.service_times import RunningAverage
 
@@ -175,7 +175,7 @@
     >>> paces = ReplicaSlowdowns()
     >>> paces.pace("r1")
     1.0
-    >>> paces.take({"r1": PaceFigures(1.6, 1.6, 0)}, now=10.0)
+    >>> paces.take({"r1": SlowdownEstimate(1.6, 1.6, 0)}, now=10.0)
     >>> paces.pace("r1"), paces.usual("r1")
     (1.6, 1.6)
     """
@@ -315,19 +315,19 @@
             if one.answers >= ESTABLISHED_ANSWERS
         }
 
-    def estimates(self, replica_ids: Iterable[str], now: float) -> dict[str, PaceFigures]:
+    def estimates(self, replica_ids: Iterable[str], now: float) -> dict[str, SlowdownEstimate]:
         """Return what is known of some replicas, as a snapshot tells it."""
         return {key: _figures(self._learnt[key], now) for key in replica_ids}
 
-    def apply(self, figures: Mapping[str, PaceFigures], now: float) -> None:
+    def apply(self, figures: Mapping[str, SlowdownEstimate], now: float) -> None:
         """Take what another coordinator has learnt."""
         for replica_id, told in figures.items():
             if not _are_right(told):
                 self.invalid_count += 1
                 continue
-            usual = math.log(told.usual)
+            usual = math.log(told.baseline)
             known = _Learnt(usual, ESTABLISHED_ANSWERS)
-            known.measured = math.log(told.now) - usual
+            known.measured = math.log(told.current) - usual
             known.measured_at = now - told.age_ms / 1000
             known.is_unusual = abs(usual) > UNUSUAL_FROM
             self._learnt[replica_id] = known
@@ -360,11 +360,11 @@
         return math.log(event_ms / usual_ms)
 
 
-def _figures(known: _Learnt, now: float) -> PaceFigures:
+def _figures(known: _Learnt, now: float) -> SlowdownEstimate:
     age_s = max(0.0, now - max(known.told_at, known.measured_at))
     age_ms = round(min(MOST_TOOK_MS, 1000 * age_s))
     usual = _bounded(math.exp(known.usual))
-    return PaceFigures(round(usual, 2), round(known.pace(now), 2), age_ms)
+    return SlowdownEstimate(round(usual, 2), round(known.pace(now), 2), age_ms)
 
 
 def _note_told(known: _Learnt, told: float, at: float) -> None:
@@ -384,8 +384,8 @@
     )
 
 
-def _are_right(told: PaceFigures) -> bool:
-    in_bounds = all(LEAST_FACTOR <= one <= MOST_FACTOR for one in (told.usual, told.now))
+def _are_right(told: SlowdownEstimate) -> bool:
+    in_bounds = all(LEAST_FACTOR <= one <= MOST_FACTOR for one in (told.baseline, told.current))
     return in_bounds and 0 <= told.age_ms <= MOST_TOOK_MS
 
 
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -20,7 +20,7 @@
 import attrs
 
 from cloverwalk.core.token_bucket import TokenBucket
-from cloverwalk.fleet.messages import DeputyGrants
+from cloverwalk.fleet.messages import LocalGrants
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.scheduling.deputies import DeputyBook, GrantLog
 from cloverwalk.tenants.directory import Tenant
@@ -287,11 +287,11 @@
         """Take the coordinator's levels; they hold when this node takes over."""
         self._told_levels = levels
 
-    def local_grants(self, now: float) -> DeputyGrants | None:
+    def local_grants(self, now: float) -> LocalGrants | None:
         """Return what this node gave out as a deputy lately; None is nothing."""
         return self._granted.report(now)
 
-    def record_local_grants(self, node: str, run: str, grants: DeputyGrants | None, now: float) -> None:
+    def record_local_grants(self, node: str, run: str, grants: LocalGrants | None, now: float) -> None:
         """Count what a node gave out itself since it last told."""
         for name, count in self._deputies.news(node, run, grants, now).items():
             account = self._account(name, now)
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from random import Random
 
-from cloverwalk.fleet.messages import Ask
+from cloverwalk.fleet.messages import PlacementRequest
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
@@ -160,7 +160,7 @@
 
     # --- what may be sent where ---
 
-    def candidates(self, node: str, ask: Ask, now: float) -> list[Candidate]:
+    def candidates(self, node: str, ask: PlacementRequest, now: float) -> list[Candidate]:
         """Return the replicas that a request was not at yet, or else all, where it fits."""
         usable = self._with_room(node, self._directory.usable(ask.service), now)
         usable = list(self._memory.where_online_fits(self.sample(usable), ask.tokens, now))
@@ -192,7 +192,7 @@
                 by_id[replica_id] = replica
         return list(by_id.values())
 
-    def can_ever_fit(self, ask: Ask) -> bool:
+    def can_ever_fit(self, ask: PlacementRequest) -> bool:
         """Whether a request fits into an empty replica of its service."""
         return self._memory.can_ever_fit(ask.service, ask.tokens)
 
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -11,11 +11,11 @@
 
 from cloverwalk.fleet.messages import (
     NodeLoad,
-    PaceFigures,
-    ReplicaTiming,
+    SlowdownEstimate,
+    ItemTiming,
     Report,
-    Served,
-    Waiting,
+    RequestTiming,
+    WaitingByPool,
 )
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.crash_ledger import CrashLedger
@@ -87,7 +87,7 @@
     def handle_report(self, report: Report, now: float) -> None:
         """Take a node's state and its asks, and decide what follows."""
         node = report.node
-        changed = self.load_tracker.record_report(node, report.loads, report.settled)
+        changed = self.load_tracker.record_report(node, report.loads, report.last_applied_order)
         self._batch.record_waiting(node, report.zone, report.waiting)
         self._replicas.hear_zone(node, report.zone)
         has_returned = not report.has_lost_coordinator
@@ -95,28 +95,28 @@
         self._look_at_paces(now)
         for number in report.withdrawn:
             self._online.withdraw(node, number, now)
-        for served in report.served:
+        for served in report.request_timings:
             self._online.correct(served)
             self._learn(node, served, now)
-        for timing in report.timings:
+        for timing in report.item_timings:
             self._learn_pace(timing, True, timing.events, timing.took_ms, now)
         for one in report.corrections:
-            self.item_shares.correct(one.rank, one.tenant, one.more_ms)
-        for ask in report.asks:
+            self.item_shares.correct(one.rank, one.tenant, one.extra_ms)
+        for ask in report.placement_requests:
             replica_id = self._online.answer(node, report.zone, ask, now)
             if replica_id:
                 self._batch.make_room([replica_id], now)
         self._settle(changed, now)
 
-    def _learn(self, node: str, served: Served, now: float) -> None:
+    def _learn(self, node: str, served: RequestTiming, now: float) -> None:
         self._replicas.note_answer(node, served.replica_id, now)
         self._learn_pace(served, False, served.events, served.hold_ms, now)
         usual = self.slowdowns.usual(served.replica_id)
         self.times.note_hold(served.route, served.hold_ms / usual)
         if served.expected_wait_ms > 0:
-            self.times.note_wait(served.route, served.expected_wait_ms, served.start_ms)
+            self.times.note_wait(served.route, served.expected_wait_ms, served.first_event_ms)
         else:
-            self.times.record_start(served.route, served.start_ms / usual)
+            self.times.record_start(served.route, served.first_event_ms / usual)
 
     def _look_at_paces(self, now: float) -> None:
         """Have choices go by the replicas' paces of this moment, where that is in force."""
@@ -131,7 +131,7 @@
         self._replicas.paces = self.slowdowns.present
 
     def _learn_pace(
-        self, told: Served | ReplicaTiming, is_item: bool, events: int, took_ms: int, now: float
+        self, told: RequestTiming | ItemTiming, is_item: bool, events: int, took_ms: int, now: float
     ) -> None:
         """Learn how fast a replica worked for an answer, where replicas tell their pace."""
         replica = self._directory.find(told.replica_id)
@@ -149,7 +149,7 @@
         )
         self.slowdowns.note(measured, now)
 
-    def apply_slowdowns(self, figures: Mapping[str, PaceFigures], now: float) -> None:
+    def apply_slowdowns(self, figures: Mapping[str, SlowdownEstimate], now: float) -> None:
         """Take the paces that another coordinator has learnt."""
         for replica_id in figures:
             replica = self._directory.find(replica_id)
@@ -216,6 +216,6 @@
         return self._batch.waiting_items(now)
 
     @property
-    def waiting(self) -> dict[str, Waiting]:
+    def waiting(self) -> dict[str, WaitingByPool]:
         """What waits, by node."""
         return self._batch.waiting
--- a/src/cloverwalk/scheduling/slot_book.py
+++ b/src/cloverwalk/scheduling/slot_book.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cloverwalk.fleet.load import NOTHING, InFlight
+from cloverwalk.fleet.load import NOTHING_IN_FLIGHT, InFlight
 from cloverwalk.fleet.messages import NodeLoad
 
 UNSETTLED_S = 0.5
@@ -148,14 +148,14 @@
         known.batch += sign * load.batch
         known.tokens += sign * load.tokens
         known.batch_tokens += sign * load.batch_tokens
-        if known == NOTHING:
+        if known == NOTHING_IN_FLIGHT:
             del self._sums[replica_id]
 
     # --- figures ---
 
     def total(self, replica_id: str, now: float) -> InFlight:
         """Return the work in flight at a replica."""
-        known = self._sums.get(replica_id, NOTHING)
+        known = self._sums.get(replica_id, NOTHING_IN_FLIGHT)
         told = self._snapshot.get(replica_id) if now < self._snapshot_until else None
         if told is None:
             return known
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.jobs.assigner import JobAssigner
@@ -48,7 +48,7 @@
         settings: ServingSettings,
         fleet: FleetParts,
         knowledge: FleetState,
-        loads: LoadBook,
+        loads: InFlightTracker,
         pool: ReplicaPool,
         witness: CrashDetector,
         store: Store,
@@ -81,7 +81,7 @@
             metrics,
             clock,
         )
-        fleet.link.batch = self.runner
+        fleet.link.batch_handler = self.runner
         self._store_time = store_clock.now
         fleet.scheduler.set_store_time(self._store_ms)
         self.lister = ResultLister(committer, self.view, cache, self.runner.drop, log, clock)
@@ -98,7 +98,7 @@
             clock,
             log,
             self._on_taken,
-            fleet.link.store_serves_others,
+            fleet.link.is_store_available_elsewhere,
             lambda: health.unavailable_for_ms() > REFUSED_FOR_MS,
             random,
         )
@@ -126,7 +126,7 @@
             log,
             clock,
             random,
-            fleet.coordinator.until_active,
+            fleet.coordinator.wait_until_active,
         )
         self.assigner = JobAssigner(fleet.coordinator, self.follower, self.view, log, clock)
         self.sweeper = JobSweeper(
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -4,13 +4,13 @@
 from random import Random
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CaseSync
+from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.fleet.election import Election
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.link import CoordinatorClient
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import ConfigurationCopy, Datagram, Report, Snapshot, StoreReturned
 from cloverwalk.fleet.transport import DatagramTransport
 from cloverwalk.scheduling.features import Features, FeatureState
@@ -42,7 +42,7 @@
         settings: ServingSettings,
         run: str,
         knowledge: FleetState,
-        loads: LoadBook,
+        loads: InFlightTracker,
         store: Store,
         health: StoreHealth,
         log: ServingLog,
@@ -72,7 +72,7 @@
         )
         self.scheduler.reachability.on_change = self._note_reach
         self.scheduler.slowdowns.on_change = self._note_pace
-        self.cases = CaseSync(knowledge.crash_ledger, self.transport, log, clock)
+        self.cases = CrashRecordSync(knowledge.crash_ledger, self.transport, log, clock)
         self.coordinator = Coordinator(
             self.identity,
             self.leader,
@@ -85,7 +85,7 @@
             log,
             clock,
         )
-        self.link = CoordinatorLink(
+        self.link = CoordinatorClient(
             self.identity,
             self.leader,
             self.coordinator,
@@ -104,7 +104,7 @@
         self.shares = FairShareReporter(shares, item_shares, self._note_held_back)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
-        self.link.on_placed = knowledge.startup.record_placement
+        self.link.on_placement = knowledge.startup.record_placement
         self.election = Election(
             self.identity,
             self.leader,
@@ -117,8 +117,8 @@
             clock,
             random,
         )
-        self._take_leadership = self.link.on_leadership
-        self.link.on_leadership = self._on_leadership
+        self._take_leadership = self.link.on_leadership_change
+        self.link.on_leadership_change = self._on_leadership
 
     def _tick(self, now: float) -> None:
         self.slots.tick(now)
@@ -168,17 +168,17 @@
         self._knowledge.startup.record_stage(Stage.PEER)
         match message:
             case Report():
-                await self.coordinator.hear(message, host)
+                await self.coordinator.handle_report(message, host)
             case Snapshot():
-                await self.election.take_snapshot(message, host)
+                await self.election.handle_snapshot(message, host)
             case ConfigurationCopy():
                 self._knowledge.take_configuration(message.configuration, "peer")
             case StoreReturned():
                 await self._health.hint_recovery()
                 if self.coordinator.is_active and not self._health.is_unavailable:
-                    self.coordinator.tell_store_returned()
+                    self.coordinator.broadcast_store_returned()
             case _:
-                await self.link.take(message, host)
+                await self.link.handle_message(message, host)
                 self._knowledge.note_directory("peer")
 
     async def _on_leadership(self) -> None:
@@ -186,7 +186,7 @@
         await self._take_leadership()
 
     async def _deliver_locally(self, orders: object) -> None:
-        await self.link.take(orders, self.identity.host)  # type: ignore[arg-type]
+        await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
     async def until_directory_needed(self) -> None:
         """Return when this node has to read the list of replicas itself."""
@@ -194,7 +194,7 @@
             rest_s = self._knowledge.directory.confirmed_at + DIRECTORY_STALE_S - self._clock()
             if rest_s <= 0:
                 return
-            await self.coordinator.wait_active(rest_s)
+            await self.coordinator.wait_until_active_or_timeout(rest_s)
 
     def leave(self) -> None:
         """A planned stop begins: others coordinate, and no more jobs come."""
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -12,9 +12,9 @@
 from cloverwalk.core.clock import Clock, SuspensionWatch, steady_s
 from cloverwalk.core.final_answer import ErrorResponse
 from cloverwalk.core.once_flag import OnceFlag
-from cloverwalk.fleet.case_keeper import CaseKeeper
+from cloverwalk.fleet.case_keeper import CrashRecordStore
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.containment import ContainmentGate
 from cloverwalk.gateway.crash_witness import CrashDetector
@@ -87,7 +87,7 @@
         self._knowledge.metrics = self._metrics
         self._configuration = self._knowledge.configuration
         self._directory = self._knowledge.directory
-        self._loads = LoadBook(counts_tokens=self._settings.is_memory_scarce)
+        self._loads = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
         self._health = StoreHealth(Clock(self._clock))
         self._health.on_call = self._note_store_call
         self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
@@ -124,7 +124,7 @@
             self._random,
         )
         self._fleet.cases.on_contained = self._witness.record_contained
-        self._witness.on_crash = self._fleet.link.note_change
+        self._witness.on_crash = self._fleet.link.trigger_report
         self._store_watch = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
@@ -143,7 +143,7 @@
             self._clock,
             self._random,
         )
-        self._case_keeper = CaseKeeper(
+        self._case_keeper = CrashRecordStore(
             self._fleet.cases,
             self._fleet.coordinator,
             self._store,
@@ -330,7 +330,7 @@
         self.is_leaving = True
         self._fleet.leave()
         self._clients.is_stopping = True
-        await self._fleet.link.note_change()
+        await self._fleet.link.trigger_report()
         handing_over = await curio.spawn(self._batch.takeover.hand_over)
         while self._clock() < until:
             await curio.sleep(0.1)
@@ -369,7 +369,7 @@
         metrics.gauge("cloverwalk_jobs_owned", "Jobs run here", len(self._batch.runner.jobs))
         metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
         coordinator = self._fleet.coordinator
-        known = len(coordinator.roster.live()) if coordinator.is_active else 0
+        known = len(coordinator.registry.live()) if coordinator.is_active else 0
         uses = self._fleet.slots.slot_time.seconds
         paces = self._fleet.scheduler.slowdowns
         metrics.replica_slowdowns = paces.counts_by_class()
--- a/src/cloverwalk/serving/room_watch.py
+++ b/src/cloverwalk/serving/room_watch.py
@@ -5,7 +5,7 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.link import CoordinatorLink
+from cloverwalk.fleet.link import CoordinatorClient
 from cloverwalk.gateway.held_bytes import BUDGET_SHARE, MemoryBudget
 from cloverwalk.gateway.machine_room import OverloadMonitor, MachineCapacity, OverloadState, Usage
 from cloverwalk.gateway.server import GatewayServer
@@ -31,7 +31,7 @@
         most_connections: int,
         clients: GatewayServer,
         runner: BatchRunner,
-        link: CoordinatorLink,
+        link: CoordinatorClient,
         log: ServingLog,
         clock: Callable[[], float],
         processor_s: Callable[[], float],
@@ -53,7 +53,7 @@
         self._processor_s = processor_s
         self._is_told_full = False
         clients.memory_budget = self.memory_budget
-        link.on_zone_fullness = self._note_peers
+        link.on_zone_utilization = self._note_peers
 
     @property
     def is_over(self) -> bool:
@@ -99,7 +99,7 @@
         if not self.overload_monitor.update(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
         # 0 would say that nobody measures it.
-        self._link.fullness_percent = max(1, round(100 * self.overload_monitor.utilization))
+        self._link.utilization_percent = max(1, round(100 * self.overload_monitor.utilization))
         self._tell_full()
         self._tell_given_up()
 
@@ -116,7 +116,7 @@
             catalogue.NODE_FULL if is_full else catalogue.NODE_TAKES_AGAIN,
             verdict=self.overload_monitor.state.value,
             scarcest=self.overload_monitor.scarcest.value,
-            percent=self._link.fullness_percent,
+            percent=self._link.utilization_percent,
             **{one.value: round(100 * share) for one, share in self.overload_monitor.by_resource.items()},
         )
 
--- a/src/cloverwalk/serving/store_watch.py
+++ b/src/cloverwalk/serving/store_watch.py
@@ -46,7 +46,7 @@
     def _tell_returned(self) -> None:
         """Tell the nodes at once, or the coordinator, which tells them."""
         if self._fleet.coordinator.is_active:
-            self._fleet.coordinator.tell_store_returned()
+            self._fleet.coordinator.broadcast_store_returned()
             return
         target = self._fleet.leader.target()
         if target is not None:
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -7,14 +7,14 @@
 
 from cloverwalk.core.clock import Clock
 from cloverwalk.emulator.memory_store import MemoryStore
-from cloverwalk.fleet.case_keeper import CaseKeeper
-from cloverwalk.fleet.case_sync import CaseSync
+from cloverwalk.fleet.case_keeper import CrashRecordStore
+from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.fleet.election import Election
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.link import CoordinatorClient
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import (
     Datagram,
     DirectoryUpdate,
@@ -69,7 +69,7 @@
 
     def put(self, source: str, host: str, message: Datagram) -> None:
         self.sent += 1
-        self.asks += len(message.asks) if isinstance(message, Report) else 0
+        self.asks += len(message.placement_requests) if isinstance(message, Report) else 0
         if source in self.silent or host in self.silent or type(message) in self.lost_kinds:
             return
         zones = {_zone_of(source), _zone_of(host)}
@@ -115,7 +115,7 @@
         clock: Callable[[], float] = lambda: world.now  # noqa: E731
         log = ServingLog(self.name, clock, os.open(os.devnull, os.O_WRONLY))
         random = Random(number)
-        self.loads = LoadBook()
+        self.loads = InFlightTracker()
         self.configuration = world.configuration()
         self.directory = ReplicaDirectory()
         self.health = StoreHealth(Clock(clock))
@@ -124,7 +124,7 @@
         self.leader = LeaderView(self.identity, world.now)
         transport = world.wire.sender(self.host)
         self.ledger = CrashLedger()
-        self.cases = CaseSync(self.ledger, transport, log, clock)
+        self.cases = CrashRecordSync(self.ledger, transport, log, clock)
         self.scheduler = Scheduler(
             self.directory,
             self.configuration,
@@ -146,10 +146,10 @@
             log,
             clock,
         )
-        self.keeper = CaseKeeper(
+        self.keeper = CrashRecordStore(
             self.cases, self.coordinator, self.store, self.health, store_clock, log, clock
         )
-        self.link = CoordinatorLink(
+        self.link = CoordinatorClient(
             self.identity,
             self.leader,
             self.coordinator,
@@ -178,16 +178,16 @@
         )
 
     async def _deliver(self, orders: Orders) -> None:
-        await self.link.take_orders(orders, self.host)
+        await self.link.handle_orders(orders, self.host)
 
     async def take(self, message: Datagram, source: str) -> None:
         match message:
             case Report():
-                await self.coordinator.hear(message, source)
+                await self.coordinator.handle_report(message, source)
             case Snapshot():
-                await self.election.take_snapshot(message, source)
+                await self.election.handle_snapshot(message, source)
             case _:
-                await self.link.take(message, source)
+                await self.link.handle_message(message, source)
 
     @property
     def follows(self) -> str:
@@ -263,7 +263,7 @@
                 if node.host in self.wire.silent and node.host.startswith("dead"):
                     continue
                 await node.coordinator.tick()
-                await node.election.look(self.STEP_S)
+                await node.election.check(self.STEP_S)
                 if node.coordinator.is_active:
                     await node.keeper.write_due()
             await self.deliver()
--- a/tests/serving/fleet_world.py
+++ b/tests/serving/fleet_world.py
@@ -174,7 +174,7 @@
     def coordinator_roster(self) -> list[str]:
         """Return the nodes that the coordinator has heard."""
         node = self.coordinator()
-        return [] if node is None else sorted(node._fleet.coordinator.roster.by_name)
+        return [] if node is None else sorted(node._fleet.coordinator.registry.by_name)
 
     async def kill_node(self, index: int) -> None:
         """End a node as a kill does: nothing is handed over or told."""
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -26,7 +26,7 @@
 from cloverwalk.emulator.memory_store import MemoryStore
 from cloverwalk.emulator.platform_store_server import transaction_of, wire_rows
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import Datagram, decode_datagram, encode_datagram
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES, OnDatagram
 from cloverwalk.http.client import HttpResponse
@@ -312,7 +312,7 @@
             settings,
             f"r{run}",
             self.knowledge,
-            LoadBook(),
+            InFlightTracker(),
             self.store,
             self.health,
             log,
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from cloverwalk.fleet.election import ORPHAN_AFTER_S, ROLE_KEY, RoleRow
-from cloverwalk.fleet.link import BatchSide
+from cloverwalk.fleet.link import BatchOrderHandler
 from cloverwalk.fleet.messages import (
-    Ask,
+    PlacementRequest,
     ConfigurationCopy,
     Contact,
     Datagram,
@@ -27,8 +27,8 @@
     decode_datagram,
     encode_datagram,
 )
-from cloverwalk.fleet.places import ASK_TIMEOUT_MAX_S, MOST_ASKED, Place
-from cloverwalk.fleet.roster import NODE_SILENT_S
+from cloverwalk.fleet.places import ASK_TIMEOUT_MAX_S, MOST_ASKED, PlacementResult
+from cloverwalk.fleet.roster import NODE_TIMEOUT_S
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.store.types import Expectation, Put, Transaction
@@ -46,7 +46,7 @@
     curio.run(main)
 
 
-ASK = Ask(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
+ASK = PlacementRequest(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
 
 
 def plain_node(world: CoordinationWorld) -> FleetNode:
@@ -58,13 +58,13 @@
     )
 
 
-async def place(world: CoordinationWorld, node: FleetNode) -> Place:
+async def place(world: CoordinationWorld, node: FleetNode) -> PlacementResult:
     """Ask for a place, while datagrams are carried at once and time stands still."""
-    task = await curio.spawn(node.link.place, ASK, world.now + 1.5)
+    task = await curio.spawn(node.link.request_placement, ASK, world.now + 1.5)
     while not task.terminated:
         await world.deliver()
         await curio.sleep(0.001)
-    found: Place = await task.join()
+    found: PlacementResult = await task.join()
     return found
 
 
@@ -73,7 +73,7 @@
     async def test(world: CoordinationWorld) -> None:
         name = world.coordinator.name
         assert {one.follows for one in world.nodes} == {name}
-        assert len(world.coordinator.coordinator.roster.live()) == count
+        assert len(world.coordinator.coordinator.registry.live()) == count
 
     in_fleet(count, test)
 
@@ -131,7 +131,7 @@
         await world.run(4.0)
         name = world.coordinator.name
         assert {one.follows for one in world.nodes} == {name}
-        assert len(world.coordinator.coordinator.roster.live()) == SMALL
+        assert len(world.coordinator.coordinator.registry.live()) == SMALL
 
     in_fleet(SMALL, test)
 
@@ -188,7 +188,7 @@
         world.know_replicas(again)
         await again.coordinator.tick()
         assert again.coordinator.is_active
-        assert len(again.coordinator.roster.live()) == SMALL
+        assert len(again.coordinator.registry.live()) == SMALL
         assert world.wire.bytes_by_kind[DirectoryUpdate] == 0
 
     in_fleet(SMALL, test)
@@ -268,7 +268,7 @@
         assert found.verdict is PlacementVerdict.SEND
         assert asking.follows == standby
         node = next(one for one in world.nodes if one.name == standby)
-        assert asking.name in node.coordinator.roster.by_name
+        assert asking.name in node.coordinator.registry.by_name
 
     in_fleet(SMALL, test)
 
@@ -282,7 +282,7 @@
         places = [await place(world, asking) for _ in range(6)]
         assert {one.verdict for one in places} == {PlacementVerdict.SEND}
         assert len({one.replica_id for one in places}) > 1
-        assert sum(one.online for one in asking.loads.own.values()) == 6
+        assert sum(one.online for one in asking.loads.by_replica.values()) == 6
 
     in_fleet(SMALL, test)
 
@@ -321,19 +321,19 @@
 def test_a_request_that_leaves_while_it_asks_leaves_no_work_behind() -> None:
     async def test(world: CoordinationWorld) -> None:
         asking = next(one for one in world.nodes if not one.coordinator.is_active)
-        task = await curio.spawn(asking.link.place, ASK, world.now + 1.5)
+        task = await curio.spawn(asking.link.request_placement, ASK, world.now + 1.5)
         await curio.sleep(0)
         await task.cancel()
         await world.deliver()
         await world.run(1.0)
-        assert asking.loads.own == {}
+        assert asking.loads.by_replica == {}
         totals = [world.coordinator.scheduler.load_tracker.total(f"r{n}", world.now) for n in range(4)]
         assert sum(one.total for one in totals) == 0
 
     in_fleet(SMALL, test)
 
 
-class Recorder(BatchSide):
+class Recorder(BatchOrderHandler):
     """Notes what a node was told about its items."""
 
     def __init__(self) -> None:
@@ -341,32 +341,32 @@
         self.revokes: list[dict[str, int]] = []
         self.jobs: list[str] = []
 
-    async def take_grants(self, grants: dict[str, int]) -> None:
+    async def apply_grants(self, grants: dict[str, int]) -> None:
         self.grants.append(grants)
 
-    async def take_revokes(self, revokes: dict[str, int]) -> None:
+    async def apply_revokes(self, revokes: dict[str, int]) -> None:
         self.revokes.append(revokes)
 
-    async def take_jobs(self, job_ids: list[str]) -> None:
+    async def take_over_jobs(self, job_ids: list[str]) -> None:
         self.jobs += job_ids
 
 
 def test_orders_take_effect_once_and_only_those_of_the_node_that_is_followed() -> None:
     async def test(world: CoordinationWorld) -> None:
         node = next(one for one in world.nodes if not one.coordinator.is_active)
-        recorder = node.link.batch = Recorder()
+        recorder = node.link.batch_handler = Recorder()
         holder = world.coordinator
         leadership = holder.leader.current
         assert leadership is not None
         sender = holder.identity.incarnation
         orders = Orders(leadership, sender, 50, 1, 0, 0, 0, True, grants={"r0": 2})
-        await node.link.take_orders(orders, holder.host)
-        await node.link.take_orders(orders, holder.host)
+        await node.link.handle_orders(orders, holder.host)
+        await node.link.handle_orders(orders, holder.host)
         earlier = Orders(leadership, sender, 49, 1, 0, 0, 0, True, grants={"r1": 1})
-        await node.link.take_orders(earlier, holder.host)
+        await node.link.handle_orders(earlier, holder.host)
         assert recorder.grants == [{"r0": 2}]
         foreign = Orders(leadership, "other.0c", 70, 1, 0, 0, 0, True, grants={"r2": 1})
-        await node.link.take_orders(foreign, "h-other")
+        await node.link.handle_orders(foreign, "h-other")
         assert recorder.grants == [{"r0": 2}]
 
     in_fleet(SMALL, test)
@@ -376,7 +376,7 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         node = plain_node(world)
-        recorder = node.link.batch = Recorder()
+        recorder = node.link.batch_handler = Recorder()
         world.wire.silent.add(node.host)
         for host in {one.host for one in world.nodes} - {node.host}:
             node.leader.note_silent(host)
@@ -391,9 +391,9 @@
 def test_jobs_without_an_owner_are_given_to_the_process_that_was_meant() -> None:
     async def test(world: CoordinationWorld) -> None:
         node = next(one for one in world.nodes if not one.coordinator.is_active)
-        recorder = node.link.batch = Recorder()
-        world.coordinator.coordinator.order_take_over(node.identity.incarnation, ["j1", "j2"])
-        world.coordinator.coordinator.order_take_over(f"{node.name}.0z", ["j3"])
+        recorder = node.link.batch_handler = Recorder()
+        world.coordinator.coordinator.send_takeover(node.identity.incarnation, ["j1", "j2"])
+        world.coordinator.coordinator.send_takeover(f"{node.name}.0z", ["j3"])
         await world.deliver()
         assert recorder.jobs == ["j1", "j2"]
 
@@ -452,19 +452,19 @@
     async def test(world: CoordinationWorld) -> None:
         node = next(one for one in world.nodes if not one.coordinator.is_active)
         incarnation = node.identity.incarnation
-        roster = world.coordinator.coordinator.roster
-        assert roster.is_heard(incarnation)
+        roster = world.coordinator.coordinator.registry
+        assert roster.is_reporting(incarnation)
         world.kill(node)
-        await world.run(NODE_SILENT_S + 1.0)
-        assert not roster.is_heard(incarnation)
-        assert not roster.has_replaced(incarnation)
+        await world.run(NODE_TIMEOUT_S + 1.0)
+        assert not roster.is_reporting(incarnation)
+        assert not roster.is_superseded(incarnation)
         again = FleetNode(node.number, world, run="0b")
         world.nodes.append(again)
         # It can't read the store; the coordinator finds it where it was.
         await world.run(2.5)
         assert again.follows == world.coordinator.name
-        assert roster.has_replaced(incarnation)
-        assert roster.is_heard(again.identity.incarnation)
+        assert roster.is_superseded(incarnation)
+        assert roster.is_reporting(again.identity.incarnation)
 
     in_fleet(SMALL, test)
 
@@ -495,9 +495,9 @@
             1.5,
             {"r": NodeLoad(1, 2)},
             {"p": [WaitingGroup(3, 2, "r", 5)]},
-            asks=[msgspec.structs.replace(ASK, number=4, avoid=["r"])],
+            placement_requests=[msgspec.structs.replace(ASK, number=4, avoid=["r"])],
         ),
-        Orders(leadership, "n1.0a", 4, 7, 9, 11, 40, True, totals={"r": NodeLoad(1, 2)}),
+        Orders(leadership, "n1.0a", 4, 7, 9, 11, 40, True, replica_loads={"r": NodeLoad(1, 2)}),
         Snapshot(leadership, 40, {"r": NodeLoad(1, 2)}, {}, [Contact("n3", "h3")]),
     ]
     for message in messages:
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -7,13 +7,13 @@
 import pytest
 from coordination_world import CoordinationWorld, FleetNode
 
-from cloverwalk.fleet.messages import Ask
+from cloverwalk.fleet.messages import PlacementRequest
 from cloverwalk.gateway.configuration import ClientLimits, Configuration
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.tenants.directory import Tenant
 
-ASK = Ask(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
+ASK = PlacementRequest(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
 STEP_S = CoordinationWorld.STEP_S
 BOUNDS = QuotaBounds(slack=20.0)
 HOT = Tenant("hot", (), None, 8.0, 8.0)
@@ -46,7 +46,7 @@
             await task.join()
 
     async def _one(self, node: FleetNode) -> None:
-        place = await node.link.place(self.ask, self.world.now)
+        place = await node.link.request_placement(self.ask, self.world.now)
         self.verdicts.append(place.verdict)
         if place.verdict is PlacementVerdict.SEND:
             self.sent.append(self.world.now)
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -94,7 +94,7 @@
                 assert (answer.status, answer.is_whole) == (200, True)
         node = world.nodes[0]
         await world.until(lambda: not any(one.running for one in world.replicas))
-        await world.until(lambda: not node._loads.own)
+        await world.until(lambda: not node._loads.by_replica)
         assert node._room is not None
         held = node._room.memory_budget
         assert 0 < held.answers <= most_held <= LIMIT_BYTES
@@ -115,7 +115,7 @@
         sock = await slow_client(world, "/chat/a")
         await world.until(lambda: bool(replica.arrivals) and replica.arrivals[0].is_finished)
         # The slot is free for the next before the client has read a byte.
-        await world.until(lambda: not world.nodes[0]._loads.own)
+        await world.until(lambda: not world.nodes[0]._loads.by_replica)
         assert (await world.ask("/chat/a")).is_whole
         http = h11.Connection(h11.CLIENT)
         http.send(h11.Request(method="POST", target="/chat/a", headers=[("Host", HOST)]))
@@ -222,8 +222,8 @@
             assert node._clients.memory_budget is None
         coordinator = world.coordinator()
         assert coordinator is not None
-        roster = coordinator._fleet.coordinator.roster
-        assert {one.report.fullness_percent for one in roster.live()} == {0}
+        roster = coordinator._fleet.coordinator.registry
+        assert {one.report.utilization_percent for one in roster.live()} == {0}
         assert coordinator._fleet.coordinator._fullness_by_zone == {}
         assert (await world.ask("/chat/a")).is_whole
 
@@ -250,10 +250,10 @@
             told[name] = percent
 
         for node in world.nodes:
-            node.link.on_zone_fullness = partial(note, node.name)
+            node.link.on_zone_utilization = partial(note, node.name)
         full_zone = world.nodes[0].identity.zone
         for node in world.nodes:
-            node.link.fullness_percent = 90 if node.identity.zone == full_zone else 20
+            node.link.utilization_percent = 90 if node.identity.zone == full_zone else 20
         await world.run(3.0)
         for node in world.nodes:
             if node is not world.coordinator:
@@ -270,13 +270,13 @@
         assert old.leader.current is not None
         first = old.leader.current.standbys[0].node
         standby = next(one for one in world.nodes if one.name == first)
-        old.link.fullness_percent = 100
-        standby.link.fullness_percent = FULL_PERCENT
+        old.link.utilization_percent = 100
+        standby.link.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         old.coordinator.must_hand_over = lambda: True
         await world.run(HAND_OVER_AFTER_S)
         assert world.coordinator is old
-        standby.link.fullness_percent = FULL_PERCENT - 1
+        standby.link.utilization_percent = FULL_PERCENT - 1
         await world.run(2.0)
         assert world.coordinator is standby
         assert {one.follows for one in world.nodes} == {first}
@@ -290,7 +290,7 @@
 def test_a_full_node_is_the_last_to_stand_by_and_to_get_a_job_without_owner() -> None:
     async def test(world: CoordinationWorld) -> None:
         coordinator = world.coordinator
-        roster = coordinator.coordinator.roster
+        roster = coordinator.coordinator.registry
         names_before = [
             one.node for one in roster.choose_standbys(coordinator.name, coordinator.identity.zone)
         ]
@@ -299,14 +299,14 @@
         assert heir is not None
         for node in world.nodes:
             if node.name in (names_before[0], heir.partition(".")[0]):
-                node.link.fullness_percent = FULL_PERCENT
+                node.link.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         standbys = roster.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [one.node for one in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
         assert assigner._heirs() == [one for one in heirs if not is_full(world, one)]
         for node in world.nodes:
-            node.link.fullness_percent = 99
+            node.link.utilization_percent = 99
         await world.run(1.5)
         assert assigner._heirs() == heirs
 
@@ -315,4 +315,4 @@
 
 def is_full(world: CoordinationWorld, incarnation: str) -> bool:
     name = incarnation.partition(".")[0]
-    return any(one.name == name and one.link.fullness_percent > 0 for one in world.nodes)
+    return any(one.name == name and one.link.utilization_percent > 0 for one in world.nodes)
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -93,7 +93,7 @@
             revokes={REPLICA: -change} if change < 0 else {},
             grant_tokens={REPLICA: tokens} if tokens else {},
         )
-        await self.node.link.take_orders(orders, self.holder.host)
+        await self.node.link.handle_orders(orders, self.holder.host)
         return self._number
 
     async def report(self) -> tuple[int, int]:
@@ -102,7 +102,7 @@
         await self.node.link._report()
         reports = [one for _, _, one in self.world.wire.waiting if isinstance(one, Report)]
         load = reports[-1].loads.get(REPLICA)
-        return reports[-1].settled, 0 if load is None else load.batch
+        return reports[-1].last_applied_order, 0 if load is None else load.batch
 
 
 def runner_of(node: FleetNode, caller: SlowlyClosing, world: CoordinationWorld) -> BatchRunner:
@@ -136,7 +136,7 @@
         ServingMetrics(),
         clock,
     )
-    node.link.batch = runner
+    node.link.batch_handler = runner
     return runner
 
 
@@ -219,7 +219,7 @@
         await owner.caller.all_may_close.set()
         await giving_way.join()
         await curio.sleep(0)
-        assert owner.node.loads.own == {}
+        assert owner.node.loads.by_replica == {}
         assert len(owner.runner.jobs["j"].pending(owner.world.now)) == ITEMS
         settled = await owner.order(SLOTS)
         assert await owner.report() == (settled, SLOTS)
@@ -275,9 +275,9 @@
         await owner.runner._tell_waiting()
         told = [one for groups in owner.node.link.waiting.values() for one in groups]
         assert [one.tokens for one in told] == [100]
-        before = owner.node.loads.own[REPLICA].tokens
+        before = owner.node.loads.by_replica[REPLICA].tokens
         await owner.order(2, tokens=100)
         assert first.replica_id == REPLICA
-        assert owner.node.loads.own[REPLICA].tokens == before + 100
+        assert owner.node.loads.by_replica[REPLICA].tokens == before + 100
 
     with_running_items(test)
--- a/tests/serving/test_pace.py
+++ b/tests/serving/test_pace.py
@@ -12,12 +12,12 @@
 
 from cloverwalk.fleet.load import InFlight
 from cloverwalk.fleet.messages import (
-    Ask,
+    PlacementRequest,
     Datagram,
-    PaceFigures,
-    ReplicaTiming,
+    SlowdownEstimate,
+    ItemTiming,
     Report,
-    Served,
+    RequestTiming,
     Snapshot,
     WaitingGroup,
 )
@@ -71,7 +71,7 @@
     def hear(self, **more: object) -> Decisions | None:
         """Have the node report; return what was decided for it, with which it does nothing."""
         self.sequence += 1
-        fields = {"settled": self.sequence - 1, "configuration_version": 1, "directory": 1}
+        fields = {"last_applied_order": self.sequence - 1, "configuration_version": 1, "directory": 1}
         fields |= {"store_age_ms": 0, **more}  # type: ignore[dict-item]
         report = Report("n0", "0a", "z1", self.sequence, **fields)  # type: ignore[arg-type]
         self.scheduler.handle_report(report, self.now)
@@ -80,10 +80,10 @@
     def answered(self, replica_id: str, factor: float, told: int = 100, count: int = 1) -> None:
         """Have a replica answer requests at a pace, while it tells one."""
         took_ms = round(factor * EVENT_MS * (EVENTS - 1))
-        served = Served("chat", replica_id, 40, took_ms, 0, EVENTS, told)
+        served = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS, told)
         for _ in range(count):
             self.now += 0.01
-            self.hear(served=[served])
+            self.hear(request_timings=[served])
 
     def learn(self, factors: dict[str, float], rounds: int = 60) -> None:
         """Have all replicas answer in turn, each at its pace."""
@@ -94,17 +94,17 @@
     def place(self, count: int) -> list[str]:
         """Ask for requests that stay; return where they were sent."""
         asks = [
-            Ask(10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
+            PlacementRequest(10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
             for number in range(count)
         ]
-        decided = self.hear(asks=asks)
+        decided = self.hear(placement_requests=asks)
         assert decided is not None
         return [one.replica_id for one in decided.placements if one.verdict is PlacementVerdict.SEND]
 
     def grants(self, rest_ms: int, left_ms: float, items: int, replica_id: str = "") -> set[str]:
         """Return where waiting items are granted slots, that are due in ``left_ms``."""
         step = int((STORE_MS + left_ms) // 250)
-        group = WaitingGroup(step, items, replica_id, rest_ms=rest_ms)
+        group = WaitingGroup(step, items, replica_id, remaining_ms=rest_ms)
         decided = self.hear(waiting={"model": [group]})
         return set() if decided is None else set(decided.grants)
 
@@ -175,8 +175,8 @@
     fleet = PacedFleet(replicas=2)
     for _ in range(60):
         fleet.now += 0.1
-        timings = [ReplicaTiming("r0", 115, 700, 100), ReplicaTiming("r1", 115, 1120, 100)]
-        fleet.hear(timings=timings)
+        timings = [ItemTiming("r0", 115, 700, 100), ItemTiming("r1", 115, 1120, 100)]
+        fleet.hear(item_timings=timings)
     paces = fleet.scheduler.slowdowns
     assert paces.usual("r1") / paces.usual("r0") > 1.4
 
@@ -189,7 +189,7 @@
     fleet = PacedFleet(replicas=1)
     fleet.learn({})
     before = fleet.pace("r0")
-    fleet.hear(served=[Served("chat", "r0", 40, 5000, 0, 0, 400)])
+    fleet.hear(request_timings=[RequestTiming("chat", "r0", 40, 5000, 0, 0, 400)])
     assert math.isclose(fleet.pace("r0"), before, rel_tol=0.1)
 
 
@@ -199,7 +199,7 @@
     fleet.directory.put(Replica("r0", "model", "h2", 7, "z1", SLOTS, False, 2))
     assert fleet.pace("r0") == 1.0
     # An answer of the earlier process says nothing of this one.
-    fleet.hear(served=[Served("chat", "r0", 40, 300, 0, EVENTS, 400)])
+    fleet.hear(request_timings=[RequestTiming("chat", "r0", 40, 300, 0, EVENTS, 400)])
     assert fleet.pace("r0") == 1.0
 
 
@@ -207,10 +207,10 @@
     fleet = PacedFleet(replicas=2)
     known = fleet.directory.find("r0")
     assert known is not None
-    fleet.directory.put(msgspec.structs.replace(known, version=2, born_ms=1_000))
+    fleet.directory.put(msgspec.structs.replace(known, version=2, started_ms=1_000))
     fleet.learn({"r0": 2.5})
     assert fleet.pace("r0") > 1.2
-    fleet.directory.put(msgspec.structs.replace(known, version=3, born_ms=2_000))
+    fleet.directory.put(msgspec.structs.replace(known, version=3, started_ms=2_000))
     assert fleet.pace("r0") == 1.0
 
 
@@ -268,7 +268,7 @@
         world = CoordinationWorld(5)
         await world.start()
         before = world.coordinator
-        figures = {"r1": PaceFigures(1.6, 1.6, 0), "r2": PaceFigures(0.6, 0.6, 0)}
+        figures = {"r1": SlowdownEstimate(1.6, 1.6, 0), "r2": SlowdownEstimate(0.6, 0.6, 0)}
         before.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         world.kill(before)
@@ -283,7 +283,7 @@
 def test_figures_of_another_coordinator_that_cannot_be_are_dropped() -> None:
     paces = ReplicaSlowdowns()
     odd = [(math.nan, 1.0, 0), (1.0, math.inf, 0), (-1.0, 1.0, 0), (99.0, 1.0, 0), (1.0, 1.0, -5)]
-    paces.apply({f"r{i}": PaceFigures(*one) for i, one in enumerate(odd)}, now=10.0)
+    paces.apply({f"r{i}": SlowdownEstimate(*one) for i, one in enumerate(odd)}, now=10.0)
     assert paces.invalid_count == len(odd)
     assert paces.present == {}
 
@@ -298,13 +298,13 @@
         coordinator = world.coordinator()
         assert coordinator is not None
         fleet = coordinator._fleet
-        served: list[Served] = []
-        timings: list[ReplicaTiming] = []
+        served: list[RequestTiming] = []
+        timings: list[ItemTiming] = []
         hear = fleet.scheduler.handle_report
 
         def watch(report: Report, now: float) -> None:
-            served.extend(report.served)
-            timings.extend(report.timings)
+            served.extend(report.request_timings)
+            timings.extend(report.item_timings)
             hear(report, now)
 
         fleet.scheduler.handle_report = watch  # type: ignore[method-assign]
@@ -329,8 +329,8 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=1, events=10)
         link = world.nodes[0]._fleet.link
-        timings: list[ReplicaTiming] = []
-        link.note_timing = timings.append  # type: ignore[method-assign, assignment]
+        timings: list[ItemTiming] = []
+        link.record_item_timing = timings.append  # type: ignore[method-assign, assignment]
         await world.hand_in("j-1", count=2)
         await world.until_done("j-1", 2)
         assert timings == []
@@ -361,7 +361,7 @@
     async def test() -> None:
         world = CoordinationWorld(5)
         await world.start()
-        figures = {f"r{number}": PaceFigures(1.6, 1.6, 0) for number in range(4)}
+        figures = {f"r{number}": SlowdownEstimate(1.6, 1.6, 0) for number in range(4)}
         world.coordinator.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         told: list[Snapshot] = []
@@ -375,7 +375,7 @@
         world.wire.put = watch  # type: ignore[method-assign]
         await world.run(10.0)
         assert told
-        assert not any(one.paces for one in told)
+        assert not any(one.slowdowns for one in told)
 
     curio.run(test)
 
@@ -499,15 +499,15 @@
     """Times of items and events of answers change nothing, nor does how long items still run."""
     plain, fed = PacedFleet(replicas=3), PacedFleet(replicas=3)
     for number, (replica_id, took_ms, items) in enumerate(history):
-        ask = Ask(number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
-        asks, served = [ask], Served("chat", replica_id, 40, took_ms, 0)
+        ask = PlacementRequest(number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
+        asks, served = [ask], RequestTiming("chat", replica_id, 40, took_ms, 0)
         group = WaitingGroup(4004, items)
-        one = plain.hear(asks=asks, served=[served], waiting={"model": [group]})
-        told = Served("chat", replica_id, 40, took_ms, 0, EVENTS)
-        timing = ReplicaTiming(replica_id, 115, took_ms)
-        group = WaitingGroup(4004, items, rest_ms=900)
+        one = plain.hear(placement_requests=asks, request_timings=[served], waiting={"model": [group]})
+        told = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS)
+        timing = ItemTiming(replica_id, 115, took_ms)
+        group = WaitingGroup(4004, items, remaining_ms=900)
         waiting = {"model": [group]}
-        other = fed.hear(asks=asks, served=[told], waiting=waiting, timings=[timing])
+        other = fed.hear(placement_requests=asks, request_timings=[told], waiting=waiting, item_timings=[timing])
         assert one == other
         plain.now += 0.05
         fed.now += 0.05
@@ -518,7 +518,7 @@
 def test_a_standby_forgets_the_paces_of_replicas_that_are_gone_or_have_started_again() -> None:
     """Replicas come and go for months at a standby that nobody reports to."""
     fleet = PacedFleet(2)
-    figures = {key: PaceFigures(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
+    figures = {key: SlowdownEstimate(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
     fleet.scheduler.apply_slowdowns(figures, fleet.now)
     assert fleet.scheduler.slowdowns.usual("r0") == 1.6
     fleet.directory.put(Replica("r0", "model", "h", 99, "z1", SLOTS, False, 2))
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -12,9 +12,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.load import LoadBook
-from cloverwalk.fleet.messages import Ask, Placement, Served
-from cloverwalk.fleet.places import Place
+from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.fleet.messages import PlacementRequest, Placement, RequestTiming
+from cloverwalk.fleet.places import PlacementResult
 from cloverwalk.gateway.configuration import (
     ClientLimits,
     Configuration,
@@ -85,27 +85,27 @@
 
     configuration_version = 1
 
-    def __init__(self, script: list[Step], loads: LoadBook) -> None:
+    def __init__(self, script: list[Step], loads: InFlightTracker) -> None:
         self._script = script
         self._loads = loads
         self._turn = 0
 
-    async def place(self, ask: Ask, until: float) -> Place:
+    async def place(self, ask: PlacementRequest, until: float) -> PlacementResult:
         """Return the next answer of the script; then one replica after the other."""
         await curio.sleep(0)
         self._turn += 1
         step = self._script.pop(0) if self._script else f"i-{self._turn % REPLICAS}"
         if isinstance(step, PlacementVerdict):
-            return Place(Placement(0, step, retry_after_s=0.2))
+            return PlacementResult(Placement(0, step, retry_after_s=0.2))
         if step == LATE:
             await curio.sleep(2 * DEADLINE_MS / 1000)
             step = "i-0"
-        return Place(Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False))
+        return PlacementResult(Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False))
 
     async def note_change(self) -> None:
         """Nobody is told."""
 
-    def note_served(self, served: Served) -> None:
+    def note_served(self, served: RequestTiming) -> None:
         """Nobody is told."""
 
 
@@ -123,7 +123,7 @@
         metrics = ServingMetrics()
         holder = ConfigurationHolder()
         holder.update_if_newer(Configuration(1, _routes(), {}, ClientLimits()))
-        loads = LoadBook()
+        loads = InFlightTracker()
         link: Any = ScriptedLink(script, loads)
         directory = self._directory()
         pool = ReplicaPool(adapter.codec, time.monotonic)
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -11,8 +11,8 @@
 
 from cloverwalk.core.catalogue import REQUEST_ENDED
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.messages import Ask, Placement
-from cloverwalk.fleet.places import Place
+from cloverwalk.fleet.messages import PlacementRequest, Placement
+from cloverwalk.fleet.places import PlacementResult
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.telemetry.story import describe_work_state, parse_line
 
@@ -35,15 +35,15 @@
 def answer_next_asks(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
     """Have the first node's asks answered by these verdicts; None leaves it to the coordinator."""
     link = world.nodes[0]._fleet.link
-    place = link.place
+    place = link.request_placement
 
-    async def answer(ask: Ask, until: float) -> Place:
+    async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
         verdict = verdicts.pop(0) if verdicts else None
         if verdict is None:
             return await place(ask, until)
-        return Place(Placement(0, verdict, retry_after_s=0.3))
+        return PlacementResult(Placement(0, verdict, retry_after_s=0.3))
 
-    link.place = answer  # type: ignore[method-assign]
+    link.request_placement = answer  # type: ignore[method-assign]
 
 
 def test_a_replicas_refusal_without_proof_is_no_promise() -> None:
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -43,7 +43,7 @@
             (item_call, "ANSWER_SILENCE_S"),
             (item_call, "EVENT_SILENCE_S"),
             (answer_relay, "FIRST_EVENT_SILENCE_S"),
-            (answer_relay, "EVENT_SILENCE_S"),
+            (answer_relay, "EVENT_TIMEOUT_S"),
         ):
             patch.setattr(module, name, TEST_LIMIT_S)
         yield
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -135,12 +135,12 @@
     since = known.directory.fingerprint
     known.change(3, "r1", b"\xff")
     gone = [RemovedReplica("r1", known.directory.version)]
-    assert sync.take(DirectoryUpdate(since, known.directory.fingerprint, 3, 0, [], gone))
+    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 3, 0, [], gone))
     assert [one.replica_id for one in peer.all()] == ["r2"]
     since = known.directory.fingerprint
     known.change(4, "r1", entry())
     back = [one for one in known.directory.all() if one.replica_id == "r1"]
-    assert sync.take(DirectoryUpdate(since, known.directory.fingerprint, 4, 0, back))
+    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 4, 0, back))
     assert peer.find("r1") is not None
 
 
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from test_scheduler import Fleet
 
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import NodeLoad, WaitingGroup
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, Service
 from cloverwalk.jobs.order import pick
@@ -186,15 +186,15 @@
 
 
 def test_a_node_tells_no_tokens_where_memory_is_not_scarce() -> None:
-    book = LoadBook()
+    book = InFlightTracker()
     work = book.begin("r1", True, 700)
-    assert book.own["r1"].tokens == 0
-    scarce = LoadBook(counts_tokens=True)
+    assert book.by_replica["r1"].tokens == 0
+    scarce = InFlightTracker(counts_tokens=True)
     scarce.begin("r1", False, 300)
     work = scarce.begin("r1", True, 700)
-    assert (scarce.own["r1"].tokens, scarce.own["r1"].batch_tokens) == (1000, 700)
+    assert (scarce.by_replica["r1"].tokens, scarce.by_replica["r1"].batch_tokens) == (1000, 700)
     scarce.end(work)
-    assert (scarce.own["r1"].tokens, scarce.own["r1"].batch_tokens) == (300, 0)
+    assert (scarce.by_replica["r1"].tokens, scarce.by_replica["r1"].batch_tokens) == (300, 0)
 
 
 def test_items_that_find_no_room_cost_their_tenant_nothing_and_earn_it_nothing() -> None:
@@ -205,7 +205,7 @@
         shares.charge(0, "hot", 2000.0, ["small"])
     before = shares.ahead_ms(0, "hot"), shares.slot_ms.total()
     fleet.nodes[0].online, fleet.nodes[0].tokens = {"r0": 1}, {"r0": 9_000}
-    fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", rest_ms=2000, tokens=5_000)]
+    fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", remaining_ms=2000, tokens=5_000)]
     for _ in range(3):
         fleet.tell(0)
     assert fleet.work("r0") == (1, 0)
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.messages import Ask, NodeLoad, Placement, Report, Served, WaitingGroup
+from cloverwalk.fleet.messages import PlacementRequest, NodeLoad, Placement, Report, RequestTiming, WaitingGroup
 from cloverwalk.gateway.configuration import (
     ClientLimits,
     Configuration,
@@ -57,7 +57,7 @@
     placements: dict[int, Placement] = attrs.Factory(dict)
     suspects: list[str] = attrs.Factory(list)
 
-    def report(self, asks: list[Ask] | None = None, served: list[Served] | None = None) -> Report:
+    def report(self, asks: list[PlacementRequest] | None = None, served: list[RequestTiming] | None = None) -> Report:
         self.sequence += 1
         replicas = {*self.online, *self.batch}
         loads = {
@@ -119,7 +119,7 @@
             "time_left_ms": 5000,
             **more,
         }
-        ask = Ask(self._asked, route, "model", **fields)  # type: ignore[arg-type]
+        ask = PlacementRequest(self._asked, route, "model", **fields)  # type: ignore[arg-type]
         self.scheduler.handle_report(self.nodes[node].report([ask]), self.now)
         self.obey()
         return self._asked
@@ -153,7 +153,7 @@
             taken = min(count, group.items)
             count -= taken
             if group.items > taken:
-                left.append(WaitingGroup(group.due_step, group.items - taken))
+                left.append(WaitingGroup(group.sort_key, group.items - taken))
         node.waiting = left
 
     def work(self, replica_id: str) -> tuple[int, int]:
@@ -269,7 +269,7 @@
 def test_a_request_that_waited_for_long_is_sent_whatever_it_finds() -> None:
     fleet, number = held_fleet()
     fleet.now += MAX_QUEUE_WAIT_S
-    ask = Ask(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
+    ask = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
     fleet.scheduler.handle_report(fleet.nodes[1].report([ask]), fleet.now)
     fleet.obey()
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
@@ -319,7 +319,7 @@
         replica = fleet.nodes[0].placements[number].replica_id
         fleet.nodes[0].online[replica] -= 1
         fleet.tell(0)
-    fleet.nodes[1].waiting = [WaitingGroup(1, 30, reading_ms=reading_ms)]
+    fleet.nodes[1].waiting = [WaitingGroup(1, 30, prefill_ms=reading_ms)]
     fleet.tell(1)
     taken = sum(fleet.work(key)[1] for key in ("r0", "r1"))
     assert 2 * SLOTS - most <= taken <= 2 * SLOTS - least
@@ -349,7 +349,7 @@
     fleet.tell(2)
     assert "r0" not in fleet.nodes[2].batch
     fleet.nodes[0].suspects = []
-    served = Served("chat", "r0", 50, 300, 0)
+    served = RequestTiming("chat", "r0", 50, 300, 0)
     fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
     fleet.obey()
     # A slot or two are kept for requests like those before.
@@ -421,7 +421,7 @@
 
     monkeypatch.setattr(ReplicaLoadTracker, "total", counting)
     fleet.ask(0)
-    fleet.nodes[1].waiting = [WaitingGroup(1, 5, reading_ms=5)]
+    fleet.nodes[1].waiting = [WaitingGroup(1, 5, prefill_ms=5)]
     fleet.tell(1)
     assert looks <= 3 * (MOST_CONSIDERED + 5)
 
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from test_scheduler import SLOTS, Fleet
 
-from cloverwalk.fleet.messages import Ask, Served, WaitingGroup, WorkCorrection
+from cloverwalk.fleet.messages import PlacementRequest, RequestTiming, WaitingGroup, WorkCorrection
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.tenants.directory import Tenant
 
@@ -84,7 +84,7 @@
     fleet = busy_fleet()
     for _ in range(8):
         # Long requests of one tenant: it has had far more than the others.
-        served = Served("chat", "r0", 50, 9000, 0, tenant="hot")
+        served = RequestTiming("chat", "r0", 50, 9000, 0, tenant="hot")
         fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
     assert fleet.scheduler.online_shares.is_ahead(0, "hot")
@@ -117,7 +117,7 @@
     """A process that was started again counts its asks anew; the earlier ones may be held yet."""
     fleet = busy_fleet()
     number = hold(fleet, "small")
-    again = Ask(number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other")
+    again = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other")
     fleet.scheduler.handle_report(fleet.nodes[1].report([again]), fleet.now)
     fleet.scheduler.remove_node("n1", fleet.now)
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
@@ -140,8 +140,8 @@
 def test_items_of_tenants_share_slots_and_grants_say_whose_they_are() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [
-        WaitingGroup(1, 20, tenant="hot", rest_ms=1000),
-        WaitingGroup(5, 20, tenant="small", rest_ms=1000),
+        WaitingGroup(1, 20, tenant="hot", remaining_ms=1000),
+        WaitingGroup(5, 20, tenant="small", remaining_ms=1000),
     ]
     fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "small": SLOTS // 2}
@@ -149,7 +149,7 @@
 
 def test_an_items_run_that_was_cut_short_is_given_back() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
-    fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", rest_ms=2000)]
+    fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", remaining_ms=2000)]
     fleet.tell(0)
     assert fleet.scheduler.item_shares.ahead_ms(0, "hot") > 0
     report = fleet.nodes[0].report()
@@ -196,8 +196,8 @@
     replicas = 16
     fleet = Fleet(replicas=replicas, tenants=TENANTS)
     fleet.nodes[0].waiting = [
-        WaitingGroup(1, 400, tenant="hot", rest_ms=2000),
-        WaitingGroup(5, 400, tenant="small", rest_ms=2000),
+        WaitingGroup(1, 400, tenant="hot", remaining_ms=2000),
+        WaitingGroup(5, 400, tenant="small", remaining_ms=2000),
     ]
     fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     granted = Counter[str]()
@@ -210,8 +210,8 @@
     """Public routes take items of anybody; a slot that is not named goes to any item."""
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [
-        WaitingGroup(1, 20, tenant="hot", rest_ms=1000),
-        WaitingGroup(5, 20, rest_ms=1000),
+        WaitingGroup(1, 20, tenant="hot", remaining_ms=1000),
+        WaitingGroup(5, 20, remaining_ms=1000),
     ]
     fleet.scheduler.handle_report(fleet.nodes[0].report(), fleet.now)
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "": SLOTS // 2}
@@ -221,6 +221,6 @@
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.ask(0, tenant="")
     before_ms = fleet.scheduler.online_shares.ahead_ms(0, "")
-    served = Served("chat", "r0", 50, round(before_ms) + 700, 0)
+    served = RequestTiming("chat", "r0", 50, round(before_ms) + 700, 0)
     fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
     assert fleet.scheduler.online_shares.ahead_ms(0, "") == before_ms + 700
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -277,7 +277,7 @@
         asked = 0
         send_ask = other._fleet.link.send_ask
 
-        async def counting(ask: messages.Ask) -> messages.Contact | None:
+        async def counting(ask: messages.PlacementRequest) -> messages.Contact | None:
             nonlocal asked
             asked += 1
             return await send_ask(ask)
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -74,7 +74,7 @@
     for node in nodes:
         node.link.waiting = {"model": [WaitingGroup(1, 2)]}
         recorders.append(Recorder())
-        node.link.batch = recorders[-1]
+        node.link.batch_handler = recorders[-1]
     return recorders
 
 
@@ -256,7 +256,7 @@
         (recorder,) = record([node])
         orders = old.coordinator._orders(node.name, None, world.now)
         orders.sender, orders.number, orders.grants = "other.0c", 9, {"r0": 2}
-        await node.link.take_orders(orders, "h-other")
+        await node.link.handle_orders(orders, "h-other")
         assert recorder.grants == []
 
     in_zones(test)
@@ -269,7 +269,7 @@
         able = [one for one in world.nodes if one.identity.zone != own]
         assert len(standbys) == 3
         assert {one.zone for one in standbys} == {""}
-        found = world.coordinator.coordinator.roster.choose_standbys(world.coordinator.name, own)
+        found = world.coordinator.coordinator.registry.choose_standbys(world.coordinator.name, own)
         assert [one.node for one in found] == sorted(one.name for one in able)[:3]
         node = next(one for one in able if one.leader.standby_rank is None)
         world.store.is_down = True
--- a/tests/unit/test_item_order.py
+++ b/tests/unit/test_item_order.py
@@ -23,7 +23,7 @@
     groups = summarise(WaitingItem(*one) for one in items)
     assert sum(one.items for one in groups) == len(items)
     assert len(groups) <= MAX_GROUPS
-    steps = [one.due_step for one in groups]
+    steps = [one.sort_key for one in groups]
     assert steps == sorted(steps)
     if items:
         assert steps[0] == min(WaitingItem(*one).sort_key for one in items)
--- a/tests/unit/test_machine_room.py
+++ b/tests/unit/test_machine_room.py
@@ -178,7 +178,7 @@
 def test_the_middle_of_a_zone_is_told_by_those_that_measure_and_stay() -> None:
     def report(node: str, zone: str, percent: int, is_leaving: bool = False) -> Report:
         return Report(
-            node, "r", zone, 1, 0, 0, 0, 0, is_leaving=is_leaving, fullness_percent=percent
+            node, "r", zone, 1, 0, 0, 0, 0, is_leaving=is_leaving, utilization_percent=percent
         )
 
     reports = [report(f"a{one}", "a", percent) for one, percent in enumerate((90, 20, 30, 95))]
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.messages import DeputyGrants
+from cloverwalk.fleet.messages import LocalGrants
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, ConfigurationHolder
 from cloverwalk.scheduling.quotas import FleetQuotas, QuotaBounds, QuotaVerdict
 from cloverwalk.tenants.directory import Tenant
@@ -222,15 +222,15 @@
     quotas = coordinating(holder(tenant(rate=0.1, burst=10.0)), now=-100.0)
     quotas.record_local_grants("n1", "0a", None, 0.0)
     for _ in range(3):
-        quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 4}), 0.0)
-    quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 6}), 0.0)
-    quotas.record_local_grants("n1", "0a", DeputyGrants(1, {"quiz": 1}), 0.0)
+        quotas.record_local_grants("n1", "0a", LocalGrants(0, {"quiz": 4}), 0.0)
+    quotas.record_local_grants("n1", "0a", LocalGrants(0, {"quiz": 6}), 0.0)
+    quotas.record_local_grants("n1", "0a", LocalGrants(1, {"quiz": 1}), 0.0)
     assert quotas.bucket_levels(0.0) == {"quiz": 3.0}
 
 
 def test_the_first_report_after_a_takeover_charges_nothing() -> None:
     quotas = coordinating(holder(tenant(rate=1.0, burst=10.0)), now=-1.0)
-    quotas.record_local_grants("n1", "0a", DeputyGrants(0, {"quiz": 400}), 0.0)
+    quotas.record_local_grants("n1", "0a", LocalGrants(0, {"quiz": 400}), 0.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.load import InFlight, LoadBook
+from cloverwalk.fleet.load import InFlight, InFlightTracker
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.event_stream import EventSplitter
 from cloverwalk.gateway.messages import ClientRequest
@@ -103,12 +103,12 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["r", "s"]), st.booleans()), max_size=12))
 def test_work_that_has_ended_leaves_nothing_behind(sends: list[tuple[str, bool]]) -> None:
-    book = LoadBook()
+    book = InFlightTracker()
     begun = [book.begin(replica_id, is_batch) for replica_id, is_batch in sends]
-    assert sum(one.total for one in book.own.values()) == len(sends)
+    assert sum(one.total for one in book.by_replica.values()) == len(sends)
     for work in begun:
         book.end(work)
-    assert book.own == {}
+    assert book.by_replica == {}
 
 
 def test_headers_set_on_the_way_replace_the_clients() -> None:
