--- a/src/cloverwalk/core/clock.py
+++ b/src/cloverwalk/core/clock.py
@@ -25,7 +25,7 @@
 
     >>> awake, steady = iter([1.0, 2.0, 3.0]), iter([1.0, 2.0, 8.0])
     >>> watch = SuspensionWatch(lambda: next(steady), lambda: next(awake))
-    >>> watch.look(), watch.look()
+    >>> watch.check(), watch.check()
     (0.0, 5.0)
     """
 
--- a/src/cloverwalk/core/final_answer.py
+++ b/src/cloverwalk/core/final_answer.py
@@ -100,7 +100,7 @@
 class CallError(CloverwalkError):
     """A call ends with an answer of this node's own.
 
-    It tells why, and when to come back if that makes sense. It has no status: ``final_answer``
+    It tells why, and when to come back if that makes sense. It has no status: ``error_response``
     finds that by what is known of the work.
     """
 
@@ -144,7 +144,7 @@
     """Turn an error into the answer that is true of the work.
 
     >>> full = CallError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
-    >>> answer = final_answer(full, NOTHING_SENT)
+    >>> answer = error_response(full, NOTHING_SENT)
     >>> answer.status, answer.retry_after_s
     (503, 0.3)
     """
--- a/src/cloverwalk/core/once_flag.py
+++ b/src/cloverwalk/core/once_flag.py
@@ -4,7 +4,7 @@
 class OnceFlag:
     """For signal handlers that set an event with a lock, such as curio's ``UniversalEvent``.
 
-    A signal may interrupt the handler of the one before while that holds the event's lock. WaitingByPool
+    A signal may interrupt the handler of the one before while that holds the event's lock. Waiting
     for it there, on the same thread, would never end.
 
     >>> flag = OnceFlag()
--- a/src/cloverwalk/fleet/load.py
+++ b/src/cloverwalk/fleet/load.py
@@ -43,10 +43,10 @@
     >>> work = book.begin("r1", is_batch=False)
     >>> book.begin("r1", is_batch=True).has_output
     False
-    >>> book.own["r1"]
+    >>> book.by_replica["r1"]
     InFlight(online=1, batch=1, tokens=0, batch_tokens=0)
     >>> book.end(work)
-    >>> book.own["r1"]
+    >>> book.by_replica["r1"]
     InFlight(online=0, batch=1, tokens=0, batch_tokens=0)
     """
 
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -63,7 +63,7 @@
 
 
 WaitingByPool = dict[str, list[WaitingGroup]]
-"""WaitingByPool items by pool: the services that take them."""
+"""Waiting items by pool: the services that take them."""
 
 
 class QuotaTokenUse(enum.Enum):
@@ -177,8 +177,8 @@
 class Report(Struct, tag="report", array_like=True):
     """The state of a node, and what it wants to know.
 
-    ``run`` is the last part of the node's incarnation; ``sequence`` counts within it. ``settled``
-    is the last order whose effect the figures contain.
+    ``run`` is the last part of the node's incarnation; ``sequence`` counts within it.
+    ``last_applied_order`` is the last order whose effect the figures contain.
     """
 
     node: str
@@ -355,7 +355,7 @@
     """What it took lately, its neighbours' work included."""
 
     age_ms: int
-    """Time since ``now`` was last measured or told."""
+    """Time since ``current`` was last measured or told."""
 
 
 class Snapshot(Struct, tag="snapshot", array_like=True):
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -142,7 +142,7 @@
 
         >>> holder = ConfigurationHolder()
         >>> newer = Configuration(7, (), {}, ClientLimits())
-        >>> holder.offer(newer), holder.offer(Configuration(6, (), {}, ClientLimits()))
+        >>> holder.update_if_newer(newer), holder.update_if_newer(Configuration(6, (), {}, ClientLimits()))
         (True, False)
         >>> holder.version
         7
--- a/src/cloverwalk/gateway/machine_room.py
+++ b/src/cloverwalk/gateway/machine_room.py
@@ -130,9 +130,9 @@
     >>> room = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
     >>> room.set_peer_utilization(20, now=2.0)
     True
-    >>> room.look(Usage(connections=90), now=2.0)
+    >>> room.update(Usage(connections=90), now=2.0)
     True
-    >>> room.verdict, room.scarcest, room.fullness
+    >>> room.state, room.scarcest, room.utilization
     (<OverloadState.FULL: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
     """
 
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -1,6 +1,6 @@
 """The replicas that may be sent to, and those that failed lately.
 
-The store's version orders the entries of a replica; ``born_ms`` only tells its starts apart. Clocks
+The store's version orders the entries of a replica; ``started_ms`` only tells its starts apart. Clocks
 of machines differ, so no time of a start is compared with a time of this node.
 """
 
--- a/src/cloverwalk/jobs/order.py
+++ b/src/cloverwalk/jobs/order.py
@@ -47,7 +47,7 @@
     """Return waiting items as they are told, those due first in front.
 
     >>> items = [WaitingItem(8_200.0, True, "", 5.0), WaitingItem(8_100.0, True, "", 7.0)]
-    >>> summarise(items) == [WaitingGroup(32, 2, reading_ms=6)]
+    >>> summarise(items) == [WaitingGroup(32, 2, prefill_ms=6)]
     True
     """
     by_key: dict[tuple[int, str, str], list[WaitingItem]] = {}
--- a/src/cloverwalk/pipeline/dispatch.py
+++ b/src/cloverwalk/pipeline/dispatch.py
@@ -217,7 +217,7 @@
             self._attempt_lost(request, message.reason)
 
     def _avoid(self, replica: str) -> None:
-        """PlacementResult nothing there until its owner's next reports can have come."""
+        """Place nothing there until its owner's next reports can have come."""
         self._avoid_until[replica] = self._context.now + AVOID_S
         if len(self._avoid_until) > MAX_AVOIDED:
             now = self._context.now
--- a/src/cloverwalk/scheduling/admission.py
+++ b/src/cloverwalk/scheduling/admission.py
@@ -108,9 +108,9 @@
 def decide(prospect: Prospect, may_return: bool, is_first: bool) -> PlacementVerdict:
     """Return what to do; ``is_first`` tells that no other request waits here before it.
 
-    >>> late = Prospect(300.0, start_ms=80.0, left_ms=300.0, objective_ms=300.0, most_wait_ms=200.0)
+    >>> late = Prospect(300.0, first_event_ms=80.0, left_ms=300.0, objective_ms=300.0, most_wait_ms=200.0)
     >>> decide(late, may_return=True, is_first=True), decide(late, may_return=False, is_first=True)
-    (<PlacementVerdict.RETURN: 'return'>, <PlacementVerdict.QUEUE: 'hold'>)
+    (<PlacementVerdict.RETRY_LATER: 'return'>, <PlacementVerdict.QUEUE: 'hold'>)
     """
     if prospect.is_in_time or (is_first and prospect.wait_ms == 0.0):
         return PlacementVerdict.SEND
@@ -183,9 +183,9 @@
 ) -> float | None:
     """Return when a request should come back; None when it had better wait here.
 
-    >>> return_after_s(0.1, 0.1, 5.0, Random(1)) is None
+    >>> retry_after_s(0.1, 0.1, 5.0, Random(1)) is None
     True
-    >>> 0.7 <= return_after_s(0.5, 1.0, 5.0, Random(1)) <= 1.3
+    >>> 0.7 <= retry_after_s(0.5, 1.0, 5.0, Random(1)) <= 1.3
     True
     """
     longest_s = RETURN_SHARE * time_left_s
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -34,7 +34,7 @@
 
 @attrs.define
 class _Claim:
-    """WaitingByPool items of a node that may get slots now."""
+    """Waiting items of a node that may get slots now."""
 
     node: str
     pool: str
@@ -366,7 +366,7 @@
     """Return groups without the first items of the tenants that were granted slots.
 
     >>> _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
-    [WaitingGroup(due_step=2, items=4, replica_id='', reading_ms=0, tenant='', rest_ms=0, tokens=0)]
+    [WaitingGroup(sort_key=2, items=4, replica_id='', prefill_ms=0, tenant='', remaining_ms=0, tokens=0)]
     """
     left = Counter(granted)
     kept: list[WaitingGroup] = []
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -23,7 +23,7 @@
     >>> outbox = Outbox()
     >>> outbox.of("n1").number, outbox.of("n1").number, outbox.of("n2").number
     (1, 1, 1)
-    >>> sorted(outbox.take()), outbox.of("n1").number, outbox.last_number("n2")
+    >>> sorted(outbox.pop()), outbox.of("n1").number, outbox.last_number("n2")
     (['n1', 'n2'], 2, 1)
     """
 
--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -32,7 +32,7 @@
     """Each zone is served on its own while it is cut off, or while another one is lost."""
 
     OVERLOAD_ORDER = "overload_order"
-    """WaitingByPool requests go by what is lost if they wait; hopeless ones are refused at once."""
+    """Waiting requests go by what is lost if they wait; hopeless ones are refused at once."""
 
 
 @attrs.frozen
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -56,7 +56,7 @@
     """Slot time by which its tenant is ahead of others, where its share counted."""
 
     return_after_s: float = 0.0
-    """With RETURN: when it should come back."""
+    """With RETRY_LATER: when it should come back."""
 
 
 class OnlineQueue:
@@ -161,7 +161,7 @@
                 self._drop(held.ask_id, now)
 
     def try_held(self, now: float) -> list[str]:
-        """PlacementResult waiting requests while there are slots; return the replicas that got one."""
+        """Place waiting requests while there are slots; return the replicas that got one."""
         got: list[str] = []
         for held in self._held.in_turn(now):
             replica_id = self._try(held, False, now)
--- a/src/cloverwalk/scheduling/pace.py
+++ b/src/cloverwalk/scheduling/pace.py
@@ -175,7 +175,7 @@
     >>> paces = ReplicaSlowdowns()
     >>> paces.pace("r1")
     1.0
-    >>> paces.take({"r1": SlowdownEstimate(1.6, 1.6, 0)}, now=10.0)
+    >>> paces.apply({"r1": SlowdownEstimate(1.6, 1.6, 0)}, now=10.0)
     >>> paces.pace("r1"), paces.usual("r1")
     (1.6, 1.6)
     """
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -106,7 +106,7 @@
     'z1'
     >>> choose([Candidate(near, full, False), Candidate(far, idle, False)], demand).replica.zone
     'z2'
-    >>> reading = Candidate(near, InFlight(online=1), False, reading_ms=300.0)
+    >>> reading = Candidate(near, InFlight(online=1), False, prefill_ms=300.0)
     >>> choose([reading, Candidate(far, idle, False)], demand).replica.zone
     'z2'
     """
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -63,7 +63,7 @@
 
     >>> times = ServiceTimes()
     >>> times.record_start("r", 100.0)
-    >>> times.start_ms("r"), times.hold_ms("r")
+    >>> times.first_event_ms("r"), times.hold_ms("r")
     (100.0, 500.0)
     """
 
--- a/src/cloverwalk/scheduling/share.py
+++ b/src/cloverwalk/scheduling/share.py
@@ -28,7 +28,7 @@
     As many as online requests arrive while an item would not pay its start; ``reading_ms`` is the
     time in which a replica reads the prompt of a waiting item, on average.
 
-    >>> kept_free(60.0, 24.0), kept_free(60.0, 5.0), kept_free(2.0, 24.0)
+    >>> reserved_slots(60.0, 24.0), reserved_slots(60.0, 5.0), reserved_slots(2.0, 24.0)
     (12, 3, 0)
     """
     pays_after_ms = max(PAYS_START_LEAST_MS, PAYS_START_RATIO * reading_ms)
--- a/src/cloverwalk/scheduling/slot_book.py
+++ b/src/cloverwalk/scheduling/slot_book.py
@@ -50,12 +50,12 @@
     """Work by replica.
 
     >>> book = ReplicaLoadTracker()
-    >>> book.hear("n1", {"r1": NodeLoad(2, 3)}, settled=0)
+    >>> book.record_report("n1", {"r1": NodeLoad(2, 3)}, settled=0)
     {'r1'}
     >>> book.expect("n1", 1, "r1", online=1, now=0.0)
     >>> book.total("r1", now=0.1)
     InFlight(online=3, batch=3, tokens=0, batch_tokens=0)
-    >>> book.hear("n1", {"r1": NodeLoad(3, 2)}, settled=1)
+    >>> book.record_report("n1", {"r1": NodeLoad(3, 2)}, settled=1)
     {'r1'}
     >>> book.total("r1", now=0.2)
     InFlight(online=3, batch=2, tokens=0, batch_tokens=0)
--- a/src/cloverwalk/scheduling/slot_time.py
+++ b/src/cloverwalk/scheduling/slot_time.py
@@ -61,8 +61,8 @@
     """Adds slot-seconds by use.
 
     >>> time = SlotTime()
-    >>> time.look([], {}, {}, now=10.0)
-    >>> time.look([ReplicaUse("s", 8, online=3, batch=4)], {"s": 2}, {"s": 1}, now=10.25)
+    >>> time.sample([], {}, {}, now=10.0)
+    >>> time.sample([ReplicaUse("s", 8, online=3, batch=4)], {"s": 2}, {"s": 1}, now=10.25)
     >>> {use.value: seconds for use, seconds in time.seconds.items()}
     {'online': 0.75, 'items': 1.0, 'kept_free': 0.25}
     """
--- a/src/cloverwalk/store/clock.py
+++ b/src/cloverwalk/store/clock.py
@@ -76,7 +76,7 @@
         >>> clock = StoreClock(Clock(lambda: 2.0))
         >>> clock.now() is None
         True
-        >>> clock.note(500.0, asked_at_ms=1990.0)
+        >>> clock.record_answer(500.0, asked_at_ms=1990.0)
         >>> clock.now()
         StoreTime(earliest_ms=500.0, latest_ms=510.0)
         """
--- a/src/cloverwalk/telemetry/lateness.py
+++ b/src/cloverwalk/telemetry/lateness.py
@@ -61,7 +61,7 @@
 def request_cause(times: RequestTimes) -> LateCause | None:
     """Return why a request was late, None for one that was in time.
 
-    >>> held = RequestTimes(300.0, 420.0, 350.0, 0.0, 60.0, was_held=True)
+    >>> held = RequestTimes(300.0, 420.0, 350.0, 0.0, 60.0, was_queued=True)
     >>> request_cause(held).value, request_cause(RequestTimes(300.0, 80.0, 2.0, 0.0, 60.0))
     ('no_slot', None)
     """
--- a/src/cloverwalk/telemetry/starts.py
+++ b/src/cloverwalk/telemetry/starts.py
@@ -23,7 +23,7 @@
     def quantile(self, share: float) -> float:
         """Return the time within which ``share`` of the starts had reached the stage.
 
-        >>> StageTimes("ready", (10.0, 20.0, 30.0)).at(0.5)
+        >>> StageTimes("ready", (10.0, 20.0, 30.0)).quantile(0.5)
         20.0
         """
         if len(self.after_ms) == 1:
--- a/src/cloverwalk/telemetry/tenant_metrics.py
+++ b/src/cloverwalk/telemetry/tenant_metrics.py
@@ -34,7 +34,7 @@
     """Counts of one process.
 
     >>> metrics = TenantMetrics()
-    >>> metrics.note("quiz", TenantOutcome.ANSWERED)
+    >>> metrics.request_ended("quiz", TenantOutcome.ANSWERED)
     >>> metrics.counts(most=1)
     {('quiz', 'answered'): 1}
     """
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -473,7 +473,7 @@
     Mutant(
         "serving: free slots are not left to items due sooner",
         "scheduling/batch.py",
-        "        return (self.group.due_step, self.node, self.group.replica_id)",
+        "        return (self.group.sort_key, self.node, self.group.replica_id)",
         "        return (0, self.node, self.group.replica_id)",
         SCHEDULER + "test_items_due_sooner_get_the_next_free_slot_whichever_node_has_them",
     ),
@@ -487,14 +487,14 @@
     Mutant(
         "serving: pauses go on beyond the store's return",
         "store/health.py",
-        "        returned = self._returned if self.is_lost else None",
+        "        returned = self._returned if self.is_unavailable else None",
         "        returned = None",
         HEALTH + "test_a_transaction_in_a_long_pause_is_repeated_at_once",
     ),
     Mutant(
         "serving: output is not saved at the store's return",
         "jobs/checkpoint.py",
-        "            await self._health.pause(SAVE_EVERY_MS)",
+        "            await self._health.backoff(SAVE_EVERY_MS)",
         "            await curio.sleep(SAVE_EVERY_MS / 1000)",
         HEALTH + "test_output_of_running_items_is_saved_when_the_store_is_back",
         (
@@ -558,15 +558,15 @@
     Mutant(
         "serving: requests beyond the slots are sent all the same",
         "scheduling/admission.py",
-        "    return PlacementVerdict.RETURN if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.RETRY_LATER if may_return else PlacementVerdict.QUEUE",
         "    return PlacementVerdict.SEND",
         ONLINE + "test_requests_beyond_the_slots_are_told_at_once_to_come_back_and_never_run",
     ),
     Mutant(
         "serving: who came back is turned away again",
         "scheduling/admission.py",
-        "    return PlacementVerdict.RETURN if may_return else PlacementVerdict.QUEUE",
-        "    return PlacementVerdict.RETURN",
+        "    return PlacementVerdict.RETRY_LATER if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.RETRY_LATER",
         ADMISSION + "test_a_request_that_came_back_is_not_turned_away_again",
     ),
     Mutant(
@@ -586,8 +586,8 @@
     Mutant(
         "serving: decisions count only when they are reported",
         "scheduling/slot_book.py",
-        "        self._change(replica_id, _expected(decision), 1)\n\n    def forget",
-        "\n    def forget",
+        "        self._change(replica_id, _expected(decision), 1)\n\n    def remove_node",
+        "\n    def remove_node",
         SCHEDULER + "test_every_free_slot_goes_to_waiting_items_at_once_and_none_twice",
     ),
     Mutant(
@@ -1163,8 +1163,8 @@
     Mutant(
         "crashes: a node keeps to itself what it has seen",
         "fleet/case_sync.py",
-        "        self.take(report.cases, report.node)",
-        "        report.cases.clear()",
+        "        self.merge(report.crash_records, report.node)",
+        "        report.crash_records.clear()",
         CASES + "test_a_guilty_request_reaches_few_replicas_whatever_happens",
     ),
     Mutant(
@@ -1191,7 +1191,7 @@
     Mutant(
         "crashes: suspects are sent over kept connections",
         "gateway/replica_connection.py",
-        "        if must_be_new:",
+        "        if force_new:",
         "        if False:",
         "tests/serving/test_crash_witness.py::test_a_suspect_can_have_a_connection_of_its_own",
     ),
@@ -1219,7 +1219,7 @@
     Mutant(
         "crashes: the store's rows are not read",
         "fleet/case_keeper.py",
-        '        self._cases.take(copies, "store")',
+        '        self._cases.merge(copies, "store")',
         "        copies.clear()",
         CRASHING + "test_a_restarted_fleet_knows_it_from_the_store",
     ),
@@ -1312,7 +1312,7 @@
     Mutant(
         "restarts: items go back to a prompt that is gone",
         "jobs/runner.py",
-        "kept_at and kept_at.may_be_incarnation(one.born_ms)",
+        "kept_at and kept_at.may_be_incarnation(one.replica_started_ms)",
         "kept_at",
         RESTARTED + "test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept",
     ),
