--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -19,7 +19,7 @@
 from test_crash_cases import ASK_EVERY_S, NODES, Clients, Trouble  # noqa: E402
 
 from cloverwalk.fleet.messages import CrashCases  # noqa: E402
-from cloverwalk.gateway.content import hash_content  # noqa: E402
+from cloverwalk.gateway.content_hash import hash_content  # noqa: E402
 
 SEEDS = 60
 SPAN_S = 20.0
--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -6,7 +6,12 @@
 
 from cloverwalk.cli.api import json_option, print_json
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
-from cloverwalk.telemetry.story import LogLine, describe_work_state, parse_line, request_history
+from cloverwalk.telemetry.request_history import (
+    LogLine,
+    describe_work_state,
+    parse_line,
+    request_history,
+)
 
 NOTE_INDENT = "    "
 
--- a/src/cloverwalk/cli/features.py
+++ b/src/cloverwalk/cli/features.py
@@ -7,7 +7,7 @@
 from cloverwalk.cli.api import json_option, print_json
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
 from cloverwalk.core import catalogue
-from cloverwalk.telemetry.story import LogLine, parse_line
+from cloverwalk.telemetry.request_history import LogLine, parse_line
 
 HEAD = "part              state  nodes  why"
 
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -15,8 +15,8 @@
     late_counts_of,
     slot_seconds_of,
 )
-from cloverwalk.telemetry.starts import StageTimes, startup_stages
-from cloverwalk.telemetry.story import LogLine, parse_line
+from cloverwalk.telemetry.request_history import LogLine, parse_line
+from cloverwalk.telemetry.startup_report import StageTimes, startup_stages
 from cloverwalk.telemetry.timeline import P95, SecondStats, timeline_of
 
 HEAD = "second  answered  first p50 ms  p95 ms  online  batch  unlisted  given up"
--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -9,24 +9,24 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CrashRecordSync
-from cloverwalk.fleet.copies import STORE_SERVES_MS, StateSender, directory_age_ms
-from cloverwalk.fleet.fullness import median_by_zone
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
 from cloverwalk.fleet.messages import (
     Contact,
-    LocalGrants,
     Introduction,
     Leadership,
+    LocalGrants,
     NodeLoad,
     Orders,
     Report,
     StoreReturned,
 )
-from cloverwalk.fleet.roster import REMEMBERED_S, KnownNode, NodeRegistry
+from cloverwalk.fleet.node_registry import REMEMBERED_S, KnownNode, NodeRegistry
 from cloverwalk.fleet.snapshots import SnapshotMaker
+from cloverwalk.fleet.state_sender import STORE_SERVES_MS, StateSender, directory_age_ms
 from cloverwalk.fleet.transport import Sender
+from cloverwalk.fleet.utilization import median_by_zone
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.scheduling.decisions import Decisions
--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -11,29 +11,29 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import ACK_EVERY_S, Coordinator
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.directory_sync import DirectorySync
 from cloverwalk.fleet.identity import Identity
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import (
-    PlacementRequest,
     Contact,
     CrashCases,
     Datagram,
     DirectoryUpdate,
     Introduction,
+    ItemTiming,
     Leadership,
     NodeLoad,
     Orders,
-    ItemTiming,
+    PlacementRequest,
     Report,
     RequestTiming,
     WaitingByPool,
     WorkCorrection,
 )
-from cloverwalk.fleet.places import PlacementResult, PlacementClient
+from cloverwalk.fleet.placement_client import PlacementClient, PlacementResult
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.replicas import ReplicaDirectory
@@ -301,7 +301,9 @@
             self._settled.get(host, ("", 0))[1],
             self._configuration.version,
             self._directory.fingerprint,
-            NEVER_MS if self._health.is_unavailable else int(min(NEVER_MS, self._health.ms_since_answer())),
+            NEVER_MS
+            if self._health.is_unavailable
+            else int(min(NEVER_MS, self._health.ms_since_answer())),
             self._identity.cores,
             loads,
             self.waiting,
--- a/src/cloverwalk/fleet/crash_record_store.py
+++ b/src/cloverwalk/fleet/crash_record_store.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.gateway.crash_ledger import CrashRecord
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth
--- a/src/cloverwalk/fleet/crash_record_sync.py
+++ b/src/cloverwalk/fleet/crash_record_sync.py
@@ -9,9 +9,9 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.messages import CrashCases, Report
-from cloverwalk.fleet.roster import KnownNode
+from cloverwalk.fleet.node_registry import KnownNode
 from cloverwalk.fleet.transport import Sender
-from cloverwalk.gateway.crash_ledger import CrashRecord, CrashLedger, InvalidCrashRecordError
+from cloverwalk.gateway.crash_ledger import CrashLedger, CrashRecord, InvalidCrashRecordError
 from cloverwalk.telemetry.log import ServingLog
 
 REPEAT_EVERY_S = 0.5
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -14,11 +14,11 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.coordinator import Coordinator
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorClient
 from cloverwalk.fleet.messages import Contact, Leadership, Snapshot
-from cloverwalk.fleet.roster import FULL_CORE
+from cloverwalk.fleet.node_registry import FULL_CORE
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import (
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -14,7 +14,7 @@
 from cloverwalk.core.errors import CloverwalkError
 from cloverwalk.gateway.configuration import Configuration
 from cloverwalk.gateway.crash_ledger import CrashRecord
-from cloverwalk.gateway.machine_room import FULL_THRESHOLD
+from cloverwalk.gateway.overload_monitor import FULL_THRESHOLD
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.admission import PlacementVerdict
 
@@ -43,7 +43,7 @@
     """Batch items of a node that wait for a slot and are due at about the same time."""
 
     sort_key: int
-    """Due time, in steps of the store's clock, see ``cloverwalk.jobs.order``."""
+    """Due time, in steps of the store's clock, see ``cloverwalk.jobs.waiting_items``."""
 
     items: int
     replica_id: str = ""
--- a/src/cloverwalk/fleet/placement_client.py
+++ b/src/cloverwalk/fleet/placement_client.py
@@ -10,8 +10,8 @@
 import curio
 import msgspec
 
-from cloverwalk.fleet.load import InFlightTracker, InFlightEntry
-from cloverwalk.fleet.messages import PlacementRequest, Contact, Placement
+from cloverwalk.fleet.in_flight import InFlightEntry, InFlightTracker
+from cloverwalk.fleet.messages import Contact, Placement, PlacementRequest
 from cloverwalk.scheduling.admission import PlacementVerdict
 
 ASK_TIMEOUT_LEAST_S = 0.03
@@ -80,7 +80,9 @@
 class PlacementClient:
     """Places for the online requests of this node."""
 
-    def __init__(self, sender: AskSender, loads: InFlightTracker, clock: Callable[[], float]) -> None:
+    def __init__(
+        self, sender: AskSender, loads: InFlightTracker, clock: Callable[[], float]
+    ) -> None:
         self._sender = sender
         self._loads = loads
         self._clock = clock
--- a/src/cloverwalk/fleet/snapshots.py
+++ b/src/cloverwalk/fleet/snapshots.py
@@ -1,9 +1,9 @@
 """Snapshots of what the coordinator knows, for its standbys."""
 
-from cloverwalk.fleet.messages import Leadership, SlowdownEstimate, RouteEstimates, Snapshot
-from cloverwalk.fleet.roster import KnownNode
-from cloverwalk.scheduling.pace_handover import SlowdownReplicator
+from cloverwalk.fleet.messages import Leadership, RouteEstimates, SlowdownEstimate, Snapshot
+from cloverwalk.fleet.node_registry import KnownNode
 from cloverwalk.scheduling.scheduler import Scheduler
+from cloverwalk.scheduling.slowdown_replication import SlowdownReplicator
 from cloverwalk.store.health import StoreHealth
 
 NODES_EVERY = 4
--- a/src/cloverwalk/fleet/state_sender.py
+++ b/src/cloverwalk/fleet/state_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from cloverwalk.fleet.messages import ConfigurationCopy, DirectoryUpdate, RemovedReplica
-from cloverwalk.fleet.roster import KnownNode
+from cloverwalk.fleet.node_registry import KnownNode
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from cloverwalk.core.final_answer import NOT_RUN_STATUSES
+from cloverwalk.core.error_response import NOT_RUN_STATUSES
 from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, ReplicaError
 from cloverwalk.gateway.event_stream import EventOrder, EventSplitter, StreamEvent
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -142,7 +142,8 @@
 
         >>> holder = ConfigurationHolder()
         >>> newer = Configuration(7, (), {}, ClientLimits())
-        >>> holder.update_if_newer(newer), holder.update_if_newer(Configuration(6, (), {}, ClientLimits()))
+        >>> older = Configuration(6, (), {}, ClientLimits())
+        >>> holder.update_if_newer(newer), holder.update_if_newer(older)
         (True, False)
         >>> holder.version
         7
--- a/src/cloverwalk/gateway/containment.py
+++ b/src/cloverwalk/gateway/containment.py
@@ -1,8 +1,8 @@
 """Where online requests meet containment: before each attempt, after failures and answers."""
 
 from cloverwalk.gateway import refusals
-from cloverwalk.gateway.content import hash_request
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.content_hash import hash_request
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.progress import RequestProgress
--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -47,8 +47,8 @@
 contained one."""
 
 MOST_INSTANCES = 8
-"""Ended replicas that a case names, the newest: more make no difference, and ``MAX_SHARED_RECORDS`` cases
-fit into a datagram of 60,000 bytes."""
+"""Ended replicas that a case names, the newest: more make no difference, and
+``MAX_SHARED_RECORDS`` cases fit into a datagram of 60,000 bytes."""
 
 CONTENT_CHARACTERS = 20
 
@@ -282,7 +282,9 @@
         case = self._cases.get(content, _Case())
         ages = {key: _age_ms(at, now) for key, at in case.crashed_at.items()}
         answered_at = self._answered_at.get(content)
-        return CrashRecord(content, ages, None if answered_at is None else _age_ms(answered_at, now))
+        return CrashRecord(
+            content, ages, None if answered_at is None else _age_ms(answered_at, now)
+        )
 
     def merge(self, copy: CrashRecord, now: float) -> bool:
         """Take what another node or the store knows; return whether it contains the request now.
--- a/src/cloverwalk/gateway/errors.py
+++ b/src/cloverwalk/gateway/errors.py
@@ -1,7 +1,7 @@
 """Errors of the gateway."""
 
+from cloverwalk.core.error_response import CallError
 from cloverwalk.core.errors import CloverwalkError
-from cloverwalk.core.final_answer import CallError
 
 TIMED_OUT = "silent"
 """Code of an exchange that was given up since nothing came."""
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -135,7 +135,9 @@
     @property
     def _counted(self) -> int:
         """What leaves no room: of jobs their share, beyond which taken over ones may grow."""
-        return self.total_bytes - self.job_bytes + min(self.job_bytes, int(HAND_IN_SHARE * self.limit))
+        return (
+            self.total_bytes - self.job_bytes + min(self.job_bytes, int(HAND_IN_SHARE * self.limit))
+        )
 
     def _make_room(self, needed: int, now: float) -> None:
         while self._readers and not self._fits(needed):
--- a/src/cloverwalk/gateway/progress.py
+++ b/src/cloverwalk/gateway/progress.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct, field
 
-from cloverwalk.core.final_answer import WorkState
-from cloverwalk.fleet.load import InFlightEntry
+from cloverwalk.core.error_response import WorkState
+from cloverwalk.fleet.in_flight import InFlightEntry
 from cloverwalk.gateway.configuration import Route
-from cloverwalk.gateway.crash_witness import Delivery
+from cloverwalk.gateway.crash_detector import Delivery
 
 
 class RequestProgress(Struct):
--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -1,6 +1,6 @@
 """Why an online request ends with an answer of this node's own, and when its caller may return."""
 
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.fleet.messages import Placement
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -9,31 +9,31 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import error_response
-from cloverwalk.fleet.link import CoordinatorClient
-from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.core.error_response import error_response
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.messages import PlacementRequest, QuotaTokenUse
-from cloverwalk.fleet.places import PlacementResult
+from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.gateway import refusals
 from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_SILENCE_S, AnswerRelay
 from cloverwalk.gateway.configuration import Route, RouteKind
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.content import hash_request
-from cloverwalk.gateway.crash_witness import Delivery
+from cloverwalk.gateway.content_hash import hash_request
+from cloverwalk.gateway.crash_detector import Delivery
 from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, GatewayError, ReplicaError
-from cloverwalk.gateway.late_watch import LateWatch
+from cloverwalk.gateway.lateness_tracker import LateWatch
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
 from cloverwalk.gateway.progress import RequestProgress
 from cloverwalk.gateway.replica_connection import AnswerHead, ReplicaConnection, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.gateway.reply import Reply
+from cloverwalk.gateway.request_timing import request_timing
 from cloverwalk.gateway.rotation import WeightedRotation
-from cloverwalk.gateway.served_times import request_timing
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
-from cloverwalk.tenants.refusals import QuotaRefusalCache
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 MAX_REFUSALS = 8
 """Replicas that may be unreachable or say 'not run' before the request is refused. Each costs some
@@ -172,7 +172,9 @@
             self._loads.end(place.work)
             await self._link.trigger_report()
 
-    def _ask(self, request: ClientRequest, progress: RequestProgress, suspected: str) -> PlacementRequest:
+    def _ask(
+        self, request: ClientRequest, progress: RequestProgress, suspected: str
+    ) -> PlacementRequest:
         now = self._clock()
         fields, route = request.fields, progress.route
         elapsed_s = now - request.received_at
@@ -203,7 +205,9 @@
         has_begun = progress.may_have_run or bool(progress.refused)
         return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
-    def _note_choice(self, request: ClientRequest, progress: RequestProgress, place: PlacementResult) -> None:
+    def _note_choice(
+        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
+    ) -> None:
         now = self._clock()
         progress.work = place.work
         progress.expected_wait_ms = float(place.placement.wait_ms)
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -1,7 +1,7 @@
 """The replicas that may be sent to, and those that failed lately.
 
-The store's version orders the entries of a replica; ``started_ms`` only tells its starts apart. Clocks
-of machines differ, so no time of a start is compared with a time of this node.
+The store's version orders the entries of a replica; ``started_ms`` only tells its starts apart.
+Clocks of machines differ, so no time of a start is compared with a time of this node.
 """
 
 from collections.abc import Callable
@@ -42,7 +42,11 @@
     @property
     def incarnation_id(self) -> str:
         """Name of this start of the replica, short: it goes into messages and stored cases."""
-        return f"{self.replica_id}@{self.started_ms & 0xFFFFFF:x}" if self.started_ms else self.replica_id
+        return (
+            f"{self.replica_id}@{self.started_ms & 0xFFFFFF:x}"
+            if self.started_ms
+            else self.replica_id
+        )
 
     def may_be_incarnation(self, born_ms: int) -> bool:
         """Whether this may be the start that began at a time; 0 there or here: not told."""
--- a/src/cloverwalk/gateway/reply.py
+++ b/src/cloverwalk/gateway/reply.py
@@ -7,7 +7,7 @@
 
 from cloverwalk.gateway.errors import ClientGoneError
 from cloverwalk.gateway.messages import RawHeaders
-from cloverwalk.gateway.outbox import SEND_STALL_S, SendBuffer
+from cloverwalk.gateway.send_buffer import SEND_STALL_S, SendBuffer
 
 
 class Reply:
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -16,7 +16,7 @@
 import attrs
 
 from cloverwalk.core import catalogue
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.telemetry.log import ServingLog
--- a/src/cloverwalk/gateway/send_buffer.py
+++ b/src/cloverwalk/gateway/send_buffer.py
@@ -13,7 +13,7 @@
 from curio import socket
 
 from cloverwalk.gateway.errors import ClientGoneError
-from cloverwalk.gateway.held_bytes import MAX_WAITING_BYTES, MemoryBudget
+from cloverwalk.gateway.memory_budget import MAX_WAITING_BYTES, MemoryBudget
 
 CHUNK_BYTES = 65536
 SEND_STALL_S = 5.0
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -11,13 +11,13 @@
 import h11
 from curio import socket
 
-from cloverwalk.core.final_answer import NOTHING_SENT, ErrorResponse, Reason, error_response
+from cloverwalk.core.error_response import NOTHING_SENT, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.errors import ClientGoneError, GatewayError
-from cloverwalk.gateway.held_bytes import MemoryBudget
+from cloverwalk.gateway.memory_budget import MemoryBudget
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec, RawHeaders
-from cloverwalk.gateway.outbox import SendBuffer
 from cloverwalk.gateway.reply import Reply
+from cloverwalk.gateway.send_buffer import SendBuffer
 
 READ_BYTES = 65536
 BACKLOG = 1024
--- a/src/cloverwalk/jobs/assigner.py
+++ b/src/cloverwalk/jobs/assigner.py
@@ -9,7 +9,7 @@
 from cloverwalk.core.hashing import rendezvous_owner
 from cloverwalk.fleet.coordinator import Coordinator
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.roster import NODE_TIMEOUT_S
+from cloverwalk.fleet.node_registry import NODE_TIMEOUT_S
 from cloverwalk.jobs.records import JobRecord
 from cloverwalk.jobs.view import JobView, KnownJob
 from cloverwalk.telemetry.log import ServingLog
@@ -79,7 +79,9 @@
 
     def _heirs(self) -> list[str]:
         """Return the processes that may run jobs; those on full machines only if all are full."""
-        live = [one.report for one in self._coordinator.registry.live() if not one.report.is_leaving]
+        live = [
+            one.report for one in self._coordinator.registry.live() if not one.report.is_leaving
+        ]
         with_room = [one for one in live if not one.is_full]
         return [one.incarnation for one in with_room or live]
 
--- a/src/cloverwalk/jobs/errors.py
+++ b/src/cloverwalk/jobs/errors.py
@@ -1,6 +1,6 @@
 """Errors of the batch side."""
 
-from cloverwalk.core.final_answer import CallError, Reason
+from cloverwalk.core.error_response import CallError, Reason
 from cloverwalk.store.types import CommitStatus
 
 
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.jobs.commit import Committer
 from cloverwalk.jobs.errors import JobError, unsettled
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -5,8 +5,8 @@
 import curio
 from msgspec import Struct
 
-from cloverwalk.gateway.content import hash_request
-from cloverwalk.gateway.crash_witness import Delivery
+from cloverwalk.gateway.content_hash import hash_request
+from cloverwalk.gateway.crash_detector import Delivery
 from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.event_stream import EventOrder, EventSplitter, StreamEvent
 from cloverwalk.gateway.messages import (
@@ -18,7 +18,7 @@
 )
 from cloverwalk.gateway.replica_connection import ReplicaConnection, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.gateway.served_times import slowdown_percent
+from cloverwalk.gateway.request_timing import slowdown_percent
 from cloverwalk.jobs.run import ItemRun, JobRun, RunTiming
 
 READ_EVERY_S = 0.1
--- a/src/cloverwalk/jobs/reader.py
+++ b/src/cloverwalk/jobs/reader.py
@@ -5,7 +5,7 @@
 import curio
 from msgspec import Struct
 
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
     PAYLOAD_TABLE,
--- a/src/cloverwalk/jobs/run.py
+++ b/src/cloverwalk/jobs/run.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from cloverwalk.gateway.configuration import Route
-from cloverwalk.gateway.crash_witness import Delivery
+from cloverwalk.gateway.crash_detector import Delivery
 from cloverwalk.jobs.evidence import ItemEnd, attempts_used
 from cloverwalk.jobs.records import ItemResult, ItemState, JobItem, JobRecord, PartialOutput
 
@@ -74,7 +74,7 @@
     """Which start of that replica it was, see ``Replica``: the next one keeps no prompt."""
 
     content: str = ""
-    """Name of its content, once somebody has asked for it; see ``gateway.content``."""
+    """Name of its content, once somebody has asked for it; see ``gateway.content_hash``."""
 
     delivery: Delivery | None = None
     """How its last run was sent, once it was."""
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -7,18 +7,18 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.link import BatchOrderHandler, CoordinatorClient
-from cloverwalk.fleet.load import InFlightTracker, InFlightEntry
+from cloverwalk.fleet.coordinator_client import BatchOrderHandler, CoordinatorClient
+from cloverwalk.fleet.in_flight import InFlightEntry, InFlightTracker
 from cloverwalk.fleet.messages import ItemTiming
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteWatch, past_retention
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
-from cloverwalk.jobs.order import WaitingItem, pick, summarise
-from cloverwalk.jobs.pace import ItemTimeEstimator
+from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
+from cloverwalk.jobs.waiting_items import WaitingItem, pick, summarise
 from cloverwalk.scheduling.replica_memory import memory_limit_tokens
 from cloverwalk.scheduling.selection import prefill_ms
 from cloverwalk.store.clock import StoreTime
@@ -200,7 +200,9 @@
         due_ms = job.record.due_ms
         can_be_in_time = self._pace.can_be_in_time(one, self._left_ms(job))
         kept_at = self._directory.find(one.replica_id)
-        replica_id = one.replica_id if kept_at and kept_at.may_be_incarnation(one.replica_started_ms) else ""
+        replica_id = (
+            one.replica_id if kept_at and kept_at.may_be_incarnation(one.replica_started_ms) else ""
+        )
         order_ms = self._pace.order_ms(one, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
@@ -461,7 +463,9 @@
             # Nobody asks for it, and reports stay as small as they are without it.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
-        told = ItemTiming(running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent)
+        told = ItemTiming(
+            running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent
+        )
         self._link.record_item_timing(told)
 
     def _note_lateness(self, job: JobRun, one: ItemRun) -> str | None:
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.jobs.commit import Committer
 from cloverwalk.jobs.errors import JobError, unsettled
@@ -52,7 +52,11 @@
         self._clock = clock
 
     async def submit(
-        self, submission: Submission, route: Route, deadline_s: float | None, writes: JobWriteTracker
+        self,
+        submission: Submission,
+        route: Route,
+        deadline_s: float | None,
+        writes: JobWriteTracker,
     ) -> None:
         """Take a job; returns once the store holds it."""
         allowed_s = SUBMIT_S if deadline_s is None else min(SUBMIT_S, 0.8 * deadline_s)
--- a/src/cloverwalk/jobs/takeover.py
+++ b/src/cloverwalk/jobs/takeover.py
@@ -5,7 +5,7 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.jobs.checkpoint import take_within
 from cloverwalk.jobs.commit import Committer
 from cloverwalk.jobs.errors import JobError
--- a/src/cloverwalk/jobs/waiting_items.py
+++ b/src/cloverwalk/jobs/waiting_items.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cloverwalk.fleet.messages import WaitingGroup
-from cloverwalk.scheduling.due_steps import DUE_TIME_RESOLUTION_MS, LATE_OFFSET, PRIORITY_STRIDE
+from cloverwalk.scheduling.item_sort_key import DUE_TIME_RESOLUTION_MS, LATE_OFFSET, PRIORITY_STRIDE
 
 REST_STEP_MS = 100
 """What items still run is told in steps of this length; an estimate that moves less is no news."""
--- a/src/cloverwalk/jobs/writes.py
+++ b/src/cloverwalk/jobs/writes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable
 
-from cloverwalk.core.final_answer import WorkState
+from cloverwalk.core.error_response import WorkState
 from cloverwalk.store.types import CommitOutcome, CommitStatus
 
 
--- a/src/cloverwalk/pipeline/problem.py
+++ b/src/cloverwalk/pipeline/problem.py
@@ -5,9 +5,9 @@
 from msgspec import Struct, json
 
 from cloverwalk.core.constants import RETRY_AFTER_S
+from cloverwalk.core.error_response import NOT_RUN_STATUSES
 from cloverwalk.core.errors import CloverwalkError
 from cloverwalk.core.events import Header, SendReply
-from cloverwalk.core.final_answer import NOT_RUN_STATUSES
 from cloverwalk.core.types import Outcome
 
 UNPROMISING_STATUS = 502
--- a/src/cloverwalk/platform/codec.py
+++ b/src/cloverwalk/platform/codec.py
@@ -2,7 +2,7 @@
 
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import (
     AnswerFields,
--- a/src/cloverwalk/scheduling/admission.py
+++ b/src/cloverwalk/scheduling/admission.py
@@ -108,7 +108,9 @@
 def decide(prospect: Prospect, may_return: bool, is_first: bool) -> PlacementVerdict:
     """Return what to do; ``is_first`` tells that no other request waits here before it.
 
-    >>> late = Prospect(300.0, first_event_ms=80.0, left_ms=300.0, objective_ms=300.0, most_wait_ms=200.0)
+    >>> late = Prospect(
+    ...     300.0, first_event_ms=80.0, left_ms=300.0, objective_ms=300.0, most_wait_ms=200.0
+    ... )
     >>> decide(late, may_return=True, is_first=True), decide(late, may_return=False, is_first=True)
     (<PlacementVerdict.RETRY_LATER: 'return'>, <PlacementVerdict.QUEUE: 'hold'>)
     """
@@ -178,9 +180,7 @@
         return max(self._usual_s - lasted_s, LASTING_SHARE * lasted_s)
 
 
-def retry_after_s(
-    wait_s: float, rest_s: float, time_left_s: float, random: Random
-) -> float | None:
+def retry_after_s(wait_s: float, rest_s: float, time_left_s: float, random: Random) -> float | None:
     """Return when a request should come back; None when it had better wait here.
 
     >>> retry_after_s(0.1, 0.1, 5.0, Random(1)) is None
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -10,13 +10,13 @@
 
 from cloverwalk.fleet.messages import WaitingByPool, WaitingGroup
 from cloverwalk.gateway.replicas import Replica
+from cloverwalk.scheduling.batch_limits import reserved_slots
 from cloverwalk.scheduling.decisions import Outbox
-from cloverwalk.scheduling.due_steps import band_end, due_ms, rank_of
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
+from cloverwalk.scheduling.item_sort_key import band_end, due_ms, rank_of
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_view import ReplicaView
-from cloverwalk.scheduling.share import reserved_slots
-from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 
 FIRST_GUESS_ITEM_MS = 2000.0
 """Slot time of an item whose node has not told it; what it took is told at its end."""
@@ -184,7 +184,8 @@
         """Return how many slots the items of a pool leave free."""
         reading_ms = self._reading_ms(pool)
         return sum(
-            reserved_slots(self._arrivals_per_s(service, now), reading_ms) for service in pool.split(",")
+            reserved_slots(self._arrivals_per_s(service, now), reading_ms)
+            for service in pool.split(",")
         )
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
@@ -285,7 +286,9 @@
         if not self._replicas.paces or group.remaining_ms <= 0:
             return None
         store_ms = self.store_ms()
-        return None if store_ms is None else (due_ms(group.sort_key) - store_ms) / group.remaining_ms
+        return (
+            None if store_ms is None else (due_ms(group.sort_key) - store_ms) / group.remaining_ms
+        )
 
     def _best_by_pace(
         self,
@@ -365,8 +368,9 @@
 def _without_granted(groups: list[WaitingGroup], granted: Counter[str]) -> list[WaitingGroup]:
     """Return groups without the first items of the tenants that were granted slots.
 
-    >>> _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
-    [WaitingGroup(sort_key=2, items=4, replica_id='', prefill_ms=0, tenant='', remaining_ms=0, tokens=0)]
+    >>> left = _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
+    >>> left == [WaitingGroup(sort_key=2, items=4)]
+    True
     """
     left = Counter(granted)
     kept: list[WaitingGroup] = []
--- a/src/cloverwalk/scheduling/batch_limits.py
+++ b/src/cloverwalk/scheduling/batch_limits.py
@@ -6,7 +6,7 @@
 start, which depends on how long a replica reads their prompts.
 """
 
-from cloverwalk.fleet.load import InFlight
+from cloverwalk.fleet.in_flight import InFlight
 
 PAYS_START_RATIO = 8.4
 """An item that gives way sooner than this many times the reading of its prompt was hardly worth
@@ -59,7 +59,8 @@
     Replicas serve in order of arrival, so every item beyond the slots stands in the way of the
     next online request, not one item a request.
 
-    >>> items_to_preempt(16, InFlight(online=4, batch=13)), items_to_preempt(16, InFlight(online=17))
+    >>> crowded, too_many = InFlight(online=4, batch=13), InFlight(online=17)
+    >>> items_to_preempt(16, crowded), items_to_preempt(16, too_many)
     (1, 0)
     >>> items_to_preempt(8, InFlight(online=2, batch=9))
     3
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -1,6 +1,6 @@
 """Places for online requests: at once, later, or told to come back; see ``admission``.
 
-Those that wait are kept and ordered by ``held_requests``.
+Those that wait are kept and ordered by ``queued_requests``.
 """
 
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cloverwalk.fleet.messages import PlacementRequest, Placement, RequestTiming, QuotaTokenUse
+from cloverwalk.fleet.messages import Placement, PlacementRequest, QuotaTokenUse, RequestTiming
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.scheduling.admission import (
@@ -16,9 +16,9 @@
     CROWD_OVER_S,
     MAX_QUEUE_WAIT_S,
     CrowdWatch,
+    PlacementVerdict,
     Prospect,
     ReturnBook,
-    PlacementVerdict,
     decide,
     most_wait_ms,
     retry_after_s,
@@ -28,9 +28,10 @@
 from cloverwalk.scheduling.decisions import Outbox
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
-from cloverwalk.scheduling.held_requests import AskId, HeldRequest, HeldRequests, QueueKey
 from cloverwalk.scheduling.overload_order import is_hopeless
+from cloverwalk.scheduling.queued_requests import AskId, HeldRequest, HeldRequests, QueueKey
 from cloverwalk.scheduling.quotas import FleetQuotas, QuotaVerdict
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_view import ReplicaView
 from cloverwalk.scheduling.selection import (
     ONCE_OTHER_ZONE_MS,
@@ -41,7 +42,6 @@
     expected_reading_ms,
 )
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 
 HELD_UNASKED_S = 0.8
 """A held request that its node has not asked for again for so long is given up there."""
@@ -106,10 +106,14 @@
             held.ask, held.heard_at = ask, now
             return self._try(held, False, now) or ""
         if ask.content and not self._ledger.try_admit(ask.content, now):
-            self._outbox.of(node).placements.append(Placement(ask.number, PlacementVerdict.CONTAINED))
+            self._outbox.of(node).placements.append(
+                Placement(ask.number, PlacementVerdict.CONTAINED)
+            )
             return ""
         if not self._replicas.can_ever_fit(ask):
-            self._outbox.of(node).placements.append(Placement(ask.number, PlacementVerdict.TOO_LARGE))
+            self._outbox.of(node).placements.append(
+                Placement(ask.number, PlacementVerdict.TOO_LARGE)
+            )
             return ""
         refusal = self._take_token(ask, now)
         if refusal is not None:
@@ -137,7 +141,10 @@
             case QuotaVerdict.UNKNOWN:
                 # A node that has just started soon finds a coordinator; its requests ask again.
                 may_wait = not self._quotas.knows_fleet and not ask.must_place
-                return Placement(ask.number, PlacementVerdict.QUEUE if may_wait else PlacementVerdict.QUOTA_UNKNOWN)
+                return Placement(
+                    ask.number,
+                    PlacementVerdict.QUEUE if may_wait else PlacementVerdict.QUOTA_UNKNOWN,
+                )
 
     def withdraw(self, node: str, number: int, now: float) -> None:
         """A request waits no more."""
@@ -366,7 +373,9 @@
             most_wait_ms(route, held.queue.rank, routes, self._times),
         )
 
-    def _return_after_s(self, prospect: Prospect, ask: PlacementRequest, now: float) -> float | None:
+    def _return_after_s(
+        self, prospect: Prospect, ask: PlacementRequest, now: float
+    ) -> float | None:
         self._crowd.meet(now)
         wait_s, rest_s = prospect.wait_ms / 1000, self._crowd.rest_s(now)
         return retry_after_s(wait_s, rest_s, ask.time_left_ms / 1000, self._random)
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -22,7 +22,7 @@
 from cloverwalk.core.token_bucket import TokenBucket
 from cloverwalk.fleet.messages import LocalGrants
 from cloverwalk.gateway.configuration import ConfigurationHolder
-from cloverwalk.scheduling.deputies import DeputyBook, GrantLog
+from cloverwalk.scheduling.local_grants import DeputyBook, GrantLog
 from cloverwalk.tenants.directory import Tenant
 
 CAREFUL_SHARE = 0.5
@@ -291,7 +291,9 @@
         """Return what this node gave out as a deputy lately; None is nothing."""
         return self._granted.report(now)
 
-    def record_local_grants(self, node: str, run: str, grants: LocalGrants | None, now: float) -> None:
+    def record_local_grants(
+        self, node: str, run: str, grants: LocalGrants | None, now: float
+    ) -> None:
         """Count what a node gave out itself since it last told."""
         for name, count in self._deputies.news(node, run, grants, now).items():
             account = self._account(name, now)
--- a/src/cloverwalk/scheduling/replica_load_tracker.py
+++ b/src/cloverwalk/scheduling/replica_load_tracker.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cloverwalk.fleet.load import NOTHING_IN_FLIGHT, InFlight
+from cloverwalk.fleet.in_flight import NOTHING_IN_FLIGHT, InFlight
 from cloverwalk.fleet.messages import NodeLoad
 
 UNSETTLED_S = 0.5
--- a/src/cloverwalk/scheduling/replica_memory.py
+++ b/src/cloverwalk/scheduling/replica_memory.py
@@ -12,7 +12,7 @@
 from cloverwalk.gateway.configuration import ConfigurationHolder, Service
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.features import Feature, Features
-from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 
 UNTOLD_SHARE = 0.02
 """Share of the memory that is left for what the count can't know: a node's work that is not
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -5,13 +5,13 @@
 
 from cloverwalk.fleet.messages import PlacementRequest
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
+from cloverwalk.scheduling.batch_limits import batch_room, items_to_preempt, may_read_more
 from cloverwalk.scheduling.features import Feature, Features
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
 from cloverwalk.scheduling.selection import Candidate
-from cloverwalk.scheduling.share import batch_room, may_read_more, items_to_preempt
-from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 from cloverwalk.scheduling.slot_time import ReplicaUse
-from cloverwalk.scheduling.zone_reach import ZoneReachability
+from cloverwalk.scheduling.zone_reachability import ZoneReachability
 
 SUSPECT_RUN_S = 1.0
 """How long a suspect counts at its replica; online requests last 0.02 to 0.5 s there."""
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -10,11 +10,11 @@
 from random import Random
 
 from cloverwalk.fleet.messages import (
-    NodeLoad,
-    SlowdownEstimate,
     ItemTiming,
+    NodeLoad,
     Report,
     RequestTiming,
+    SlowdownEstimate,
     WaitingByPool,
 )
 from cloverwalk.gateway.configuration import ConfigurationHolder
@@ -24,14 +24,14 @@
 from cloverwalk.scheduling.decisions import Decisions, Outbox
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.online import OnlineQueue
-from cloverwalk.scheduling.pace import Measurement, ReplicaSlowdowns
 from cloverwalk.scheduling.quotas import FleetQuotas, QuotaBounds
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
 from cloverwalk.scheduling.replica_view import ReplicaView
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import ReplicaLoadTracker
 from cloverwalk.scheduling.slot_time import ReplicaUse
-from cloverwalk.scheduling.zone_reach import ZoneReachability
+from cloverwalk.scheduling.slowdown import Measurement, ReplicaSlowdowns
+from cloverwalk.scheduling.zone_reachability import ZoneReachability
 
 
 class Scheduler:
@@ -75,7 +75,11 @@
             self.features,
         )
         self._batch = BatchGrants(
-            self._replicas, self.load_tracker, self._outbox, self._online.arrivals_per_s, self.features
+            self._replicas,
+            self.load_tracker,
+            self._outbox,
+            self._online.arrivals_per_s,
+            self.features,
         )
         self.online_shares = self._online.shares
         self.item_shares = self._batch.shares
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -2,7 +2,7 @@
 
 The cost of a replica is the time that the request is expected to wait and to be read there: prompts
 are read one after the other, so those that were sent before it count. At a replica that works more
-slowly than others all this takes longer, see ``pace``; a fast one gets more work until it is so
+slowly than others all this takes longer, see ``slowdown``; a fast one gets more work until it is so
 full that the slow one serves as soon. Bytes that cross zones are charged besides. Requests that
 share a prompt meet at the same replicas, since every node ranks the replicas of a zone by the same
 hash.
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from cloverwalk.core.hashing import rendezvous_rank
-from cloverwalk.fleet.load import InFlight
+from cloverwalk.fleet.in_flight import InFlight
 from cloverwalk.gateway.replicas import Replica
 
 SUSPECT_COST_MS = 10_000.0
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -98,7 +98,9 @@
             for name, one in self._by_route.items()
         }
 
-    def apply_estimate(self, route: str, start_ms: float, hold_ms: float, wait_factor: float) -> None:
+    def apply_estimate(
+        self, route: str, start_ms: float, hold_ms: float, wait_factor: float
+    ) -> None:
         """Take what another node has learnt of a route."""
         times = self._of(route)
         times.start.replace(start_ms)
--- a/src/cloverwalk/scheduling/slot_time_reporter.py
+++ b/src/cloverwalk/scheduling/slot_time_reporter.py
@@ -31,7 +31,8 @@
             return
         self._told_at = now
         news = {
-            use: seconds - self._told.get(use, 0.0) for use, seconds in self.slot_time.seconds.items()
+            use: seconds - self._told.get(use, 0.0)
+            for use, seconds in self.slot_time.seconds.items()
         }
         self._told = dict(self.slot_time.seconds)
         if any(news.values()):
--- a/src/cloverwalk/scheduling/zone_reachability.py
+++ b/src/cloverwalk/scheduling/zone_reachability.py
@@ -129,7 +129,9 @@
         if link.is_shut:
             self._set(source, zone, True, Evidence.ANSWER, now)
 
-    def record_last_seen(self, source: str, zone: str, heard_at: Sequence[float], now: float) -> None:
+    def record_last_seen(
+        self, source: str, zone: str, heard_at: Sequence[float], now: float
+    ) -> None:
         """Take when the known nodes of a zone were last heard from ``source``."""
         link = self._links.get((source, zone))
         is_silent = len(heard_at) >= SILENT_NODES and now - max(heard_at) > SILENT_S
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import InFlightTracker
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.fleet.in_flight import InFlightTracker
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.jobs.assigner import JobAssigner
 from cloverwalk.jobs.checkpoint import Checkpointer
@@ -25,7 +25,7 @@
 from cloverwalk.jobs.view import JobView
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.fleet_parts import FleetParts
-from cloverwalk.serving.knowledge import FleetState
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth
@@ -136,7 +136,7 @@
             store,
             committer,
             store_clock.now,
-            settings.job_status_ttl_s,
+            settings.status_s,
             log,
         )
 
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -4,23 +4,23 @@
 from random import Random
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.election import Election
 from cloverwalk.fleet.identity import Identity
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorClient
-from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import ConfigurationCopy, Datagram, Report, Snapshot, StoreReturned
 from cloverwalk.fleet.transport import DatagramTransport
+from cloverwalk.scheduling.fair_share_reporter import FairShareReporter, ThrottledRequests
 from cloverwalk.scheduling.features import Features, FeatureState
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.share_watch import ThrottledRequests, FairShareReporter
 from cloverwalk.scheduling.slot_time import SlotUse
-from cloverwalk.scheduling.slot_watch import SlotTimeReporter
-from cloverwalk.scheduling.zone_reach import ReachabilityChange
-from cloverwalk.serving.knowledge import FleetState
+from cloverwalk.scheduling.slot_time_reporter import SlotTimeReporter
+from cloverwalk.scheduling.zone_reachability import ReachabilityChange
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import Store
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -10,14 +10,14 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.core.clock import Clock, SuspensionWatch, steady_s
-from cloverwalk.core.final_answer import ErrorResponse
+from cloverwalk.core.error_response import ErrorResponse
 from cloverwalk.core.once_flag import OnceFlag
-from cloverwalk.fleet.case_keeper import CrashRecordStore
+from cloverwalk.fleet.crash_record_store import CrashRecordStore
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
@@ -27,18 +27,18 @@
 from cloverwalk.scheduling.features import Feature
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.batch_parts import BatchParts
-from cloverwalk.serving.calls import RequestHandler
 from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
-from cloverwalk.serving.knowledge import FleetState
-from cloverwalk.serving.room_watch import ResourceMonitor
+from cloverwalk.serving.fleet_state import FleetState
+from cloverwalk.serving.request_handler import RequestHandler
+from cloverwalk.serving.resource_monitor import ResourceMonitor
 from cloverwalk.serving.settings import ServingSettings
-from cloverwalk.serving.store_watch import StoreProbe
+from cloverwalk.serving.store_probe import StoreProbe
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.startup import Stage, StartupLog
-from cloverwalk.tenants.refusals import QuotaRefusalCache
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 CONFIGURATION_PAUSE_S = 0.05
 HOUSEKEEPING_S = 2.0
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import CallError, ErrorResponse, Reason, error_response
+from cloverwalk.core.error_response import CallError, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route, RouteKind
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest, EndJob, JobCall, ReadItem, ReadJob
@@ -15,7 +15,7 @@
 from cloverwalk.jobs.service import JobService
 from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.serving.adapter import Adapter
-from cloverwalk.serving.room_watch import ResourceMonitor
+from cloverwalk.serving.resource_monitor import ResourceMonitor
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -5,9 +5,14 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.link import CoordinatorClient
-from cloverwalk.gateway.held_bytes import BUDGET_SHARE, MemoryBudget
-from cloverwalk.gateway.machine_room import OverloadMonitor, MachineCapacity, OverloadState, Usage
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.gateway.memory_budget import BUDGET_SHARE, MemoryBudget
+from cloverwalk.gateway.overload_monitor import (
+    MachineCapacity,
+    OverloadMonitor,
+    OverloadState,
+    Usage,
+)
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.serving.settings import ServingSettings
@@ -74,8 +79,12 @@
 
     def update_metrics(self, metrics: ServingMetrics) -> None:
         """Set the figures of this machine's room."""
-        metrics.utilization = {one.value: share for one, share in self.overload_monitor.by_resource.items()}
-        metrics.gauge("cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes)
+        metrics.utilization = {
+            one.value: share for one, share in self.overload_monitor.by_resource.items()
+        }
+        metrics.gauge(
+            "cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes
+        )
         given_up = self.memory_budget.dropped_readers_total
         metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
 
@@ -117,7 +126,10 @@
             verdict=self.overload_monitor.state.value,
             scarcest=self.overload_monitor.scarcest.value,
             percent=self._link.utilization_percent,
-            **{one.value: round(100 * share) for one, share in self.overload_monitor.by_resource.items()},
+            **{
+                one.value: round(100 * share)
+                for one, share in self.overload_monitor.by_resource.items()
+            },
         )
 
     def _tell_given_up(self) -> None:
--- a/src/cloverwalk/serving/settings.py
+++ b/src/cloverwalk/serving/settings.py
@@ -38,7 +38,7 @@
     """Time between the order to stop and the end by force."""
 
     max_descriptors: int
-    job_status_ttl_s: float
+    status_s: float
     """Time for which a job can be read after it was handed in."""
 
     cores: float = 1.0
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import NOT_RUN_STATUSES, WorkState
+from cloverwalk.core.error_response import NOT_RUN_STATUSES, WorkState
 
 BEFORE_S = 3.0
 """Changes of belief this long before a request's first line belong to its story."""
--- a/src/cloverwalk/telemetry/startup_report.py
+++ b/src/cloverwalk/telemetry/startup_report.py
@@ -6,7 +6,7 @@
 import attrs
 
 from cloverwalk.core import catalogue
-from cloverwalk.telemetry.story import LogLine
+from cloverwalk.telemetry.request_history import LogLine
 
 PERCENT = 100
 READY = "ready"
--- a/src/cloverwalk/tenants/identification.py
+++ b/src/cloverwalk/tenants/identification.py
@@ -4,7 +4,7 @@
 opened under an earlier one.
 """
 
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route, RouteKind
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -37,7 +37,7 @@
 SCHEDULER = "tests/serving/test_scheduler.py::"
 COORDINATION = "tests/serving/test_coordination.py::"
 FULL_NODES = "tests/serving/test_full_nodes.py::"
-ROOM = "tests/unit/test_machine_room.py::"
+ROOM = "tests/unit/test_overload_monitor.py::"
 ITEM_SLOTS = "tests/serving/test_item_slots.py::"
 RETURN = "tests/serving/test_return.py::"
 ADMISSION = "tests/unit/test_admission.py::"
@@ -367,7 +367,7 @@
     ),
     Mutant(
         "serving: peers send no copies",
-        "fleet/copies.py",
+        "fleet/state_sender.py",
         "        if now - known.copied_at < COPY_EVERY_S:",
         "        if True:",
         ONLINE + "test_a_node_cut_off_from_the_store_learns_from_its_peers",
@@ -430,7 +430,7 @@
     ),
     Mutant(
         "serving: batch does not give way",
-        "scheduling/share.py",
+        "scheduling/batch_limits.py",
         "    return max(0, min(in_flight.batch, in_flight.total - slots))",
         "    return 0",
         BATCH + "test_batch_gives_its_slots_to_online_requests",
@@ -458,7 +458,7 @@
     ),
     Mutant(
         "serving: a node without a configuration denies",
-        "serving/calls.py",
+        "serving/request_handler.py",
         'GatewayError(Reason.UNAVAILABLE, "no_configuration"',
         'GatewayError(Reason.NOT_FOUND, "no_configuration"',
         ONLINE + "test_a_node_without_a_configuration_is_not_ready_and_denies_nothing",
@@ -507,7 +507,7 @@
     ),
     Mutant(
         "serving: the store's return is not told",
-        "serving/store_watch.py",
+        "serving/store_probe.py",
         "            self._fleet.transport.send("
         "target.host, StoreReturned(self._fleet.identity.node))",
         "            pass",
@@ -529,14 +529,14 @@
     ),
     Mutant(
         "serving: what clients do not read grows without bound",
-        "gateway/held_bytes.py",
+        "gateway/memory_budget.py",
         "        while self._readers and not self._fits(needed):",
         "        while False:",
         FULL_NODES + "test_clients_that_do_not_read_hold_a_bounded_part_of_the_memory_and_no_slots",
     ),
     Mutant(
         "serving: a node as full as its zone turns work away",
-        "gateway/machine_room.py",
+        "gateway/overload_monitor.py",
         "        if ahead < (MARGIN / 2 if was_full else MARGIN):",
         "        if False:",
         ROOM + "test_a_node_whose_peers_are_as_full_or_unknown_turns_nothing_away",
@@ -550,7 +550,7 @@
     ),
     Mutant(
         "serving: one item gives way a request",
-        "scheduling/share.py",
+        "scheduling/batch_limits.py",
         "    return max(0, min(in_flight.batch, in_flight.total - slots))",
         "    return max(0, min(1, in_flight.batch, in_flight.total - slots))",
         PARTS + "test_no_item_stands_before_online_work_that_has_a_slot",
@@ -585,7 +585,7 @@
     ),
     Mutant(
         "serving: decisions count only when they are reported",
-        "scheduling/slot_book.py",
+        "scheduling/replica_load_tracker.py",
         "        self._change(replica_id, _expected(decision), 1)\n\n    def remove_node",
         "\n    def remove_node",
         SCHEDULER + "test_every_free_slot_goes_to_waiting_items_at_once_and_none_twice",
@@ -615,13 +615,13 @@
     ),
     Mutant(
         "serving: an order settles when its items have given way",
-        "fleet/link.py",
+        "fleet/coordinator_client.py",
         "        self._settled[host] = (orders.sender, orders.number)\n        target =",
         "        target =",
         ITEM_SLOTS + "test_orders_settle_in_their_order_while_items_give_way",
         more=(
             (
-                "fleet/link.py",
+                "fleet/coordinator_client.py",
                 "        if orders.grants or orders.revokes:\n",
                 "        self._settled[host] = (orders.sender, orders.number)\n"
                 "        if orders.grants or orders.revokes:\n",
@@ -664,14 +664,14 @@
     ),
     Mutant(
         "serving: orders take effect each time they come",
-        "fleet/link.py",
+        "fleet/coordinator_client.py",
         "        if run == orders.sender and orders.number <= settled:",
         "        if False:",
         COORDINATION + "test_orders_take_effect_once_and_only_those_of_the_node_that_is_followed",
     ),
     Mutant(
         "zones: standbys are chosen by name alone",
-        "fleet/roster.py",
+        "fleet/node_registry.py",
         "            return _by_zone(able, own_zone)",
         "            pass",
         "tests/serving/test_zone_loss.py::"
@@ -687,7 +687,7 @@
     ),
     Mutant(
         "zones: one failed replica shuts its zone out",
-        "scheduling/zone_reach.py",
+        "scheduling/zone_reachability.py",
         "        if not link.is_shut and len(link.failed_at) >= needed:",
         "        if not link.is_shut:",
         "tests/serving/test_zone_loss.py::"
@@ -695,7 +695,7 @@
     ),
     Mutant(
         "serving: a node that nobody answers starts items",
-        "fleet/link.py",
+        "fleet/coordinator_client.py",
         "            report.waiting = {}",
         "            pass",
         COORDINATION + "test_a_node_that_decides_alone_starts_no_items",
@@ -716,14 +716,14 @@
     ),
     Mutant(
         "serving: a lost change of the replicas stays lost",
-        "fleet/copies.py",
+        "fleet/state_sender.py",
         "report.directory != self._directory.fingerprint",
         "report.directory != report.directory",
         COORDINATION + "test_a_lost_change_of_the_replicas_is_made_good_within_a_report",
     ),
     Mutant(
         "serving: a silent coordinator is waited for",
-        "fleet/link.py",
+        "fleet/coordinator_client.py",
         "        self._leader.note_silent(target.host)\n",
         "",
         COORDINATION + "test_requests_go_on_with_a_standby_while_the_coordinator_is_silent",
@@ -745,7 +745,7 @@
     ),
     Mutant(
         "serving: the key goes to the replica",
-        "serving/calls.py",
+        "serving/request_handler.py",
         "            request.headers = self._codec.without_key(request.headers)",
         "            pass",
         TENANTS + "test_no_key_stands_in_any_output",
@@ -879,7 +879,7 @@
     ),
     Mutant(
         "serving: a long list of replicas is sent to nodes that read it themselves",
-        "fleet/copies.py",
+        "fleet/state_sender.py",
         "        if parts > 1 and known.report.store_age_ms < STORE_SERVES_MS:",
         "        if False:",
         COORDINATION + "test_a_long_list_of_replicas_is_left_to_the_store",
@@ -901,7 +901,7 @@
     ),
     Mutant(
         "serving: refusals: the final answer is made without a look at the work",
-        "core/final_answer.py",
+        "core/error_response.py",
         "str(error), work.state, error.wait_s)",
         "str(error), WorkState.NOT_BEGUN, error.wait_s)",
         PROMISED,
@@ -950,7 +950,7 @@
     ),
     Mutant(
         "serving: refusals: callers are invited to repeat what may have begun",
-        "core/final_answer.py",
+        "core/error_response.py",
         "        return self.wait_s if self.work is WorkState.NOT_BEGUN else None",
         "        return self.wait_s",
         REFUSALS + "test_no_verdict_promises_not_run_after_a_run",
@@ -1141,14 +1141,14 @@
     ),
     Mutant(
         "serving: return of a fleet: nodes that start are sent copies",
-        "fleet/copies.py",
+        "fleet/state_sender.py",
         "        if report.configuration_version < 0 and self._is_starting(known, now):",
         "        if False:",
         COORDINATION + "test_a_node_that_starts_and_is_not_refused_by_the_store_is_sent_no_copies",
     ),
     Mutant(
         "serving: return of a fleet: the first list is sent as a change",
-        "fleet/copies.py",
+        "fleet/state_sender.py",
         "        if not before:",
         "        if False:",
         COORDINATION + "test_the_first_list_of_a_new_coordinator_is_not_sent_to_all_nodes",
@@ -1162,38 +1162,38 @@
     ),
     Mutant(
         "crashes: a node keeps to itself what it has seen",
-        "fleet/case_sync.py",
+        "fleet/crash_record_sync.py",
         "        self.merge(report.crash_records, report.node)",
         "        report.crash_records.clear()",
         CASES + "test_a_guilty_request_reaches_few_replicas_whatever_happens",
     ),
     Mutant(
         "crashes: an ended replica is no evidence",
-        "gateway/crash_witness.py",
+        "gateway/crash_detector.py",
         "        if found is not Reachability.REFUSES:",
         "        if found is not None:",
         CRASHING + "test_a_request_that_comes_again_elsewhere_is_known_again",
     ),
     Mutant(
         "crashes: a reset connection is evidence",
-        "gateway/crash_witness.py",
+        "gateway/crash_detector.py",
         "        if found is not Reachability.REFUSES:",
         "        if found is Reachability.SILENT:",
         CRASHING + "test_a_reset_connection_is_no_evidence",
     ),
     Mutant(
         "crashes: a request that was sent to an ended replica is a suspect",
-        "gateway/crash_witness.py",
+        "gateway/crash_detector.py",
         "        return delivery.is_new_connection or took_s >= DELIVERED_S",
         "        return took_s >= 0",
-        "tests/serving/test_crash_witness.py::test_a_request_that_came_after_the_end_is_no_suspect",
+        "tests/serving/test_crash_detector.py::test_a_request_that_came_after_the_end_is_no_suspect",
     ),
     Mutant(
         "crashes: suspects are sent over kept connections",
         "gateway/replica_connection.py",
         "        if force_new:",
         "        if False:",
-        "tests/serving/test_crash_witness.py::test_a_suspect_can_have_a_connection_of_its_own",
+        "tests/serving/test_crash_detector.py::test_a_suspect_can_have_a_connection_of_its_own",
     ),
     Mutant(
         "crashes: answers clear nobody",
@@ -1211,14 +1211,14 @@
     ),
     Mutant(
         "crashes: an answer that clears the only case is not told",
-        "fleet/case_sync.py",
+        "fleet/crash_record_sync.py",
         "        if not self.ledger.needs_sync:",
         "        if self.ledger.is_empty:",
         CASES + "test_an_answer_that_clears_a_nodes_only_case_is_told_to_all",
     ),
     Mutant(
         "crashes: the store's rows are not read",
-        "fleet/case_keeper.py",
+        "fleet/crash_record_store.py",
         '        self._cases.merge(copies, "store")',
         "        copies.clear()",
         CRASHING + "test_a_restarted_fleet_knows_it_from_the_store",
@@ -1253,14 +1253,14 @@
     ),
     Mutant(
         "soak: a request that replicas broke off is called not run",
-        "core/final_answer.py",
+        "core/error_response.py",
         "str(error), work.state, error.wait_s)",
         "str(error), WorkState.NOT_BEGUN, error.wait_s)",
         SOAK,
     ),
     Mutant(
         "entries: one that can't be read leaves the one before it in use",
-        "serving/knowledge.py",
+        "serving/fleet_state.py",
         "            elif self.directory.remove(row.row_key.key, row.version):",
         "            elif not row.value and self.directory.remove(row.row_key.key, row.version):",
         ENTRIES + "test_changes_and_a_whole_read_tell_the_same",
@@ -1318,7 +1318,7 @@
     ),
     Mutant(
         "restarts: two starts of a replica count once against a request",
-        "gateway/crash_witness.py",
+        "gateway/crash_detector.py",
         "            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):",
         "            if self.ledger.note_crash(content, replica.replica_id, look.broken_at):",
         RESTARTED + "test_a_start_that_refuses_counts_for_itself",
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -7,14 +7,14 @@
 
 from cloverwalk.core.clock import Clock
 from cloverwalk.emulator.memory_store import MemoryStore
-from cloverwalk.fleet.case_keeper import CrashRecordStore
-from cloverwalk.fleet.case_sync import CrashRecordSync
 from cloverwalk.fleet.coordinator import Coordinator
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.fleet.crash_record_store import CrashRecordStore
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.election import Election
 from cloverwalk.fleet.identity import Identity
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorClient
-from cloverwalk.fleet.load import InFlightTracker
 from cloverwalk.fleet.messages import (
     Datagram,
     DirectoryUpdate,
@@ -39,7 +39,7 @@
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.tenants.directory import Tenant
 
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from cloverwalk.core.clock import Clock
-from cloverwalk.core.final_answer import ErrorResponse, error_response
+from cloverwalk.core.error_response import ErrorResponse, error_response
 from cloverwalk.emulator.memory_store import MemoryStore
 from cloverwalk.gateway.configuration import Route, RouteKind, RoutePart
 from cloverwalk.jobs.commit import Committer
@@ -19,7 +19,7 @@
 from cloverwalk.jobs.view import JobView
 from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.clock import StoreTime
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 
 
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -26,7 +26,7 @@
 from cloverwalk.emulator.memory_store import MemoryStore
 from cloverwalk.emulator.platform_store_server import transaction_of, wire_rows
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.messages import Datagram, decode_datagram, encode_datagram
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES, OnDatagram
 from cloverwalk.http.client import HttpResponse
@@ -36,12 +36,12 @@
 from cloverwalk.platform.store_client import PlatformStore
 from cloverwalk.serving import fleet_parts
 from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
-from cloverwalk.serving.knowledge import FleetState
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.node import CONFIGURATION_PAUSE_S
 from cloverwalk.serving.settings import ServingSettings
-from cloverwalk.serving.store_watch import StoreProbe
+from cloverwalk.serving.store_probe import StoreProbe
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.store.types import CommitStatus, Put, RowKey, Transaction
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.startup import StartupLog
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -9,10 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from cloverwalk.fleet.coordinator_client import BatchOrderHandler
 from cloverwalk.fleet.election import ORPHAN_AFTER_S, ROLE_KEY, RoleRow
-from cloverwalk.fleet.link import BatchOrderHandler
 from cloverwalk.fleet.messages import (
-    PlacementRequest,
     ConfigurationCopy,
     Contact,
     Datagram,
@@ -21,14 +20,15 @@
     Leadership,
     NodeLoad,
     Orders,
+    PlacementRequest,
     Report,
     Snapshot,
     WaitingGroup,
     decode_datagram,
     encode_datagram,
 )
-from cloverwalk.fleet.places import ASK_TIMEOUT_MAX_S, MOST_ASKED, PlacementResult
-from cloverwalk.fleet.roster import NODE_TIMEOUT_S
+from cloverwalk.fleet.node_registry import NODE_TIMEOUT_S
+from cloverwalk.fleet.placement_client import ASK_TIMEOUT_MAX_S, MOST_ASKED, PlacementResult
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.store.types import Expectation, Put, Transaction
@@ -46,7 +46,9 @@
     curio.run(main)
 
 
-ASK = PlacementRequest(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
+ASK = PlacementRequest(
+    0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000
+)
 
 
 def plain_node(world: CoordinationWorld) -> FleetNode:
@@ -327,7 +329,9 @@
         await world.deliver()
         await world.run(1.0)
         assert asking.loads.by_replica == {}
-        totals = [world.coordinator.scheduler.load_tracker.total(f"r{n}", world.now) for n in range(4)]
+        totals = [
+            world.coordinator.scheduler.load_tracker.total(f"r{n}", world.now) for n in range(4)
+        ]
         assert sum(one.total for one in totals) == 0
 
     in_fleet(SMALL, test)
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -12,17 +12,17 @@
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
 from cloverwalk.gateway.crash_ledger import (
     CONTAINED_FROM,
+    MAX_SHARED_RECORDS,
     MOST_CASES,
     MOST_INSTANCES,
-    MAX_SHARED_RECORDS,
     REMEMBERED_S,
     SHARED_FROM,
     TOLD_S,
     TRIAL_LIMIT_S,
     TRIAL_PAUSES_S,
-    CrashRecord,
     Containment,
     CrashLedger,
+    CrashRecord,
     InvalidCrashRecordError,
 )
 
--- a/tests/serving/test_crash_detector.py
+++ b/tests/serving/test_crash_detector.py
@@ -10,14 +10,14 @@
 from job_world import HandClock
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
-from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import (
+from cloverwalk.gateway.crash_detector import (
     BROKEN_OFF,
     DELIVERED_S,
     LOOK_AFTER_S,
     CrashDetector,
     Delivery,
 )
+from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.errors import TIMED_OUT
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -14,9 +14,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Arrival, Misdeed
-from cloverwalk.fleet.case_keeper import CASE_TABLE
+from cloverwalk.fleet.crash_record_store import CASE_TABLE
 from cloverwalk.gateway import crash_ledger
-from cloverwalk.gateway.content import hash_content
+from cloverwalk.gateway.content_hash import hash_content
 from cloverwalk.jobs import runner
 from cloverwalk.platform import names
 
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -13,7 +13,9 @@
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.tenants.directory import Tenant
 
-ASK = PlacementRequest(0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000)
+ASK = PlacementRequest(
+    0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000
+)
 STEP_S = CoordinationWorld.STEP_S
 BOUNDS = QuotaBounds(slack=20.0)
 HOT = Tenant("hot", (), None, 8.0, 8.0)
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -15,13 +15,13 @@
 from cloverwalk.core import catalogue
 from cloverwalk.core.hashing import rendezvous_owner
 from cloverwalk.fleet.messages import FULL_PERCENT
-from cloverwalk.gateway import outbox
-from cloverwalk.gateway.held_bytes import BUDGET_SHARE, MemoryBudget
-from cloverwalk.gateway.machine_room import OverloadState
+from cloverwalk.gateway import send_buffer
+from cloverwalk.gateway.memory_budget import BUDGET_SHARE, MemoryBudget
+from cloverwalk.gateway.overload_monitor import OverloadState
 from cloverwalk.jobs.assigner import JobAssigner
 from cloverwalk.platform import names
-from cloverwalk.serving.room_watch import HAND_OVER_AFTER_S
-from cloverwalk.telemetry.story import parse_line
+from cloverwalk.serving.resource_monitor import HAND_OVER_AFTER_S
+from cloverwalk.telemetry.request_history import parse_line
 
 MEMORY_BYTES = 20_000_000
 LIMIT_BYTES = int(BUDGET_SHARE * MEMORY_BYTES)
@@ -136,7 +136,7 @@
 
     async def test(world: FleetWorld) -> None:
         world.log_path = str(log)
-        monkeypatch.setattr(outbox, "SEND_STALL_S", 0.2)
+        monkeypatch.setattr(send_buffer, "SEND_STALL_S", 0.2)
         world.scarce_memory_bytes = MEMORY_BYTES
         # The stream goes on for much longer than the client is waited for.
         await start_with_long_answers(world, replicas=1, events=400, event_s=0.05)
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -38,17 +38,17 @@
     RouteKind,
     RoutePart,
 )
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.jobs.evidence import PastRetention, RouteEnded
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.store.types import CommitOutcome, RowPage, Transaction
 from cloverwalk.telemetry.log import ServingLog
-from cloverwalk.telemetry.story import parse_line, request_history
+from cloverwalk.telemetry.request_history import parse_line, request_history
 
 RETENTION_S = 60.0
 LOOK_S = 0.5
@@ -119,7 +119,9 @@
         store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
         super().__init__(name, store, time, self.heard.now)
         self.configuration = ConfigurationHolder()
-        self.configuration.update_if_newer(Configuration(configuration, (batch_route(),), {}, ClientLimits()))
+        self.configuration.update_if_newer(
+            Configuration(configuration, (batch_route(),), {}, ClientLimits())
+        )
         self.confirmed_at = float("-inf")
         self.dead: dict[str, tuple[float, ItemRun]] = {}
         self._time = time
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -17,7 +17,7 @@
     RoutePart,
     Service,
 )
-from cloverwalk.gateway.crash_witness import CrashDetector
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.messages import PromptPart
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.jobs.item_call import ItemCaller
@@ -112,7 +112,9 @@
     current = node.configuration.current
     assert current is not None
     routes = (*current.routes, route)
-    node.configuration.update_if_newer(Configuration(2, routes, {}, current.limits, current.tenants))
+    node.configuration.update_if_newer(
+        Configuration(2, routes, {}, current.limits, current.tenants)
+    )
 
     async def ignore(_: object) -> None:
         return
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from job_world import HandClock, OwnerNode, RefusedError, batch_route, submission
 
-from cloverwalk.core.final_answer import NOT_RUN_STATUSES, error_response
+from cloverwalk.core.error_response import NOT_RUN_STATUSES, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -16,7 +16,7 @@
     submission,
 )
 
-from cloverwalk.core.final_answer import NOTHING_SENT, error_response
+from cloverwalk.core.error_response import NOTHING_SENT, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -12,9 +12,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.load import InFlightTracker
-from cloverwalk.fleet.messages import PlacementRequest, Placement, RequestTiming
-from cloverwalk.fleet.places import PlacementResult
+from cloverwalk.fleet.in_flight import InFlightTracker
+from cloverwalk.fleet.messages import Placement, PlacementRequest, RequestTiming
+from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.gateway.configuration import (
     ClientLimits,
     Configuration,
@@ -24,8 +24,8 @@
     RoutePart,
 )
 from cloverwalk.gateway.containment import ContainmentGate
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashDetector
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
@@ -33,10 +33,10 @@
 from cloverwalk.platform import names
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.scheduling.admission import PlacementVerdict
-from cloverwalk.serving.calls import RequestHandler
+from cloverwalk.serving.request_handler import RequestHandler
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
-from cloverwalk.tenants.refusals import QuotaRefusalCache
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 PROMISES = (408, 421, 429, 503)
 REPLICAS = 3
@@ -50,7 +50,12 @@
 """How an ask is answered: refused by a verdict, sent to the replica named, or late."""
 
 refusing = st.sampled_from(
-    [PlacementVerdict.RETRY_LATER, PlacementVerdict.NO_REPLICA, PlacementVerdict.OVER_QUOTA, PlacementVerdict.QUOTA_UNKNOWN]
+    [
+        PlacementVerdict.RETRY_LATER,
+        PlacementVerdict.NO_REPLICA,
+        PlacementVerdict.OVER_QUOTA,
+        PlacementVerdict.QUOTA_UNKNOWN,
+    ]
 )
 sending = st.sampled_from([*(f"i-{n}" for n in range(REPLICAS)), UNKNOWN_REPLICA, DEAD_REPLICA])
 steps = st.lists(st.one_of(sending, sending, sending, refusing, st.just(LATE)), max_size=5)
@@ -100,7 +105,9 @@
         if step == LATE:
             await curio.sleep(2 * DEADLINE_MS / 1000)
             step = "i-0"
-        return PlacementResult(Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False))
+        return PlacementResult(
+            Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False)
+        )
 
     async def note_change(self) -> None:
         """Nobody is told."""
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -11,10 +11,10 @@
 
 from cloverwalk.core.catalogue import REQUEST_ENDED
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.messages import PlacementRequest, Placement
-from cloverwalk.fleet.places import PlacementResult
+from cloverwalk.fleet.messages import Placement, PlacementRequest
+from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.scheduling.admission import PlacementVerdict
-from cloverwalk.telemetry.story import describe_work_state, parse_line
+from cloverwalk.telemetry.request_history import describe_work_state, parse_line
 
 PROMISES = (408, 421, 429, 503)
 SENDS = 2
@@ -85,7 +85,12 @@
         for replica in world.replicas:
             replica.always = Misdeed.RESET_UNANSWERED
         # A tenant's refusal is remembered for a moment: it comes last.
-        refusing = (PlacementVerdict.RETRY_LATER, PlacementVerdict.NO_REPLICA, PlacementVerdict.QUOTA_UNKNOWN, PlacementVerdict.OVER_QUOTA)
+        refusing = (
+            PlacementVerdict.RETRY_LATER,
+            PlacementVerdict.NO_REPLICA,
+            PlacementVerdict.QUOTA_UNKNOWN,
+            PlacementVerdict.OVER_QUOTA,
+        )
         for verdict in refusing:
             answer_next_asks(world, [None, verdict])
             answers = await send_while_promised(world, "/safe/a", verdict.value)
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -16,7 +16,7 @@
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.platform.documents import decode_replica
-from cloverwalk.serving.knowledge import FleetState
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.store.types import Row, RowKey, RowPage
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 from test_scheduler import Fleet
 
-from cloverwalk.fleet.load import InFlightTracker
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.messages import NodeLoad, WaitingGroup
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, Service
-from cloverwalk.jobs.order import pick
+from cloverwalk.jobs.waiting_items import pick
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.features import Features
 from cloverwalk.scheduling.quotas import QuotaBounds
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -18,8 +18,8 @@
 from cloverwalk.emulator.replica_runs import Misdeed
 from cloverwalk.fleet.messages import DirectoryUpdate, decode_datagram, encode_datagram
 from cloverwalk.gateway import restarts
+from cloverwalk.gateway.crash_detector import CrashDetector, Delivery
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashDetector, Delivery
 from cloverwalk.gateway.errors import RESTARTED, ReplicaError
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
 from cloverwalk.gateway.replicas import LATE_ENTRIES, Replica, ReplicaDirectory
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -7,7 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.messages import PlacementRequest, NodeLoad, Placement, Report, RequestTiming, WaitingGroup
+from cloverwalk.fleet.messages import (
+    NodeLoad,
+    Placement,
+    PlacementRequest,
+    Report,
+    RequestTiming,
+    WaitingGroup,
+)
 from cloverwalk.gateway.configuration import (
     ClientLimits,
     Configuration,
@@ -21,10 +28,10 @@
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.online import HELD_UNASKED_S
 from cloverwalk.scheduling.quotas import QuotaBounds
+from cloverwalk.scheduling.replica_load_tracker import UNSETTLED_S, ReplicaLoadTracker
 from cloverwalk.scheduling.replica_view import MOST_CONSIDERED
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slot_book import UNSETTLED_S, ReplicaLoadTracker
 from cloverwalk.tenants.directory import Tenant
 
 SLOTS = 8
@@ -57,7 +64,9 @@
     placements: dict[int, Placement] = attrs.Factory(dict)
     suspects: list[str] = attrs.Factory(list)
 
-    def report(self, asks: list[PlacementRequest] | None = None, served: list[RequestTiming] | None = None) -> Report:
+    def report(
+        self, asks: list[PlacementRequest] | None = None, served: list[RequestTiming] | None = None
+    ) -> Report:
         self.sequence += 1
         replicas = {*self.online, *self.batch}
         loads = {
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -10,14 +10,14 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.load import InFlight
+from cloverwalk.fleet.in_flight import InFlight
 from cloverwalk.fleet.messages import (
-    PlacementRequest,
     Datagram,
-    SlowdownEstimate,
     ItemTiming,
+    PlacementRequest,
     Report,
     RequestTiming,
+    SlowdownEstimate,
     Snapshot,
     WaitingGroup,
 )
@@ -31,16 +31,21 @@
 )
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.scheduling import pace, selection
+from cloverwalk.scheduling import selection, slowdown
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.scheduling.decisions import Decisions
 from cloverwalk.scheduling.features import Feature
-from cloverwalk.scheduling.pace import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaSlowdowns
-from cloverwalk.scheduling.pace_handover import COPIES, MOST_TOLD, TELL_AGAIN_S, SlowdownReplicator
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
 from cloverwalk.scheduling.service_times import ServiceTimes
+from cloverwalk.scheduling.slowdown import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaSlowdowns
+from cloverwalk.scheduling.slowdown_replication import (
+    COPIES,
+    MOST_TOLD,
+    TELL_AGAIN_S,
+    SlowdownReplicator,
+)
 
 SLOTS = 8
 EVENTS = 17
@@ -71,7 +76,11 @@
     def hear(self, **more: object) -> Decisions | None:
         """Have the node report; return what was decided for it, with which it does nothing."""
         self.sequence += 1
-        fields = {"last_applied_order": self.sequence - 1, "configuration_version": 1, "directory": 1}
+        fields = {
+            "last_applied_order": self.sequence - 1,
+            "configuration_version": 1,
+            "directory": 1,
+        }
         fields |= {"store_age_ms": 0, **more}  # type: ignore[dict-item]
         report = Report("n0", "0a", "z1", self.sequence, **fields)  # type: ignore[arg-type]
         self.scheduler.handle_report(report, self.now)
@@ -94,12 +103,16 @@
     def place(self, count: int) -> list[str]:
         """Ask for requests that stay; return where they were sent."""
         asks = [
-            PlacementRequest(10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
+            PlacementRequest(
+                10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000
+            )
             for number in range(count)
         ]
         decided = self.hear(placement_requests=asks)
         assert decided is not None
-        return [one.replica_id for one in decided.placements if one.verdict is PlacementVerdict.SEND]
+        return [
+            one.replica_id for one in decided.placements if one.verdict is PlacementVerdict.SEND
+        ]
 
     def grants(self, rest_ms: int, left_ms: float, items: int, replica_id: str = "") -> set[str]:
         """Return where waiting items are granted slots, that are due in ``left_ms``."""
@@ -218,7 +231,7 @@
     """It tells 100 while its neighbours take half of its machine for a while."""
     fleet = PacedFleet(replicas=3)
     fleet.learn({}, rounds=40)
-    for _ in range(pace.TRUSTED_ANSWERS):
+    for _ in range(slowdown.TRUSTED_ANSWERS):
         for factor in (3.0, 1.0):
             fleet.answered("r0", factor, told=100, count=3)
             fleet.answered("r1", 1.0)
@@ -231,13 +244,13 @@
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
     paces = []
-    for _ in range(4 * pace.TRUSTED_ANSWERS):
+    for _ in range(4 * slowdown.TRUSTED_ANSWERS):
         fleet.answered("r0", 1.0, told=10_000)
         paces.append(fleet.pace("r0"))
         fleet.answered("r0", 1.0, told=100)
         fleet.now += 1.0
     assert max(paces) <= MOST_FACTOR
-    assert all(one < 1.3 for one in paces[2 * pace.TRUSTED_ANSWERS :])
+    assert all(one < 1.3 for one in paces[2 * slowdown.TRUSTED_ANSWERS :])
     # What it calls usual does not matter, as long as it calls it so all the time.
     fleet.answered("r1", 1.0, told=10_000, count=100)
     assert fleet.pace("r1") < 1.5
@@ -502,12 +515,16 @@
         ask = PlacementRequest(number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
         asks, served = [ask], RequestTiming("chat", replica_id, 40, took_ms, 0)
         group = WaitingGroup(4004, items)
-        one = plain.hear(placement_requests=asks, request_timings=[served], waiting={"model": [group]})
+        one = plain.hear(
+            placement_requests=asks, request_timings=[served], waiting={"model": [group]}
+        )
         told = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS)
         timing = ItemTiming(replica_id, 115, took_ms)
         group = WaitingGroup(4004, items, remaining_ms=900)
         waiting = {"model": [group]}
-        other = fed.hear(placement_requests=asks, request_timings=[told], waiting=waiting, item_timings=[timing])
+        other = fed.hear(
+            placement_requests=asks, request_timings=[told], waiting=waiting, item_timings=[timing]
+        )
         assert one == other
         plain.now += 0.05
         fed.now += 0.05
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -15,10 +15,10 @@
 from cloverwalk.jobs.checkpoint import Checkpointer
 from cloverwalk.jobs.records import PARTIAL_TABLE
 from cloverwalk.jobs.run import JobRun
-from cloverwalk.serving import store_watch
+from cloverwalk.serving import store_probe
 from cloverwalk.serving.node import ServingNode
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, MonitoredStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.store.types import CommitStatus, Put, RowKey, StoreError, Transaction
 
 HOUR_MS = 3_600_000.0
@@ -56,8 +56,8 @@
 
 def test_a_node_that_learns_of_the_return_first_tells_its_peers(monkeypatch: object) -> None:
     async def test(world: FleetWorld) -> None:
-        monkeypatch.setattr(store_watch, "PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(store_watch, "FAR_PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "FAR_PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "FIRST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "LONGEST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(election, "VERIFY_EVERY_S", HOUR_MS)  # type: ignore[attr-defined]
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -117,7 +117,9 @@
     """A process that was started again counts its asks anew; the earlier ones may be held yet."""
     fleet = busy_fleet()
     number = hold(fleet, "small")
-    again = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other")
+    again = PlacementRequest(
+        number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other"
+    )
     fleet.scheduler.handle_report(fleet.nodes[1].report([again]), fleet.now)
     fleet.scheduler.remove_node("n1", fleet.now)
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -17,7 +17,7 @@
 from cloverwalk.gateway.configuration import Configuration, RouteKind
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.scheduling.features import Feature, Features
-from cloverwalk.scheduling.zone_reach import (
+from cloverwalk.scheduling.zone_reachability import (
     FAILED_REPLICAS,
     JUDGED_S,
     LEAST_FAILED_REPLICAS,
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.jobs.order import MAX_GROUPS, WaitingItem, pick, summarise
+from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, pick, summarise
 from cloverwalk.scheduling.fair_shares import MOST_AHEAD_MS, STEP_MS, FairShares
 from cloverwalk.scheduling.overload_order import OrderKey, is_hopeless, order_key
 
--- a/tests/unit/test_item_order.py
+++ b/tests/unit/test_item_order.py
@@ -3,10 +3,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.jobs.order import MAX_GROUPS, WaitingItem, summarise
-from cloverwalk.jobs.pace import ItemTimeEstimator
+from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.records import JobItem
 from cloverwalk.jobs.run import ItemRun
+from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, summarise
 
 ITEMS = st.lists(
     st.tuples(
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -13,7 +13,7 @@
 from cloverwalk.cli.report import report
 from cloverwalk.fleet.messages import WaitingGroup
 from cloverwalk.scheduling.slot_time import LONGEST_LOOK_S, ReplicaUse, SlotTime, SlotUse
-from cloverwalk.scheduling.slot_watch import SlotTimeReporter
+from cloverwalk.scheduling.slot_time_reporter import SlotTimeReporter
 from cloverwalk.telemetry.lateness import (
     ItemTimes,
     LateCause,
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -6,24 +6,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.fullness import median_by_zone
 from cloverwalk.fleet.messages import Report
-from cloverwalk.gateway.held_bytes import BODY_COPIES, HAND_IN_SHARE, MemoryBudget
-from cloverwalk.gateway.machine_room import (
+from cloverwalk.fleet.utilization import median_by_zone
+from cloverwalk.gateway.memory_budget import BODY_COPIES, HAND_IN_SHARE, MemoryBudget
+from cloverwalk.gateway.overload_monitor import (
     AVERAGE_S,
     DWELL_S,
     MARGIN,
     MOST_UNREADY_S,
     PEERS_FRESH_S,
     UNREADY_SHARE,
-    OverloadMonitor,
     MachineCapacity,
-    Resource,
+    OverloadMonitor,
     OverloadState,
+    Resource,
     Usage,
 )
-from cloverwalk.gateway.outbox import SendBuffer
 from cloverwalk.gateway.reply import Reply
+from cloverwalk.gateway.send_buffer import SendBuffer
 
 SIZE = MachineCapacity(connections=100, link_bytes_per_s=1e6, processor=0.4, held_bytes=1000)
 
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.load import InFlight, InFlightTracker
+from cloverwalk.fleet.in_flight import InFlight, InFlightTracker
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.event_stream import EventSplitter
 from cloverwalk.gateway.messages import ClientRequest
@@ -15,8 +15,8 @@
 from cloverwalk.platform import names
 from cloverwalk.platform.codec import PlatformCodec
 from cloverwalk.platform.documents import decode_configuration
+from cloverwalk.scheduling.batch_limits import batch_room, items_to_preempt, reserved_slots
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
-from cloverwalk.scheduling.share import batch_room, reserved_slots, items_to_preempt
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
 
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -8,9 +8,9 @@
 
 from cloverwalk.cli.main import cli
 from cloverwalk.telemetry.log import ServingLog
-from cloverwalk.telemetry.starts import startup_stages
+from cloverwalk.telemetry.request_history import parse_line
 from cloverwalk.telemetry.startup import Stage, StartupLog
-from cloverwalk.telemetry.story import parse_line
+from cloverwalk.telemetry.startup_report import startup_stages
 
 
 class Start:
--- a/tests/unit/test_timeline.py
+++ b/tests/unit/test_timeline.py
@@ -10,7 +10,7 @@
 from cloverwalk.cli.errors import EXIT_USAGE
 from cloverwalk.cli.main import cli
 from cloverwalk.core import catalogue
-from cloverwalk.telemetry.story import LogLine
+from cloverwalk.telemetry.request_history import LogLine
 from cloverwalk.telemetry.timeline import timeline_of
 
 
