--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -142,8 +142,9 @@
 
         >>> holder = ConfigurationHolder()
         >>> newer = Configuration(7, (), {}, ClientLimits())
-        >>> older = Configuration(6, (), {}, ClientLimits())
-        >>> holder.update_if_newer(newer), holder.update_if_newer(older)
+        >>> holder.update_if_newer(newer), holder.update_if_newer(
+        ...     Configuration(6, (), {}, ClientLimits())
+        ... )
         (True, False)
         >>> holder.version
         7
--- a/src/cloverwalk/scheduling/batch_limits.py
+++ b/src/cloverwalk/scheduling/batch_limits.py
@@ -59,8 +59,9 @@
     Replicas serve in order of arrival, so every item beyond the slots stands in the way of the
     next online request, not one item a request.
 
-    >>> crowded, too_many = InFlight(online=4, batch=13), InFlight(online=17)
-    >>> items_to_preempt(16, crowded), items_to_preempt(16, too_many)
+    >>> items_to_preempt(16, InFlight(online=4, batch=13)), items_to_preempt(
+    ...     16, InFlight(online=17)
+    ... )
     (1, 0)
     >>> items_to_preempt(8, InFlight(online=2, batch=9))
     3
