--- a/src/cloverwalk/fleet/copies.py
+++ b/src/cloverwalk/fleet/state_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from cloverwalk.fleet.messages import ConfigurationCopy, DirectoryUpdate, RemovedReplica
-from cloverwalk.fleet.roster import KnownNode
+from cloverwalk.fleet.node_registry import KnownNode
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
@@ -36,7 +36,7 @@
     return int(min(MOST_AGE_MS, (now - directory.confirmed_at) * 1000))
 
 
-class CopySender:
+class StateSender:
     """Sends whole copies to nodes that are behind, and changes of the list to all."""
 
     def __init__(
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -46,7 +46,7 @@
     """Whether its callers need no key."""
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run again after a failure."""
         return self.kind is RouteKind.SAFE or self.is_resumable
 
@@ -137,12 +137,14 @@
         """Whether callers have keys."""
         return self.current is not None and self.current.tenants is not None
 
-    def offer(self, configuration: Configuration) -> bool:
+    def update_if_newer(self, configuration: Configuration) -> bool:
         """Take a configuration if it is newer; return whether it was.
 
         >>> holder = ConfigurationHolder()
         >>> newer = Configuration(7, (), {}, ClientLimits())
-        >>> holder.offer(newer), holder.offer(Configuration(6, (), {}, ClientLimits()))
+        >>> holder.update_if_newer(newer), holder.update_if_newer(
+        ...     Configuration(6, (), {}, ClientLimits())
+        ... )
         (True, False)
         >>> holder.version
         7
--- a/src/cloverwalk/gateway/progress.py
+++ b/src/cloverwalk/gateway/progress.py
@@ -2,10 +2,10 @@
 
 from msgspec import Struct, field
 
-from cloverwalk.core.final_answer import WorkState
-from cloverwalk.fleet.load import Work
+from cloverwalk.core.error_response import WorkState
+from cloverwalk.fleet.in_flight import InFlightEntry
 from cloverwalk.gateway.configuration import Route
-from cloverwalk.gateway.crash_witness import Delivery
+from cloverwalk.gateway.crash_detector import Delivery
 
 
 class RequestProgress(Struct):
@@ -31,7 +31,7 @@
     is_sent: bool = False
     """Whether bytes went to a replica whose answer is not known yet."""
 
-    work: Work | None = None
+    work: InFlightEntry | None = None
     """The present attempt, as the load of its replica counts it."""
 
     sent_at: float | None = None
@@ -40,13 +40,13 @@
     expected_wait_ms: float = 0.0
     """How long the present attempt was expected to wait for a slot, before any correction."""
 
-    was_held: bool = False
+    was_queued: bool = False
     """Whether it was held for a slot before the present attempt."""
 
     delivery: Delivery | None = None
     """How the present attempt was sent, once it was."""
 
-    is_suspect: bool = False
+    is_crash_suspect: bool = False
     """Whether replicas have ended under its content."""
 
     contained: str | None = None
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -9,31 +9,31 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import final_answer
-from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.fleet.load import LoadBook
-from cloverwalk.fleet.messages import Ask, TokenUse
-from cloverwalk.fleet.places import Place
+from cloverwalk.core.error_response import error_response
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.fleet.in_flight import InFlightTracker
+from cloverwalk.fleet.messages import PlacementRequest, QuotaTokenUse
+from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.gateway import refusals
-from cloverwalk.gateway.answer_relay import EVENT_SILENCE_S, FIRST_EVENT_SILENCE_S, AnswerRelay
+from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_SILENCE_S, AnswerRelay
 from cloverwalk.gateway.configuration import Route, RouteKind
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.content import content_id
-from cloverwalk.gateway.crash_witness import Delivery
-from cloverwalk.gateway.errors import SILENT, ClientGoneError, GatewayError, ReplicaError
-from cloverwalk.gateway.late_watch import LateWatch
+from cloverwalk.gateway.content_hash import hash_request
+from cloverwalk.gateway.crash_detector import Delivery
+from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, GatewayError, ReplicaError
+from cloverwalk.gateway.lateness_tracker import LateWatch
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
 from cloverwalk.gateway.progress import RequestProgress
 from cloverwalk.gateway.replica_connection import AnswerHead, ReplicaConnection, ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.gateway.reply import Reply
+from cloverwalk.gateway.request_timing import request_timing
 from cloverwalk.gateway.rotation import WeightedRotation
-from cloverwalk.gateway.served_times import served_times
-from cloverwalk.scheduling.admission import LONGEST_HOLD_S, Verdict
+from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 MAX_REFUSALS = 8
 """Replicas that may be unreachable or say 'not run' before the request is refused. Each costs some
@@ -50,13 +50,13 @@
         self,
         codec: GatewayCodec,
         directory: ReplicaDirectory,
-        loads: LoadBook,
+        loads: InFlightTracker,
         pool: ReplicaPool,
         log: ServingLog,
         metrics: ServingMetrics,
         clock: Callable[[], float],
-        link: CoordinatorLink,
-        refusals: RefusalMemory,
+        link: CoordinatorClient,
+        refusals: QuotaRefusalCache,
         containment: ContainmentGate,
     ) -> None:
         self._codec = codec
@@ -127,7 +127,7 @@
             suspected = await self._containment.check(request, progress)
             ask = self._ask(request, progress, suspected)
             self._check_remembered(ask)
-            place = await self._link.place(ask, request.received_at + LONGEST_HOLD_S)
+            place = await self._link.request_placement(ask, request.received_at + MAX_QUEUE_WAIT_S)
             self._check_verdict(request, progress, place)
             replica = self._directory.find(place.replica_id)
             if replica is not None:
@@ -139,47 +139,49 @@
             await self._end_work(place)
 
     def _check_verdict(
-        self, request: ClientRequest, progress: RequestProgress, place: Place
+        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
     ) -> None:
         """Raise the refusal of a request that got no place."""
         match place.verdict:
-            case Verdict.RETURN:
+            case PlacementVerdict.RETRY_LATER:
                 raise refusals.too_little_room(place.placement)
-            case Verdict.NONE:
+            case PlacementVerdict.NO_REPLICA:
                 raise refusals.no_replica("no_replica", progress.last_failure)
-            case Verdict.OVER_QUOTA:
-                self._refusals.learn(request.tenant, place.placement.retry_after_s)
+            case PlacementVerdict.OVER_QUOTA:
+                self._refusals.record(request.tenant, place.placement.retry_after_s)
                 raise refusals.over_quota(place.placement.retry_after_s)
-            case Verdict.QUOTA_UNKNOWN:
+            case PlacementVerdict.QUOTA_UNKNOWN:
                 raise refusals.quota_unknown()
-            case Verdict.TOO_LARGE:
+            case PlacementVerdict.TOO_LARGE:
                 raise refusals.too_large()
-            case Verdict.CONTAINED:
+            case PlacementVerdict.CONTAINED:
                 raise self._containment.refusal(request, progress)
-            case Verdict.SEND | Verdict.HOLD:
+            case PlacementVerdict.SEND | PlacementVerdict.QUEUE:
                 return
 
-    def _check_remembered(self, ask: Ask) -> None:
+    def _check_remembered(self, ask: PlacementRequest) -> None:
         """Raise the refusal of a tenant that the coordinator has refused just now."""
-        if ask.token is not TokenUse.NEW:
+        if ask.quota_token is not QuotaTokenUse.NEW:
             return
-        rest_s = self._refusals.rest_s(ask.tenant)
+        rest_s = self._refusals.remaining_s(ask.tenant)
         if rest_s > 0:
             raise refusals.over_quota(rest_s)
 
-    async def _end_work(self, place: Place) -> None:
+    async def _end_work(self, place: PlacementResult) -> None:
         if place.work is not None:
             self._loads.end(place.work)
-            await self._link.note_change()
+            await self._link.trigger_report()
 
-    def _ask(self, request: ClientRequest, progress: RequestProgress, suspected: str) -> Ask:
+    def _ask(
+        self, request: ClientRequest, progress: RequestProgress, suspected: str
+    ) -> PlacementRequest:
         now = self._clock()
         fields, route = request.fields, progress.route
         elapsed_s = now - request.received_at
         own_tokens = fields.prompt[-1].tokens if fields.prompt else 0
         shared = max(fields.prompt[:-1], key=lambda part: part.tokens, default=None)
         deadline_s = fields.deadline_s
-        return Ask(
+        return PlacementRequest(
             0,
             route.name,
             progress.service,
@@ -195,19 +197,21 @@
             request.tenant,
             _token_use(progress),
             suspected,
-            fields.most_tokens if self._loads.counts_tokens else 0,
+            fields.max_total_tokens if self._loads.counts_tokens else 0,
         )
 
     def _must_send(self, request: ClientRequest, progress: RequestProgress) -> bool:
         """Whether a request goes to a replica whatever it can expect there."""
         has_begun = progress.may_have_run or bool(progress.refused)
-        return has_begun or self._clock() - request.received_at >= LONGEST_HOLD_S
+        return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
-    def _note_choice(self, request: ClientRequest, progress: RequestProgress, place: Place) -> None:
+    def _note_choice(
+        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
+    ) -> None:
         now = self._clock()
         progress.work = place.work
         progress.expected_wait_ms = float(place.placement.wait_ms)
-        progress.was_held = place.was_held
+        progress.was_queued = place.was_queued
         self._log.write(
             catalogue.REPLICA_CHOSEN,
             request=request.fields.request_id,
@@ -215,7 +219,7 @@
             tenant=request.tenant,
             online=place.placement.online,
             batch=place.placement.batch,
-            reading_ms=place.placement.reading_ms,
+            reading_ms=place.placement.prefill_ms,
             expected_wait_ms=place.placement.wait_ms,
             waited_ms=round((now - request.received_at) * 1000, 1),
             list_age_s=round(now - self._directory.confirmed_at, 3),
@@ -223,7 +227,7 @@
         )
 
     def _may_try_again(self, progress: RequestProgress) -> bool:
-        return progress.route.may_repeat and len(progress.tried) < progress.route.max_attempts
+        return progress.route.is_retryable and len(progress.tried) < progress.route.max_attempts
 
     async def _note_failure(
         self,
@@ -239,7 +243,7 @@
         self._log.write(
             catalogue.REPLICA_FAILED,
             request=request.fields.request_id,
-            content=content_id(request) if may_have_run else None,
+            content=hash_request(request) if may_have_run else None,
             replica=replica.replica_id,
             code=error.code,
             may_have_run=may_have_run,
@@ -266,7 +270,7 @@
             if progress.work is not None:
                 self._loads.end(progress.work)
                 progress.work = None
-            await self._link.note_change()
+            await self._link.trigger_report()
 
     async def _attempt_counted(
         self, request: ClientRequest, progress: RequestProgress, replica: Replica, reply: Reply
@@ -274,7 +278,7 @@
         try:
             address = (replica.host, replica.port)
             # Nothing tells whether a kept one still leads to a living replica.
-            must_be_new = bool(progress.tried) or progress.is_suspect
+            must_be_new = bool(progress.tried) or progress.is_crash_suspect
             request_id = request.fields.request_id
             connection = await self._pool.acquire(address, request_id, must_be_new)
         except ReplicaError:
@@ -290,8 +294,8 @@
             is_kept = True
             await self._pool.release(connection, head.fields.keep_alive_s)
         except ReplicaError as error:
-            if error.code == SILENT:
-                await self._pool.close_silent(connection)
+            if error.code == TIMED_OUT:
+                await self._pool.close_timed_out(connection)
             raise
         finally:
             if not is_kept:
@@ -322,9 +326,9 @@
         else:
             await self._answers.relay_plain(request, progress, connection, head, reply)
         load = head.fields.load
-        served = served_times(progress, load, request.tenant, self._clock())
+        served = request_timing(progress, load, request.tenant, self._clock())
         if served is not None:
-            self._link.note_served(served)
+            self._link.record_request_timing(served)
         self._containment.note_answer(request)
         self._note_end(request, progress, "answered", head.status)
         return head
@@ -351,21 +355,21 @@
             raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
             self._directory.suspect(replica.replica_id, self._clock())
-            raise ReplicaError("no answer in time", True, SILENT) from error
+            raise ReplicaError("no answer in time", True, TIMED_OUT) from error
         except ReplicaError as error:
             if error.code == "reset":
                 self._directory.suspect(replica.replica_id, self._clock())
             raise
 
     def _first_answer_limit_s(self, progress: RequestProgress, remaining_s: float) -> float:
-        if not progress.route.may_repeat or not progress.has_attempt_left:
+        if not progress.route.is_retryable or not progress.has_attempt_left:
             return remaining_s + 1.0
         if progress.route.kind is RouteKind.STREAM:
             return min(remaining_s + 1.0, FIRST_EVENT_SILENCE_S)
         return max(FIRST_EVENT_SILENCE_S, remaining_s / 2)
 
     async def _drain_refusal(self, connection: ReplicaConnection) -> None:
-        async with curio.ignore_after(EVENT_SILENCE_S):
+        async with curio.ignore_after(EVENT_TIMEOUT_S):
             while await connection.read_body() is not None:
                 pass
 
@@ -374,11 +378,11 @@
     async def _give_up(
         self, request: ClientRequest, progress: RequestProgress, reply: Reply, error: GatewayError
     ) -> None:
-        answer = final_answer(error, progress)
+        answer = error_response(error, progress)
         self._note_end(request, progress, answer.code, answer.status)
         if reply.has_begun:
             raise ClientGoneError(f"the answer is broken off: {answer.code}")
-        headers = self._codec.own_headers(request.fields.request_id, answer.retry_after_s)
+        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
     def _note_end(
@@ -387,7 +391,7 @@
         took_s = self._clock() - request.received_at
         first = progress.first_event_at
         self._metrics.request_ended(progress.route.name, outcome, took_s)
-        self._metrics.tenants.note(request.tenant, _tenant_outcome(outcome))
+        self._metrics.tenants.request_ended(request.tenant, _tenant_outcome(outcome))
         number = catalogue.REQUEST_ANSWERED if outcome == "answered" else catalogue.REQUEST_ENDED
         self._log.write(
             number,
@@ -420,7 +424,7 @@
     return head.fields.was_not_run and head.status >= LEAST_FAILURE_STATUS
 
 
-def _token_use(progress: RequestProgress) -> TokenUse:
+def _token_use(progress: RequestProgress) -> QuotaTokenUse:
     if not progress.has_token:
-        return TokenUse.NEW
-    return TokenUse.AGAIN if progress.tried else TokenUse.KEPT
+        return QuotaTokenUse.NEW
+    return QuotaTokenUse.RETRY if progress.tried else QuotaTokenUse.ALREADY_GRANTED
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import Reason
+from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.jobs.commit import Committer
 from cloverwalk.jobs.errors import JobError, unsettled
@@ -25,7 +25,7 @@
 )
 from cloverwalk.jobs.run import JobRun
 from cloverwalk.jobs.view import JobView
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.store.types import (
     CommitOutcome,
@@ -110,11 +110,11 @@
         self._is_store_lost = is_store_lost
         self._random = random
         self._quotas: dict[RowKey, tuple[QuotaRow, int]] = {}
-        self.in_hand: set[str] = set()
+        self.submitting_ids: set[str] = set()
         """Jobs that are being taken: their records may be there before their runs."""
 
     async def submit(
-        self, submission: Submission, route: Route, until: float, writes: JobWrites
+        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
     ) -> None:
         """Take a job, or find that it was taken; raise JobError otherwise.
 
@@ -127,14 +127,14 @@
             return
         if self._is_store_lost() and self._is_served_elsewhere():
             raise self._unsettled(submission, CommitOutcome(CommitStatus.NOT_DONE))
-        self.in_hand.add(submission.job_id)
+        self.submitting_ids.add(submission.job_id)
         try:
             await self._settle(submission, route, until, writes)
         finally:
-            self.in_hand.discard(submission.job_id)
+            self.submitting_ids.discard(submission.job_id)
 
     async def _settle(
-        self, submission: Submission, route: Route, until: float, writes: JobWrites
+        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
     ) -> None:
         is_elsewhere = self._is_served_elsewhere()
         refuse_after_s = REFUSE_AFTER_SERVED_ELSEWHERE_S if is_elsewhere else REFUSE_AFTER_S
@@ -351,7 +351,7 @@
             due_ms=round(record.due_ms),
             give_up_ms=round(record.give_up_ms),
             store_ms=None if time is None else round(time.earliest_ms),
-            unsure_ms=None if time is None else round(time.width_ms),
+            unsure_ms=None if time is None else round(time.uncertainty_ms),
             configuration=record.configuration,
         )
 
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -7,20 +7,20 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.link import BatchSide, CoordinatorLink
-from cloverwalk.fleet.load import LoadBook, Work
-from cloverwalk.fleet.messages import ReplicaTiming
+from cloverwalk.fleet.coordinator_client import BatchOrderHandler, CoordinatorClient
+from cloverwalk.fleet.in_flight import InFlightEntry, InFlightTracker
+from cloverwalk.fleet.messages import ItemTiming
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
-from cloverwalk.gateway.crash_witness import CrashWitness
-from cloverwalk.gateway.errors import SILENT, ReplicaError
+from cloverwalk.gateway.crash_detector import CrashDetector
+from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteWatch, past_retention
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
-from cloverwalk.jobs.order import WaitingItem, pick, summarise
-from cloverwalk.jobs.pace import ItemPace
+from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
-from cloverwalk.scheduling.replica_memory import memory_limit
-from cloverwalk.scheduling.selection import reading_ms
+from cloverwalk.jobs.waiting_items import WaitingItem, pick, summarise
+from cloverwalk.scheduling.replica_memory import memory_limit_tokens
+from cloverwalk.scheduling.selection import prefill_ms
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.telemetry.lateness import ItemTimes, item_cause
 from cloverwalk.telemetry.log import ServingLog
@@ -35,7 +35,7 @@
 class _Running:
     """An item at a replica."""
 
-    def __init__(self, job: JobRun, one: ItemRun, work: Work, started_at: float) -> None:
+    def __init__(self, job: JobRun, one: ItemRun, work: InFlightEntry, started_at: float) -> None:
         self.job = job
         self.one = one
         self.work = work
@@ -53,17 +53,17 @@
         self.work.has_output = True
 
 
-class BatchRunner(BatchSide):
+class BatchRunner(BatchOrderHandler):
     """Starts, suspends and ends runs of items."""
 
     def __init__(
         self,
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
-        loads: LoadBook,
+        loads: InFlightTracker,
         caller: ItemCaller,
-        witness: CrashWitness,
-        link: CoordinatorLink,
+        witness: CrashDetector,
+        link: CoordinatorClient,
         on_finished: Callable[[JobRun], Awaitable[None]],
         on_orphans: Callable[[list[str]], Awaitable[None]],
         store_time: Callable[[], StoreTime | None],
@@ -89,7 +89,7 @@
         self._running: dict[tuple[str, int], _Running] = {}
         self._wake = curio.Event()
         self._has_jobs = curio.Event()
-        self._pace = ItemPace()
+        self._pace = ItemTimeEstimator()
         self._route_watch = RouteWatch()
         self._tells_pace = False
         """Whether a replica has told its pace here: then how long items still run matters."""
@@ -122,9 +122,9 @@
         await self._wake.set()
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """About what own jobs take in memory."""
-        return sum(job.held_bytes for job in self.jobs.values())
+        return sum(job.buffered_bytes for job in self.jobs.values())
 
     async def until_jobs(self) -> None:
         """Return when this node runs any job."""
@@ -173,7 +173,7 @@
         waiting = {pool: summarise(items) for pool, items in by_pool.items() if items}
         if waiting != self._link.waiting or self._take_has_ended():
             self._link.waiting = waiting
-            await self._link.note_change()
+            await self._link.trigger_report()
 
     def _take_has_ended(self) -> bool:
         """Return whether a run has ended since the last call; own loads have changed then."""
@@ -200,7 +200,9 @@
         due_ms = job.record.due_ms
         can_be_in_time = self._pace.can_be_in_time(one, self._left_ms(job))
         kept_at = self._directory.find(one.replica_id)
-        replica_id = one.replica_id if kept_at and kept_at.may_be_start(one.born_ms) else ""
+        replica_id = (
+            one.replica_id if kept_at and kept_at.may_be_incarnation(one.replica_started_ms) else ""
+        )
         order_ms = self._pace.order_ms(one, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
@@ -215,7 +217,7 @@
         if not has_tenants and not self._tells_pace:
             return waiting
         tenant = job.record.tenant if has_tenants else ""
-        return attrs.evolve(waiting, tenant=tenant, rest_ms=1000 * self._pace.remaining_s(one))
+        return attrs.evolve(waiting, tenant=tenant, remaining_ms=1000 * self._pace.remaining_s(one))
 
     def _tokens(self, job: JobRun, one: ItemRun) -> int:
         """Return the memory that an item may take at a replica, 0 where nobody counts it.
@@ -226,7 +228,7 @@
         if not self._loads.counts_tokens or current is None:
             return 0
         known = [current.services.get(name) for name in self._services(job)]
-        limits = [0 if service is None else memory_limit(service) for service in known]
+        limits = [0 if service is None else memory_limit_tokens(service) for service in known]
         can_fit = 0 in limits or one.item.tokens <= max(limits, default=0)
         return max(0, one.item.tokens) if can_fit else 0
 
@@ -243,7 +245,7 @@
 
     def _reading_ms(self, one: ItemRun) -> float:
         prompt = self._caller.prompt(one)
-        return reading_ms(prompt[-1].tokens) if prompt else 0.0
+        return prefill_ms(prompt[-1].tokens) if prompt else 0.0
 
     async def _give_up_old(self) -> None:
         """End waiting items past their retention, and those whose route is gone for good."""
@@ -295,15 +297,15 @@
 
     # --- orders ---
 
-    async def take_jobs(self, job_ids: list[str]) -> None:
+    async def take_over_jobs(self, job_ids: list[str]) -> None:
         """Run jobs that have no owner."""
         await self._on_orphans(job_ids)
 
-    async def take_grants(self, grants: dict[str, int]) -> None:
+    async def apply_grants(self, grants: dict[str, int]) -> None:
         """Start as many items at each replica as there are slots for them."""
-        await self.take_tenant_grants(grants, {}, {})
+        await self.apply_tenant_grants(grants, {}, {})
 
-    async def take_tenant_grants(
+    async def apply_tenant_grants(
         self,
         grants: dict[str, int],
         by_tenant: dict[str, dict[str, int]],
@@ -337,11 +339,11 @@
             for one in self._sendable(job):
                 told = self._waiting_item(job, one)
                 is_elsewhere = told.replica_id not in ("", replica.replica_id)
-                ranked.append(((told.due_step, is_elsewhere, told.due_ms), job, one))
+                ranked.append(((told.sort_key, is_elsewhere, told.due_ms), job, one))
         ranked.sort(key=lambda entry: entry[0])
         return [(job, one) for _, job, one in ranked]
 
-    async def take_revokes(self, revokes: dict[str, int]) -> None:
+    async def apply_revokes(self, revokes: dict[str, int]) -> None:
         """Suspend items at replicas, where online requests need their slots."""
         giving_way = [
             running
@@ -354,7 +356,7 @@
 
     async def _start(self, job: JobRun, one: ItemRun, replica: Replica) -> None:
         now = self._clock()
-        job.begin(one, replica.replica_id, now, replica.born_ms)
+        job.begin(one, replica.replica_id, now, replica.started_ms)
         work = self._loads.begin(replica.replica_id, True, self._tokens(job, one))
         running = _Running(job, one, work, now)
         running.expected_ms = self._pace.remaining_s(one) * 1000
@@ -399,18 +401,18 @@
                 # One that has put something out does not end its replica as it begins.
                 content = self._caller.content(job, one)
                 item_id, delivery = one.item.item_id, one.delivery
-                await self._witness.note_failure(item_id, content, replica, error.code, delivery)
-            if error.code in ("reset", "unreachable", SILENT):
+                await self._witness.record_failure(item_id, content, replica, error.code, delivery)
+            if error.code in ("reset", "unreachable", TIMED_OUT):
                 self._directory.suspect(replica.replica_id, self._clock())
         finally:
             if is_answered:
-                self._witness.note_answer(self._caller.content(job, one))
+                self._witness.record_answer(self._caller.content(job, one))
             await self._end_run(running, outcome)
 
     def _is_suspect(self, job: JobRun, one: ItemRun) -> bool:
         if self._witness.ledger.is_empty:
             return False
-        return self._witness.is_suspect(self._caller.content(job, one))
+        return self._witness.is_crash_suspect(self._caller.content(job, one))
 
     async def _end_run(self, running: _Running, outcome: str) -> None:
         job, one = running.job, running.one
@@ -450,19 +452,21 @@
             return
         tenant, rank = running.job.record.tenant, self._priority(running.job)
         more_ms = running.one.last_run_s * 1000 - running.expected_ms
-        self._link.note_correction(tenant, rank, round(more_ms))
+        self._link.record_work_correction(tenant, rank, round(more_ms))
 
     def _tell_timing(self, running: _Running) -> None:
         timing = running.one.timing
         if timing is None or timing.events == 0:
             return
-        self._tells_pace |= timing.told_percent > 0
+        self._tells_pace |= timing.reported_slowdown_percent > 0
         if not self._tells_pace:
             # Nobody asks for it, and reports stay as small as they are without it.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
-        told = ReplicaTiming(running.replica_id, timing.events, took_ms, timing.told_percent)
-        self._link.note_timing(told)
+        told = ItemTiming(
+            running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent
+        )
+        self._link.record_item_timing(told)
 
     def _note_lateness(self, job: JobRun, one: ItemRun) -> str | None:
         """Return why a finished item is late; None for one in time, or not finished."""
@@ -481,7 +485,7 @@
         if cause is None:
             return None
         route = self._route(job)
-        self._metrics.late("" if route is None else route.name, cause.value)
+        self._metrics.request_late("" if route is None else route.name, cause.value)
         return cause.value
 
     def _give_way(self, replica_id: str, count: int) -> list[_Running]:
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -8,15 +8,15 @@
 import attrs
 import msgspec
 
-from cloverwalk.fleet.messages import Waiting, WaitingGroup
+from cloverwalk.fleet.messages import WaitingByPool, WaitingGroup
 from cloverwalk.gateway.replicas import Replica
+from cloverwalk.scheduling.batch_limits import reserved_slots
 from cloverwalk.scheduling.decisions import Outbox
-from cloverwalk.scheduling.due_steps import band_end, due_ms, rank_of
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
+from cloverwalk.scheduling.item_sort_key import band_end, due_ms, rank_of
+from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_view import ReplicaView
-from cloverwalk.scheduling.share import kept_free
-from cloverwalk.scheduling.slot_book import SlotBook
 
 FIRST_GUESS_ITEM_MS = 2000.0
 """Slot time of an item whose node has not told it; what it took is told at its end."""
@@ -48,16 +48,16 @@
 
     def rank(self) -> tuple[int, str, str]:
         """What items over the fleet are sorted by."""
-        return (self.group.due_step, self.node, self.group.replica_id)
+        return (self.group.sort_key, self.node, self.group.replica_id)
 
     @property
     def work_ms(self) -> float:
         """The slot time that one of its items is expected to take."""
-        return float(self.group.rest_ms or FIRST_GUESS_ITEM_MS)
+        return float(self.group.remaining_ms or FIRST_GUESS_ITEM_MS)
 
 
 def _due_step(claim: _Claim) -> int:
-    return claim.group.due_step
+    return claim.group.sort_key
 
 
 class BatchGrants:
@@ -66,7 +66,7 @@
     def __init__(
         self,
         replicas: ReplicaView,
-        book: SlotBook,
+        book: ReplicaLoadTracker,
         outbox: Outbox,
         arrivals_per_s: Callable[[str, float], float],
         features: Features,
@@ -77,7 +77,7 @@
         self._book = book
         self._outbox = outbox
         self._arrivals_per_s = arrivals_per_s
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, WaitingByPool] = {}
         self._zones: dict[str, str] = {}
         self.zone = ""
         """The zone whose replicas items get slots of; empty: all."""
@@ -85,7 +85,7 @@
 
     # --- what waits ---
 
-    def hear(self, node: str, zone: str, waiting: Waiting) -> None:
+    def record_waiting(self, node: str, zone: str, waiting: WaitingByPool) -> None:
         """Take what waits at a node; what it was just granted does not wait any more."""
         self._zones[node] = zone
         if not waiting:
@@ -97,13 +97,13 @@
             for pool, groups in waiting.items()
         }
 
-    def forget(self, node: str) -> None:
+    def remove_node(self, node: str) -> None:
         """A node is gone."""
         self._waiting.pop(node, None)
         self._zones.pop(node, None)
 
     @property
-    def waiting(self) -> dict[str, Waiting]:
+    def waiting(self) -> dict[str, WaitingByPool]:
         """What waits, by node."""
         return self._waiting
 
@@ -115,7 +115,7 @@
             replica = self._replicas.find(replica_id)
             if replica is None:
                 continue
-            excess = self._replicas.must_yield(replica, now)
+            excess = self._replicas.items_to_preempt(replica, now)
             holders = self._book.holders(replica_id) if excess > 0 else []
             for holder in holders:
                 if excess <= 0:
@@ -126,7 +126,7 @@
     def _revoke(self, node: str, replica_id: str, count: int, now: float) -> None:
         decisions = self._outbox.of(node)
         decisions.revokes[replica_id] = decisions.revokes.get(replica_id, 0) + count
-        tokens = -self._replicas.yielded_tokens(replica_id, count, now)
+        tokens = -self._replicas.preempted_tokens(replica_id, count, now)
         self._book.expect(node, decisions.number, replica_id, batch=-count, tokens=tokens, now=now)
 
     # --- granting ---
@@ -184,7 +184,8 @@
         """Return how many slots the items of a pool leave free."""
         reading_ms = self._reading_ms(pool)
         return sum(
-            kept_free(self._arrivals_per_s(service, now), reading_ms) for service in pool.split(",")
+            reserved_slots(self._arrivals_per_s(service, now), reading_ms)
+            for service in pool.split(",")
         )
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
@@ -202,7 +203,7 @@
         """Return how long a replica reads the prompt of a waiting item, on average."""
         groups = [one for waiting in self._waiting.values() for one in waiting.get(pool, [])]
         items = sum(one.items for one in groups)
-        return sum(one.items * one.reading_ms for one in groups) / max(1, items)
+        return sum(one.items * one.prefill_ms for one in groups) / max(1, items)
 
     def _claims(self, pool: str) -> list[_Claim]:
         claims = [
@@ -229,13 +230,13 @@
         """
         start = 0
         while start < len(claims):
-            after = band_end(claims[start].group.due_step)
+            after = band_end(claims[start].group.sort_key)
             end = bisect_left(claims, after, start, key=_due_step)
             yield from self._within_band(claims[start:end])
             start = end
 
     def _within_band(self, claims: list[_Claim]) -> Iterator[_Claim]:
-        rank = rank_of(claims[0].group.due_step)
+        rank = rank_of(claims[0].group.sort_key)
         queues: dict[str, list[_Claim]] = {}
         for claim in reversed(claims):
             queues.setdefault(claim.group.tenant, []).append(claim)
@@ -282,10 +283,12 @@
 
     def _most_pace(self, group: WaitingGroup) -> float | None:
         """Return the pace at which items of a group just end in time; None: pace does not count."""
-        if not self._replicas.paces or group.rest_ms <= 0:
+        if not self._replicas.paces or group.remaining_ms <= 0:
             return None
         store_ms = self.store_ms()
-        return None if store_ms is None else (due_ms(group.due_step) - store_ms) / group.rest_ms
+        return (
+            None if store_ms is None else (due_ms(group.sort_key) - store_ms) / group.remaining_ms
+        )
 
     def _best_by_pace(
         self,
@@ -317,7 +320,7 @@
 
     def _charge(self, claim: _Claim) -> None:
         """Count the slot time that an item is expected to take to its tenant."""
-        rank = rank_of(claim.group.due_step)
+        rank = rank_of(claim.group.sort_key)
         self.shares.charge(rank, claim.group.tenant, claim.work_ms, claim.waiting)
 
     def _grant_one(self, claim: _Claim, replica_id: str, now: float) -> None:
@@ -343,7 +346,7 @@
             now=now,
         )
         pace = self._replicas.paces.get(replica_id, 1.0)
-        self._replicas.note_reading(replica_id, pace * claim.group.reading_ms, now)
+        self._replicas.note_reading(replica_id, pace * claim.group.prefill_ms, now)
         self._replicas.note_sent(claim.node, replica_id, now)
 
     def _leave(self, claim: _Claim) -> None:
@@ -365,8 +368,9 @@
 def _without_granted(groups: list[WaitingGroup], granted: Counter[str]) -> list[WaitingGroup]:
     """Return groups without the first items of the tenants that were granted slots.
 
-    >>> _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
-    [WaitingGroup(due_step=2, items=4, replica_id='', reading_ms=0, tenant='', rest_ms=0, tokens=0)]
+    >>> left = _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
+    >>> left == [WaitingGroup(sort_key=2, items=4)]
+    True
     """
     left = Counter(granted)
     kept: list[WaitingGroup] = []
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -23,7 +23,7 @@
     >>> outbox = Outbox()
     >>> outbox.of("n1").number, outbox.of("n1").number, outbox.of("n2").number
     (1, 1, 1)
-    >>> sorted(outbox.take()), outbox.of("n1").number, outbox.last_number("n2")
+    >>> sorted(outbox.pop()), outbox.of("n1").number, outbox.last_number("n2")
     (['n1', 'n2'], 2, 1)
     """
 
@@ -39,7 +39,7 @@
             decisions = self._open[node] = Decisions(number)
         return decisions
 
-    def take(self) -> dict[str, Decisions]:
+    def pop(self) -> dict[str, Decisions]:
         """Return what was decided since the last call."""
         taken, self._open = self._open, {}
         return taken
--- a/src/cloverwalk/scheduling/slot_book.py
+++ b/src/cloverwalk/scheduling/replica_load_tracker.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from cloverwalk.fleet.load import NOTHING, InFlight
+from cloverwalk.fleet.in_flight import NOTHING_IN_FLIGHT, InFlight
 from cloverwalk.fleet.messages import NodeLoad
 
 UNSETTLED_S = 0.5
@@ -46,16 +46,16 @@
     unsettled: list[_Decision] = attrs.Factory(list)
 
 
-class SlotBook:
+class ReplicaLoadTracker:
     """Work by replica.
 
-    >>> book = SlotBook()
-    >>> book.hear("n1", {"r1": NodeLoad(2, 3)}, settled=0)
+    >>> book = ReplicaLoadTracker()
+    >>> book.record_report("n1", {"r1": NodeLoad(2, 3)}, settled=0)
     {'r1'}
     >>> book.expect("n1", 1, "r1", online=1, now=0.0)
     >>> book.total("r1", now=0.1)
     InFlight(online=3, batch=3, tokens=0, batch_tokens=0)
-    >>> book.hear("n1", {"r1": NodeLoad(3, 2)}, settled=1)
+    >>> book.record_report("n1", {"r1": NodeLoad(3, 2)}, settled=1)
     {'r1'}
     >>> book.total("r1", now=0.2)
     InFlight(online=3, batch=2, tokens=0, batch_tokens=0)
@@ -72,7 +72,7 @@
 
     # --- changes ---
 
-    def hear(self, node: str, loads: dict[str, NodeLoad], settled: int) -> set[str]:
+    def record_report(self, node: str, loads: dict[str, NodeLoad], settled: int) -> set[str]:
         """Take what a node reports; return the replicas whose sums may have changed."""
         work = self._work.setdefault(node, _NodeWork())
         changed = set(work.loads) | set(loads)
@@ -102,7 +102,7 @@
         work.unsettled.append(decision)
         self._change(replica_id, _expected(decision), 1)
 
-    def forget(self, node: str) -> set[str]:
+    def remove_node(self, node: str) -> set[str]:
         """A node is gone, and its connections with it; return the replicas concerned."""
         work = self._work.pop(node, None)
         if work is None:
@@ -121,18 +121,18 @@
                 self._drop(work, decision)
         return changed
 
-    def take_snapshot(
-        self, totals: dict[str, NodeLoad], now: float, *, knows_all: bool = True
+    def apply_snapshot(
+        self, totals: dict[str, NodeLoad], now: float, *, is_complete: bool = True
     ) -> None:
         """Take another coordinator's sums; they count until the nodes have reported here.
 
-        Where they never will, since this node decides for itself alone, ``knows_all`` is False:
+        Where they never will, since this node decides for itself alone, ``is_complete`` is False:
         work that comes here is added to the sums.
         """
         self._snapshot = totals
         self._snapshot_until = now + SNAPSHOT_VALID_S
-        self._base = {} if knows_all else {key: one.online for key, one in self._sums.items()}
-        self._adds = not knows_all
+        self._base = {} if is_complete else {key: one.online for key, one in self._sums.items()}
+        self._adds = not is_complete
 
     def _drop(self, work: _NodeWork, decision: _Decision) -> None:
         work.unsettled.remove(decision)
@@ -148,14 +148,14 @@
         known.batch += sign * load.batch
         known.tokens += sign * load.tokens
         known.batch_tokens += sign * load.batch_tokens
-        if known == NOTHING:
+        if known == NOTHING_IN_FLIGHT:
             del self._sums[replica_id]
 
     # --- figures ---
 
     def total(self, replica_id: str, now: float) -> InFlight:
         """Return the work in flight at a replica."""
-        known = self._sums.get(replica_id, NOTHING)
+        known = self._sums.get(replica_id, NOTHING_IN_FLIGHT)
         told = self._snapshot.get(replica_id) if now < self._snapshot_until else None
         if told is None:
             return known
@@ -168,11 +168,11 @@
         )
 
     @property
-    def replica_count(self) -> int:
+    def busy_replica_count(self) -> int:
         """How many replicas have work."""
         return len(self._sums)
 
-    def totals(self) -> dict[str, NodeLoad]:
+    def replica_loads(self) -> dict[str, NodeLoad]:
         """Return the work of all nodes by replica, without what another coordinator told."""
         return {
             key: NodeLoad(one.online, one.batch, one.tokens, one.batch_tokens)
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import LoadBook
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.fleet.in_flight import InFlightTracker
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.jobs.assigner import JobAssigner
 from cloverwalk.jobs.checkpoint import Checkpointer
@@ -25,7 +25,7 @@
 from cloverwalk.jobs.view import JobView
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.fleet_parts import FleetParts
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.clock import StoreClock
 from cloverwalk.store.health import StoreHealth
@@ -47,10 +47,10 @@
         adapter: Adapter,
         settings: ServingSettings,
         fleet: FleetParts,
-        knowledge: FleetKnowledge,
-        loads: LoadBook,
+        knowledge: FleetState,
+        loads: InFlightTracker,
         pool: ReplicaPool,
-        witness: CrashWitness,
+        witness: CrashDetector,
         store: Store,
         health: StoreHealth,
         store_clock: StoreClock,
@@ -81,9 +81,9 @@
             metrics,
             clock,
         )
-        fleet.link.batch = self.runner
+        fleet.link.batch_handler = self.runner
         self._store_time = store_clock.now
-        fleet.scheduler.use_store_time(self._store_ms)
+        fleet.scheduler.set_store_time(self._store_ms)
         self.lister = ResultLister(committer, self.view, cache, self.runner.drop, log, clock)
         self.reader = JobReader(store, self.view, self._is_run_here, cache, clock)
         self.verifier = JobVerifier(self.runner, self.reader, log)
@@ -98,8 +98,8 @@
             clock,
             log,
             self._on_taken,
-            fleet.link.store_serves_others,
-            lambda: health.lost_for_ms() > REFUSED_FOR_MS,
+            fleet.link.is_store_available_elsewhere,
+            lambda: health.unavailable_for_ms() > REFUSED_FOR_MS,
             random,
         )
         self.service = JobService(
@@ -114,7 +114,7 @@
             committer,
             log,
             clock,
-            intake.in_hand,
+            intake.submitting_ids,
         )
         self.follower = TableFollower(
             JOB_TABLE,
@@ -126,7 +126,7 @@
             log,
             clock,
             random,
-            fleet.coordinator.until_active,
+            fleet.coordinator.wait_until_active,
         )
         self.assigner = JobAssigner(fleet.coordinator, self.follower, self.view, log, clock)
         self.sweeper = JobSweeper(
@@ -160,14 +160,14 @@
         return job_id in self.runner.jobs
 
     async def _on_jobs(self, page: RowPage) -> None:
-        await self.view.take(page)
+        await self.view.apply_page(page)
 
     async def _on_taken(self, job: JobRun) -> None:
         if not self._fleet.link.is_leaving and job.job_id not in self.runner.jobs:
             await self.runner.add(job)
 
     async def _on_orphans(self, job_ids: list[str]) -> None:
-        await self.takeover.take(job_ids)
+        await self.takeover.take_over(job_ids)
 
     async def _on_finished(self, job: JobRun) -> None:
-        await self.lister.note(job)
+        await self.lister.notify_finished(job)
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -4,23 +4,23 @@
 from random import Random
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.case_sync import CaseSync
 from cloverwalk.fleet.coordinator import Coordinator
+from cloverwalk.fleet.coordinator_client import CoordinatorClient
+from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.election import Election
 from cloverwalk.fleet.identity import Identity
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.leader import LeaderView
-from cloverwalk.fleet.link import CoordinatorLink
-from cloverwalk.fleet.load import LoadBook
 from cloverwalk.fleet.messages import ConfigurationCopy, Datagram, Report, Snapshot, StoreReturned
 from cloverwalk.fleet.transport import DatagramTransport
+from cloverwalk.scheduling.fair_share_reporter import FairShareReporter, ThrottledRequests
 from cloverwalk.scheduling.features import Features, FeatureState
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.share_watch import HeldBack, ShareWatch
 from cloverwalk.scheduling.slot_time import SlotUse
-from cloverwalk.scheduling.slot_watch import SlotWatch
-from cloverwalk.scheduling.zone_reach import ReachChange
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.scheduling.slot_time_reporter import SlotTimeReporter
+from cloverwalk.scheduling.zone_reachability import ReachabilityChange
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import Store
@@ -41,8 +41,8 @@
         self,
         settings: ServingSettings,
         run: str,
-        knowledge: FleetKnowledge,
-        loads: LoadBook,
+        knowledge: FleetState,
+        loads: InFlightTracker,
         store: Store,
         health: StoreHealth,
         log: ServingLog,
@@ -66,13 +66,13 @@
             knowledge.configuration,
             ServiceTimes(),
             settings.quota_bounds,
-            knowledge.crashes,
+            knowledge.crash_ledger,
             random,
             self.features,
         )
-        self.scheduler.reach.on_change = self._note_reach
-        self.scheduler.paces.on_change = self._note_pace
-        self.cases = CaseSync(knowledge.crashes, self.transport, log, clock)
+        self.scheduler.reachability.on_change = self._note_reach
+        self.scheduler.slowdowns.on_change = self._note_pace
+        self.cases = CrashRecordSync(knowledge.crash_ledger, self.transport, log, clock)
         self.coordinator = Coordinator(
             self.identity,
             self.leader,
@@ -85,7 +85,7 @@
             log,
             clock,
         )
-        self.link = CoordinatorLink(
+        self.link = CoordinatorClient(
             self.identity,
             self.leader,
             self.coordinator,
@@ -99,12 +99,12 @@
             log,
             clock,
         )
-        self.slots = SlotWatch(self.scheduler, self._note_slot_time)
-        shares, item_shares = self.scheduler.shares, self.scheduler.item_shares
-        self.shares = ShareWatch(shares, item_shares, self._note_held_back)
+        self.slots = SlotTimeReporter(self.scheduler, self._note_slot_time)
+        shares, item_shares = self.scheduler.online_shares, self.scheduler.item_shares
+        self.shares = FairShareReporter(shares, item_shares, self._note_held_back)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
-        self.link.on_placed = knowledge.startup.note_placed
+        self.link.on_placement = knowledge.startup.record_placement
         self.election = Election(
             self.identity,
             self.leader,
@@ -117,26 +117,26 @@
             clock,
             random,
         )
-        self._take_leadership = self.link.on_leadership
-        self.link.on_leadership = self._on_leadership
+        self._take_leadership = self.link.on_leadership_change
+        self.link.on_leadership_change = self._on_leadership
 
     def _tick(self, now: float) -> None:
         self.slots.tick(now)
         self.shares.tick(now)
 
-    def _note_held_back(self, held_back: HeldBack) -> None:
+    def _note_held_back(self, held_back: ThrottledRequests) -> None:
         self._log.write(
             catalogue.TENANTS_HELD_BACK,
             tenants=held_back.by_tenant,
             others=held_back.others,
-            bad_figures=held_back.bad_figures,
+            bad_figures=held_back.invalid_count,
         )
 
     def _note_slot_time(self, uses: dict[SlotUse, float]) -> None:
         told = {use.value: round(seconds, 2) for use, seconds in uses.items() if seconds > 0}
         self._log.write(catalogue.SLOT_TIME, **told)
 
-    def _note_reach(self, change: ReachChange) -> None:
+    def _note_reach(self, change: ReachabilityChange) -> None:
         event = catalogue.ZONE_REACHABLE if change.is_reachable else catalogue.ZONE_UNREACHABLE
         self._log.write(
             event, zone=change.zone, source=change.source, evidence=change.evidence.value
@@ -161,32 +161,32 @@
 
     async def receive(self) -> None:
         """Take datagrams until cancelled."""
-        await self.transport.receive(self.take)
+        await self.transport.receive(self.handle_message)
 
-    async def take(self, message: Datagram, host: str) -> None:
+    async def handle_message(self, message: Datagram, host: str) -> None:
         """Pass a datagram to the part that it is for."""
-        self._knowledge.startup.note(Stage.PEER)
+        self._knowledge.startup.record_stage(Stage.PEER)
         match message:
             case Report():
-                await self.coordinator.hear(message, host)
+                await self.coordinator.handle_report(message, host)
             case Snapshot():
-                await self.election.take_snapshot(message, host)
+                await self.election.handle_snapshot(message, host)
             case ConfigurationCopy():
                 self._knowledge.take_configuration(message.configuration, "peer")
             case StoreReturned():
-                await self._health.note_hint()
-                if self.coordinator.is_active and not self._health.is_lost:
-                    self.coordinator.tell_store_returned()
+                await self._health.hint_recovery()
+                if self.coordinator.is_active and not self._health.is_unavailable:
+                    self.coordinator.broadcast_store_returned()
             case _:
-                await self.link.take(message, host)
+                await self.link.handle_message(message, host)
                 self._knowledge.note_directory("peer")
 
     async def _on_leadership(self) -> None:
-        self._knowledge.startup.note(Stage.COORDINATOR)
+        self._knowledge.startup.record_stage(Stage.COORDINATOR)
         await self._take_leadership()
 
     async def _deliver_locally(self, orders: object) -> None:
-        await self.link.take(orders, self.identity.host)  # type: ignore[arg-type]
+        await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
     async def until_directory_needed(self) -> None:
         """Return when this node has to read the list of replicas itself."""
@@ -194,7 +194,7 @@
             rest_s = self._knowledge.directory.confirmed_at + DIRECTORY_STALE_S - self._clock()
             if rest_s <= 0:
                 return
-            await self.coordinator.wait_active(rest_s)
+            await self.coordinator.wait_until_active_or_timeout(rest_s)
 
     def leave(self) -> None:
         """A planned stop begins: others coordinate, and no more jobs come."""
--- a/src/cloverwalk/serving/knowledge.py
+++ b/src/cloverwalk/serving/fleet_state.py
@@ -13,7 +13,7 @@
 from cloverwalk.telemetry.startup import Stage, StartupLog
 
 
-class FleetKnowledge:
+class FleetState:
     """Turns rows into what the node goes by; older rows never replace newer ones."""
 
     def __init__(
@@ -29,7 +29,7 @@
         self.startup = startup
         self.configuration = ConfigurationHolder()
         self.directory = ReplicaDirectory()
-        self.crashes = CrashLedger()
+        self.crash_ledger = CrashLedger()
         self.metrics = ServingMetrics()
         """Counts entries that can't be read; set to the node's by who wires it."""
 
@@ -44,7 +44,7 @@
 
     def _take_stored(self, raw: bytes) -> None:
         try:
-            configuration = self._adapter.configuration(raw)
+            configuration = self._adapter.decode_configuration(raw)
         except ValueError as error:
             self._log.write(
                 catalogue.CONFIGURATION_INVALID,
@@ -56,7 +56,7 @@
 
     def take_configuration(self, configuration: Configuration, source: str) -> None:
         """Take a configuration if it is newer; ``source`` tells in the log where it came from."""
-        if not self.configuration.offer(configuration):
+        if not self.configuration.update_if_newer(configuration):
             return
         self._log.write(
             catalogue.CONFIGURATION_TAKEN,
@@ -65,7 +65,7 @@
             tenants=None if configuration.tenants is None else len(configuration.tenants),
             source=source,
         )
-        self.startup.note(Stage.CONFIGURATION, source)
+        self.startup.record_stage(Stage.CONFIGURATION, source)
 
     async def on_all_replicas(self, page: RowPage) -> None:
         """Take the whole list of replicas; entries that can't be read are not in it."""
@@ -91,7 +91,7 @@
             self._invalid.pop(key, None)
             return None
         try:
-            replica = self._adapter.replica(key, row.value, row.version)
+            replica = self._adapter.decode_replica(key, row.value, row.version)
         except ValueError as error:
             self._note_invalid(key, row.version, str(error))
             return None
@@ -129,4 +129,4 @@
     def note_directory(self, source: str) -> None:
         """The list of replicas was told; ``source`` tells in the log by whom."""
         if not self.directory.is_empty:
-            self.startup.note(Stage.REPLICAS, source)
+            self.startup.record_stage(Stage.REPLICAS, source)
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -10,35 +10,35 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.core.clock import Clock, SuspensionWatch, steady_s
-from cloverwalk.core.final_answer import FinalAnswer
+from cloverwalk.core.error_response import ErrorResponse
 from cloverwalk.core.once_flag import OnceFlag
-from cloverwalk.fleet.case_keeper import CaseKeeper
+from cloverwalk.fleet.crash_record_store import CrashRecordStore
 from cloverwalk.fleet.follower import TableFollower
-from cloverwalk.fleet.load import LoadBook
+from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.gateway.configuration import ClientLimits
 from cloverwalk.gateway.containment import ContainmentGate
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.reply import Reply
-from cloverwalk.gateway.restarts import RestartWatch
+from cloverwalk.gateway.restarts import RestartHandler
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.scheduling.features import Feature
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.batch_parts import BatchParts
-from cloverwalk.serving.calls import CallHandler
 from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
-from cloverwalk.serving.knowledge import FleetKnowledge
-from cloverwalk.serving.room_watch import RoomWatch
+from cloverwalk.serving.fleet_state import FleetState
+from cloverwalk.serving.request_handler import RequestHandler
+from cloverwalk.serving.resource_monitor import ResourceMonitor
 from cloverwalk.serving.settings import ServingSettings
-from cloverwalk.serving.store_watch import StoreWatch
+from cloverwalk.serving.store_probe import StoreProbe
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.startup import Stage, StartupLog
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 CONFIGURATION_PAUSE_S = 0.05
 HOUSEKEEPING_S = 2.0
@@ -83,20 +83,20 @@
     # --- parts ---
 
     def _build_state(self) -> None:
-        self._knowledge = FleetKnowledge(self._adapter, self._log, self._clock, self._startup)
+        self._knowledge = FleetState(self._adapter, self._log, self._clock, self._startup)
         self._knowledge.metrics = self._metrics
         self._configuration = self._knowledge.configuration
         self._directory = self._knowledge.directory
-        self._loads = LoadBook(counts_tokens=self._settings.is_memory_scarce)
+        self._loads = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
         self._health = StoreHealth(Clock(self._clock))
         self._health.on_call = self._note_store_call
         self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
-        self._store = WatchedStore(
-            self._adapter.store(self._settings), self._health, self._store_clock
+        self._store = MonitoredStore(
+            self._adapter.create_store(self._settings), self._health, self._store_clock
         )
         self._pool = ReplicaPool(self._adapter.codec, self._clock)
-        self._witness = CrashWitness(
-            self._knowledge.crashes,
+        self._witness = CrashDetector(
+            self._knowledge.crash_ledger,
             self._directory,
             self._pool,
             self._log,
@@ -104,7 +104,7 @@
             self._clock,
         )
 
-        self._restarts = RestartWatch(
+        self._restarts = RestartHandler(
             self._directory, self._pool, self._witness, self._log, self._metrics, self._clock
         )
 
@@ -123,9 +123,9 @@
             self._clock,
             self._random,
         )
-        self._fleet.cases.on_contained = self._witness.note_contained
-        self._witness.on_seen = self._fleet.link.note_change
-        self._store_watch = StoreWatch(self._store, self._health, self._fleet)
+        self._fleet.cases.on_contained = self._witness.record_contained
+        self._witness.on_crash = self._fleet.link.trigger_report
+        self._store_watch = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
             self._settings,
@@ -143,7 +143,7 @@
             self._clock,
             self._random,
         )
-        self._case_keeper = CaseKeeper(
+        self._case_keeper = CrashRecordStore(
             self._fleet.cases,
             self._fleet.coordinator,
             self._store,
@@ -178,7 +178,7 @@
 
     def _build_gateway(self) -> None:
         settings = self._settings
-        self._refusals = RefusalMemory(self._log, self._clock)
+        self._refusals = QuotaRefusalCache(self._log, self._clock)
         relay = OnlineRelay(
             self._adapter.codec,
             self._directory,
@@ -194,7 +194,7 @@
         most = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
         self._clients = self._server(settings.client_address, self._handle, most)
         self._room = self._watch_room(most)
-        self._calls = CallHandler(
+        self._calls = RequestHandler(
             self._adapter,
             self._configuration,
             relay,
@@ -211,11 +211,11 @@
                 settings.metrics_address, self._answer_metrics, SIDE_CONNECTIONS
             )
 
-    def _watch_room(self, most_connections: int) -> RoomWatch | None:
+    def _watch_room(self, most_connections: int) -> ResourceMonitor | None:
         """Return what watches this machine's room, where the settings call for it."""
         if not self._fleet.features.is_on(Feature.NODE_CAPACITY):
             return None
-        room = RoomWatch(
+        room = ResourceMonitor(
             self._settings,
             most_connections,
             self._clients,
@@ -330,7 +330,7 @@
         self.is_leaving = True
         self._fleet.leave()
         self._clients.is_stopping = True
-        await self._fleet.link.note_change()
+        await self._fleet.link.trigger_report()
         handing_over = await curio.spawn(self._batch.takeover.hand_over)
         while self._clock() < until:
             await curio.sleep(0.1)
@@ -349,18 +349,18 @@
             not self.is_leaving
             and self._configuration.current is not None
             and not self._directory.is_empty
-            and (self._room is None or self._room.room.is_ready)
+            and (self._room is None or self._room.overload_monitor.is_ready)
         )
 
     async def _answer_ready(self, request: ClientRequest, reply: Reply) -> None:
-        is_asked = self._adapter.is_ready_call(request.target)
+        is_asked = self._adapter.is_readiness_probe(request.target)
         status = 404 if not is_asked else 200 if self.is_ready else 503
         await reply.respond(status, [], b"")
 
     async def _answer_metrics(self, request: ClientRequest, reply: Reply) -> None:
         metrics = self._metrics
         now = self._clock()
-        metrics.directory = self._configuration.tenants
+        metrics.tenant_directory = self._configuration.tenants
         metrics.gauge("cloverwalk_configuration_version", "In force", self._configuration.version)
         age_s = min(1e6, now - self._directory.confirmed_at)
         metrics.gauge("cloverwalk_replica_list_age_seconds", "Since confirmed", age_s)
@@ -369,23 +369,23 @@
         metrics.gauge("cloverwalk_jobs_owned", "Jobs run here", len(self._batch.runner.jobs))
         metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
         coordinator = self._fleet.coordinator
-        known = len(coordinator.roster.live()) if coordinator.is_active else 0
-        uses = self._fleet.slots.time.seconds
-        paces = self._fleet.scheduler.paces
-        metrics.replica_paces = paces.classes()
-        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.dropped)
+        known = len(coordinator.registry.live()) if coordinator.is_active else 0
+        uses = self._fleet.slots.slot_time.seconds
+        paces = self._fleet.scheduler.slowdowns
+        metrics.replica_slowdowns = paces.counts_by_class()
+        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.invalid_count)
         metrics.slot_seconds = {use.value: seconds for use, seconds in uses.items()}
         metrics.share_ms = self._fleet.shares.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
-        shut = self._fleet.scheduler.reach.shut_count
+        shut = self._fleet.scheduler.reachability.unreachable_count
         metrics.gauge("cloverwalk_zones_unreachable", "Pairs of zones, as seen here", shut)
         metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", known)
         if self._room is not None:
-            self._room.tell(metrics)
+            self._room.update_metrics(metrics)
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         await reply.respond(200, [content_type], metrics.render())
 
-    def _on_refused(self, answer: FinalAnswer) -> None:
+    def _on_refused(self, answer: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED, status=answer.status, code=answer.code, work=answer.work.value
         )
@@ -398,17 +398,17 @@
 
     def _note_store_call(self, is_answered: bool) -> None:
         stage = Stage.STORE_ANSWER if is_answered else Stage.STORE_REFUSAL
-        self._startup.note(stage)
+        self._startup.record_stage(stage)
 
     async def _housekeeping(self) -> None:
         while True:
             await curio.sleep(HOUSEKEEPING_S)
-            self._fleet.features.look()
-            self._restarts.look()
+            self._fleet.features.notify_changes()
+            self._restarts.abort_stale()
             await self._pool.close_expired()
             self._refusals.expire()
             self._witness.expire()
-            slept_s = self._suspensions.look()
+            slept_s = self._suspensions.check()
             if slept_s > 0:
                 # Ages and leases have gone on: the node is as one that stood still for so long.
                 self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(slept_s, 3))
--- a/src/cloverwalk/serving/calls.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.final_answer import AnswerError, FinalAnswer, Reason, final_answer
+from cloverwalk.core.error_response import CallError, ErrorResponse, Reason, error_response
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route, RouteKind
 from cloverwalk.gateway.errors import GatewayError
 from cloverwalk.gateway.messages import ClientRequest, EndJob, JobCall, ReadItem, ReadJob
@@ -13,9 +13,9 @@
 from cloverwalk.jobs.intake import Submission
 from cloverwalk.jobs.records import MAX_ITEMS
 from cloverwalk.jobs.service import JobService
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.serving.adapter import Adapter
-from cloverwalk.serving.room_watch import RoomWatch
+from cloverwalk.serving.resource_monitor import ResourceMonitor
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
@@ -28,7 +28,7 @@
 """A client that comes back reaches another node, which need not be waited for."""
 
 
-class CallHandler:
+class RequestHandler:
     """Handles whole requests of clients."""
 
     def __init__(
@@ -40,7 +40,7 @@
         log: ServingLog,
         metrics: ServingMetrics,
         may_begin: Callable[[], bool],
-        room: RoomWatch | None = None,
+        room: ResourceMonitor | None = None,
     ) -> None:
         self._adapter = adapter
         self._codec = adapter.codec
@@ -54,20 +54,20 @@
 
     async def handle(self, request: ClientRequest, reply: Reply) -> None:
         """Serve one request to its final answer."""
-        writes = JobWrites()
+        writes = JobWriteTracker()
         try:
             route = await self._dispatch(request, reply, writes)
-        except AnswerError as error:
+        except CallError as error:
             if error.code == NODE_FULL:
                 # On the same connection its client would come back to this node.
                 reply.close_after()
-            await self._refuse(request, reply, final_answer(error, writes))
+            await self._refuse(request, reply, error_response(error, writes))
             return
         if route is not None:
             # The relay knows what it sends, and makes the final answer by that.
             await self._relay.handle(request, route, reply)
 
-    async def _refuse(self, request: ClientRequest, reply: Reply, answer: FinalAnswer) -> None:
+    async def _refuse(self, request: ClientRequest, reply: Reply, answer: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED,
             request=request.fields.request_id,
@@ -79,11 +79,11 @@
             configuration=self._configuration.version,
         )
         self._metrics.request_ended("call", answer.code, 0.0)
-        headers = self._codec.own_headers(request.fields.request_id, answer.retry_after_s)
+        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
     async def _dispatch(
-        self, request: ClientRequest, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, reply: Reply, writes: JobWriteTracker
     ) -> Route | None:
         """Serve a call on a job or a hand-in; return the route of an online request."""
         if self._configuration.current is None:
@@ -121,17 +121,17 @@
         return route
 
     async def _job_call(
-        self, request: ClientRequest, call: JobCall, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, call: JobCall, reply: Reply, writes: JobWriteTracker
     ) -> None:
         match call:
             case ReadJob():
                 wait_s = min(LONGEST_WAIT_S, request.fields.wait_s)
                 page = await self._jobs.read(call.job_id, request.tenant, call.position, wait_s)
-                body = self._adapter.result_page(page)
+                body = self._adapter.encode_result_page(page)
                 await reply.respond(200, self._adapter.json_headers, body)
             case ReadItem():
                 body = await self._jobs.item_body(call.job_id, request.tenant, call.item_id)
-                await reply.respond(200, self._codec.own_headers("", None), body)
+                await reply.respond(200, self._codec.local_reply_headers("", None), body)
             case EndJob():
                 await self._jobs.end(call.job_id, request.tenant, writes)
                 await reply.respond(200, self._adapter.json_headers, b"{}")
@@ -141,14 +141,14 @@
         return [(name.decode(), value.decode()) for name, value in self._codec.without_key(raw)]
 
     async def _submit(
-        self, request: ClientRequest, route: Route, reply: Reply, writes: JobWrites
+        self, request: ClientRequest, route: Route, reply: Reply, writes: JobWriteTracker
     ) -> None:
         if request.method != "POST" or not request.fields.request_id:
             raise GatewayError(
                 Reason.INVALID, "not_a_job", "a job is handed in by POST, with an id"
             )
         try:
-            items = self._adapter.job_items(request.body)
+            items = self._adapter.decode_job_items(request.body)
         except ValueError as error:
             raise GatewayError(Reason.INVALID, "job_invalid", str(error)) from error
         if not items or len(items) > MAX_ITEMS:
--- a/src/cloverwalk/serving/store_watch.py
+++ b/src/cloverwalk/serving/store_probe.py
@@ -19,7 +19,7 @@
 PROBE_TABLE = "role"
 
 
-class StoreWatch:
+class StoreProbe:
     """While the store is lost, asks for a small row often."""
 
     def __init__(self, store: Store, health: StoreHealth, fleet: FleetParts) -> None:
@@ -31,10 +31,10 @@
         """Watch until cancelled."""
         while True:
             await self._health.wait_until_lost()
-            while self._health.is_lost:
+            while self._health.is_unavailable:
                 is_near = self._fleet.coordinator.is_active
                 pause_ms = PROBE_EVERY_MS if is_near else FAR_PROBE_EVERY_MS
-                await self._health.wait_for_hint(pause_ms)
+                await self._health.wait_for_recovery_hint(pause_ms)
                 await self._probe()
             self._tell_returned()
 
@@ -46,7 +46,7 @@
     def _tell_returned(self) -> None:
         """Tell the nodes at once, or the coordinator, which tells them."""
         if self._fleet.coordinator.is_active:
-            self._fleet.coordinator.tell_store_returned()
+            self._fleet.coordinator.broadcast_store_returned()
             return
         target = self._fleet.leader.target()
         if target is not None:
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from cloverwalk.core.clock import Clock
-from cloverwalk.core.final_answer import FinalAnswer, final_answer
+from cloverwalk.core.error_response import ErrorResponse, error_response
 from cloverwalk.emulator.memory_store import MemoryStore
 from cloverwalk.gateway.configuration import Route, RouteKind, RoutePart
 from cloverwalk.jobs.commit import Committer
@@ -17,9 +17,9 @@
 from cloverwalk.jobs.result_cache import ResultCache
 from cloverwalk.jobs.run import ItemRun, JobRun
 from cloverwalk.jobs.view import JobView
-from cloverwalk.jobs.writes import JobWrites
+from cloverwalk.jobs.writes import JobWriteTracker
 from cloverwalk.store.clock import StoreTime
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 
 
@@ -67,7 +67,7 @@
 class RefusedError(Exception):
     """A call on a job got this answer."""
 
-    def __init__(self, answer: FinalAnswer) -> None:
+    def __init__(self, answer: ErrorResponse) -> None:
         super().__init__(answer)
         self.status = answer.status
         self.retry_after_s = answer.retry_after_s
@@ -79,7 +79,7 @@
     def __init__(
         self,
         name: str,
-        store: MemoryStore | WatchedStore,
+        store: MemoryStore | MonitoredStore,
         clock: Callable[[], float],
         told: Callable[[], StoreTime | None] | None = None,
     ) -> None:
@@ -106,7 +106,7 @@
             log,
             self._taken,
             lambda: self.is_served_elsewhere,
-            lambda: health.is_lost,
+            lambda: health.is_unavailable,
             Random(1),
         )
         self.lister = ResultLister(self.committer, self.view, self.cache, self._drop, log, clock)
@@ -127,15 +127,15 @@
             job.is_dropped = True
 
     async def submit(self, one: Submission, route: Route, allowed_s: float = 3.0) -> None:
-        writes = JobWrites()
+        writes = JobWriteTracker()
         try:
             await self.intake.submit(one, route, self.clock() + allowed_s, writes)
         except JobError as error:
-            raise RefusedError(final_answer(error, writes)) from error
+            raise RefusedError(error_response(error, writes)) from error
 
     async def see_store(self) -> None:
         """Catch up with the job table."""
-        await self.view.take(await self.store.read_table(JOB_TABLE))
+        await self.view.apply_page(await self.store.read_table(JOB_TABLE))
 
 
 def finish(job: JobRun, one: ItemRun, text: str) -> None:
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -14,9 +14,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Arrival, Misdeed
-from cloverwalk.fleet.case_keeper import CASE_TABLE
+from cloverwalk.fleet.crash_record_store import CASE_TABLE
 from cloverwalk.gateway import crash_ledger
-from cloverwalk.gateway.content import content_name
+from cloverwalk.gateway.content_hash import hash_content
 from cloverwalk.jobs import runner
 from cloverwalk.platform import names
 
@@ -129,7 +129,7 @@
 
     def content(self, body: bytes, path: str = "/chat/a") -> str:
         """Return the name of what ``ask`` sends."""
-        return content_name("", HOST, "POST", path, body=body)
+        return hash_content("", HOST, "POST", path, body=body)
 
     def stored(self) -> dict[str, bytes]:
         """Return the rows of contained requests."""
@@ -194,7 +194,7 @@
             assert answer.status == 502
         node = crashing.world.nodes[0]
         await crashing.world.until(lambda: not node._witness._looks)
-        assert node._knowledge.crashes.is_empty
+        assert node._knowledge.crash_ledger.is_empty
         assert sum(one.runs(f"req{4:04d}") for one in crashing.world.replicas) == 3
 
     in_crashing_world(test)
@@ -206,7 +206,7 @@
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         world = crashing.world
-        ledger = world.nodes[0]._knowledge.crashes
+        ledger = world.nodes[0]._knowledge.crash_ledger
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
         neighbours = [await curio.spawn(crashing.ask, body) for body in bodies]
@@ -233,7 +233,7 @@
             await crashing.ask(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
-        ledger = world.nodes[0]._knowledge.crashes
+        ledger = world.nodes[0]._knowledge.crash_ledger
         answers = [await crashing.ask(b"sent late %d" % number) for number in range(8)]
         assert {one.status for one in answers} <= {200, 502, 503}
         assert ledger.is_empty
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -38,17 +38,17 @@
     RouteKind,
     RoutePart,
 )
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashWitness
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.jobs.evidence import PastRetention, RouteEnded
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.store.clock import StoreClock
-from cloverwalk.store.health import StoreHealth, WatchedStore
+from cloverwalk.store.health import MonitoredStore, StoreHealth
 from cloverwalk.store.types import CommitOutcome, RowPage, Transaction
 from cloverwalk.telemetry.log import ServingLog
-from cloverwalk.telemetry.story import parse_line, story_of
+from cloverwalk.telemetry.request_history import parse_line, request_history
 
 RETENTION_S = 60.0
 LOOK_S = 0.5
@@ -116,15 +116,17 @@
         log_path: str = os.devnull,
     ) -> None:
         self.heard = StoreClock(Clock(time))
-        store = WatchedStore(inner, StoreHealth(Clock(time)), self.heard)
+        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
         super().__init__(name, store, time, self.heard.now)
         self.configuration = ConfigurationHolder()
-        self.configuration.offer(Configuration(configuration, (batch_route(),), {}, ClientLimits()))
+        self.configuration.update_if_newer(
+            Configuration(configuration, (batch_route(),), {}, ClientLimits())
+        )
         self.confirmed_at = float("-inf")
         self.dead: dict[str, tuple[float, ItemRun]] = {}
         self._time = time
         none: Any = None
-        witness = CrashWitness(CrashLedger(), ReplicaDirectory(), none, none, none, time)
+        witness = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
         self.runner = BatchRunner(
             self.configuration,
             ReplicaDirectory(),
@@ -154,7 +156,7 @@
 
     def know_routes(self, version: int, *routes: Route) -> None:
         """Have a configuration that the store has not confirmed: a peer told it."""
-        self.configuration.offer(Configuration(version, routes, {}, ClientLimits()))
+        self.configuration.update_if_newer(Configuration(version, routes, {}, ClientLimits()))
 
     async def look_for(self, seconds: float, is_confirmed: bool = False) -> None:
         """Let time pass, with looks of the runner; the store may confirm the configuration."""
@@ -322,7 +324,7 @@
         await owner.run_job("j")
         await owner.look_for(RETENTION_S + 2.0)
         lines = [parse_line(text) for text in log_path.read_text().splitlines()]
-        dead = story_of([one for one in lines if one is not None], "j-1")
+        dead = request_history([one for one in lines if one is not None], "j-1")
         assert [one.event for one in dead] == ["items_dead"]
         told = dead[0].fields
         assert (told["reason"], told["job"]) == ("past_retention", "j")
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -17,7 +17,7 @@
     RoutePart,
     Service,
 )
-from cloverwalk.gateway.crash_witness import CrashWitness
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.messages import PromptPart
 from cloverwalk.gateway.replicas import Replica
 from cloverwalk.jobs.item_call import ItemCaller
@@ -70,7 +70,7 @@
         self.node = next(one for one in world.nodes if one is not self.holder)
         self.caller = SlowlyClosing()
         self.runner = runner_of(self.node, self.caller, world)
-        self._number = self.holder.scheduler.last_number(self.node.name) + 1
+        self._number = self.holder.scheduler.last_decision_number(self.node.name) + 1
 
     async def order(self, change: int, tokens: int = 0) -> int:
         """Have the node start or suspend items, as its coordinator would; return the number.
@@ -93,7 +93,7 @@
             revokes={REPLICA: -change} if change < 0 else {},
             grant_tokens={REPLICA: tokens} if tokens else {},
         )
-        await self.node.link.take_orders(orders, self.holder.host)
+        await self.node.link.handle_orders(orders, self.holder.host)
         return self._number
 
     async def report(self) -> tuple[int, int]:
@@ -102,7 +102,7 @@
         await self.node.link._report()
         reports = [one for _, _, one in self.world.wire.waiting if isinstance(one, Report)]
         load = reports[-1].loads.get(REPLICA)
-        return reports[-1].settled, 0 if load is None else load.batch
+        return reports[-1].last_applied_order, 0 if load is None else load.batch
 
 
 def runner_of(node: FleetNode, caller: SlowlyClosing, world: CoordinationWorld) -> BatchRunner:
@@ -112,7 +112,9 @@
     current = node.configuration.current
     assert current is not None
     routes = (*current.routes, route)
-    node.configuration.offer(Configuration(2, routes, {}, current.limits, current.tenants))
+    node.configuration.update_if_newer(
+        Configuration(2, routes, {}, current.limits, current.tenants)
+    )
 
     async def ignore(_: object) -> None:
         return
@@ -120,7 +122,7 @@
     clock: Callable[[], float] = lambda: world.now  # noqa: E731
     log = ServingLog(node.name, clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
-    witness = CrashWitness(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
+    witness = CrashDetector(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
     runner = BatchRunner(
         node.configuration,
         node.directory,
@@ -136,7 +138,7 @@
         ServingMetrics(),
         clock,
     )
-    node.link.batch = runner
+    node.link.batch_handler = runner
     return runner
 
 
@@ -219,7 +221,7 @@
         await owner.caller.all_may_close.set()
         await giving_way.join()
         await curio.sleep(0)
-        assert owner.node.loads.own == {}
+        assert owner.node.loads.by_replica == {}
         assert len(owner.runner.jobs["j"].pending(owner.world.now)) == ITEMS
         settled = await owner.order(SLOTS)
         assert await owner.report() == (settled, SLOTS)
@@ -264,7 +266,7 @@
         configuration = owner.node.configuration
         assert configuration.current is not None
         services = {"model": Service("model", SLOTS, 0, 10_000)}
-        configuration.offer(
+        configuration.update_if_newer(
             Configuration(3, configuration.current.routes, services, ClientLimits())
         )
         owner.node.loads.counts_tokens = True
@@ -275,9 +277,9 @@
         await owner.runner._tell_waiting()
         told = [one for groups in owner.node.link.waiting.values() for one in groups]
         assert [one.tokens for one in told] == [100]
-        before = owner.node.loads.own[REPLICA].tokens
+        before = owner.node.loads.by_replica[REPLICA].tokens
         await owner.order(2, tokens=100)
         assert first.replica_id == REPLICA
-        assert owner.node.loads.own[REPLICA].tokens == before + 100
+        assert owner.node.loads.by_replica[REPLICA].tokens == before + 100
 
     with_running_items(test)
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -16,7 +16,7 @@
     submission,
 )
 
-from cloverwalk.core.final_answer import NOTHING_SENT, final_answer
+from cloverwalk.core.error_response import NOTHING_SENT, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.records import (
@@ -164,7 +164,7 @@
         tries = 200 - len(store.commit_faults)
         assert tries <= 3 if is_elsewhere else tries >= 4
         assert (refused.value.retry_after_s or 1.0) <= (0.05 if is_elsewhere else 0.3)
-        await node.health.note_failure()
+        await node.health.record_failure()
         left = len(store.commit_faults)
         with pytest.raises(RefusedError) as again:
             await node.submit(submission("k"), batch_route())
@@ -314,7 +314,7 @@
         with pytest.raises(JobError) as down_unseen:
             await node.reader.read("other", 0, 0.0)
         statuses = [
-            final_answer(one.value, NOTHING_SENT).status for one in (sure, down, down_unseen)
+            error_response(one.value, NOTHING_SENT).status for one in (sure, down, down_unseen)
         ]
         assert statuses == [404, 503, 503]
 
@@ -373,8 +373,8 @@
         await node.submit(submission("j"), batch_route())
         lagging = await store.read_table(JOB_TABLE)
         row = lagging.rows[0]
-        await node.view.take_row(Row(row.row_key, None, row.version + 1))
-        await node.view.take(lagging)
+        await node.view.apply_row(Row(row.row_key, None, row.version + 1))
+        await node.view.apply_page(lagging)
         assert node.view.find("j") is None
 
     curio.run(main)
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -12,9 +12,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.load import LoadBook
-from cloverwalk.fleet.messages import Ask, Placement, Served
-from cloverwalk.fleet.places import Place
+from cloverwalk.fleet.in_flight import InFlightTracker
+from cloverwalk.fleet.messages import Placement, PlacementRequest, RequestTiming
+from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.gateway.configuration import (
     ClientLimits,
     Configuration,
@@ -24,19 +24,19 @@
     RoutePart,
 )
 from cloverwalk.gateway.containment import ContainmentGate
+from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.crash_ledger import CrashLedger
-from cloverwalk.gateway.crash_witness import CrashWitness
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.replica_connection import ReplicaPool
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.gateway.server import GatewayServer
 from cloverwalk.platform import names
 from cloverwalk.platform.adapter import PlatformAdapter
-from cloverwalk.scheduling.admission import Verdict
-from cloverwalk.serving.calls import CallHandler
+from cloverwalk.scheduling.admission import PlacementVerdict
+from cloverwalk.serving.request_handler import RequestHandler
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
-from cloverwalk.tenants.refusals import RefusalMemory
+from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 PROMISES = (408, 421, 429, 503)
 REPLICAS = 3
@@ -46,11 +46,16 @@
 NEVER = 100
 LATE = "the place comes after the deadline"
 
-Step = Verdict | str
+Step = PlacementVerdict | str
 """How an ask is answered: refused by a verdict, sent to the replica named, or late."""
 
 refusing = st.sampled_from(
-    [Verdict.RETURN, Verdict.NONE, Verdict.OVER_QUOTA, Verdict.QUOTA_UNKNOWN]
+    [
+        PlacementVerdict.RETRY_LATER,
+        PlacementVerdict.NO_REPLICA,
+        PlacementVerdict.OVER_QUOTA,
+        PlacementVerdict.QUOTA_UNKNOWN,
+    ]
 )
 sending = st.sampled_from([*(f"i-{n}" for n in range(REPLICAS)), UNKNOWN_REPLICA, DEAD_REPLICA])
 steps = st.lists(st.one_of(sending, sending, sending, refusing, st.just(LATE)), max_size=5)
@@ -85,27 +90,29 @@
 
     configuration_version = 1
 
-    def __init__(self, script: list[Step], loads: LoadBook) -> None:
+    def __init__(self, script: list[Step], loads: InFlightTracker) -> None:
         self._script = script
         self._loads = loads
         self._turn = 0
 
-    async def place(self, ask: Ask, until: float) -> Place:
+    async def place(self, ask: PlacementRequest, until: float) -> PlacementResult:
         """Return the next answer of the script; then one replica after the other."""
         await curio.sleep(0)
         self._turn += 1
         step = self._script.pop(0) if self._script else f"i-{self._turn % REPLICAS}"
-        if isinstance(step, Verdict):
-            return Place(Placement(0, step, retry_after_s=0.2))
+        if isinstance(step, PlacementVerdict):
+            return PlacementResult(Placement(0, step, retry_after_s=0.2))
         if step == LATE:
             await curio.sleep(2 * DEADLINE_MS / 1000)
             step = "i-0"
-        return Place(Placement(0, Verdict.SEND, step), self._loads.begin(step, is_batch=False))
+        return PlacementResult(
+            Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False)
+        )
 
     async def note_change(self) -> None:
         """Nobody is told."""
 
-    def note_served(self, served: Served) -> None:
+    def note_served(self, served: RequestTiming) -> None:
         """Nobody is told."""
 
 
@@ -122,12 +129,12 @@
         log = ServingLog("n1", time.monotonic, os.open(os.devnull, os.O_WRONLY))
         metrics = ServingMetrics()
         holder = ConfigurationHolder()
-        holder.offer(Configuration(1, _routes(), {}, ClientLimits()))
-        loads = LoadBook()
+        holder.update_if_newer(Configuration(1, _routes(), {}, ClientLimits()))
+        loads = InFlightTracker()
         link: Any = ScriptedLink(script, loads)
         directory = self._directory()
         pool = ReplicaPool(adapter.codec, time.monotonic)
-        witness = CrashWitness(CrashLedger(), directory, pool, log, metrics, time.monotonic)
+        witness = CrashDetector(CrashLedger(), directory, pool, log, metrics, time.monotonic)
         relay = OnlineRelay(
             adapter.codec,
             directory,
@@ -137,12 +144,12 @@
             metrics,
             time.monotonic,
             link,
-            RefusalMemory(log, time.monotonic),
+            QuotaRefusalCache(log, time.monotonic),
             ContainmentGate(witness, metrics),
         )
         self.may_begin = True
         jobs: Any = None
-        calls = CallHandler(adapter, holder, relay, jobs, log, metrics, lambda: self.may_begin)
+        calls = RequestHandler(adapter, holder, relay, jobs, log, metrics, lambda: self.may_begin)
         self.address = ("127.0.0.1", free_port())
         self.server = GatewayServer(
             self.address,
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -11,10 +11,10 @@
 
 from cloverwalk.core.catalogue import REQUEST_ENDED
 from cloverwalk.emulator.replica_runs import Misdeed
-from cloverwalk.fleet.messages import Ask, Placement
-from cloverwalk.fleet.places import Place
-from cloverwalk.scheduling.admission import Verdict
-from cloverwalk.telemetry.story import known_of_work, parse_line
+from cloverwalk.fleet.messages import Placement, PlacementRequest
+from cloverwalk.fleet.placement_client import PlacementResult
+from cloverwalk.scheduling.admission import PlacementVerdict
+from cloverwalk.telemetry.request_history import describe_work_state, parse_line
 
 PROMISES = (408, 421, 429, 503)
 SENDS = 2
@@ -32,18 +32,18 @@
     return answers
 
 
-def answer_next_asks(world: FleetWorld, verdicts: list[Verdict | None]) -> None:
+def answer_next_asks(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
     """Have the first node's asks answered by these verdicts; None leaves it to the coordinator."""
     link = world.nodes[0]._fleet.link
-    place = link.place
+    place = link.request_placement
 
-    async def answer(ask: Ask, until: float) -> Place:
+    async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
         verdict = verdicts.pop(0) if verdicts else None
         if verdict is None:
             return await place(ask, until)
-        return Place(Placement(0, verdict, retry_after_s=0.3))
+        return PlacementResult(Placement(0, verdict, retry_after_s=0.3))
 
-    link.place = answer  # type: ignore[method-assign]
+    link.request_placement = answer  # type: ignore[method-assign]
 
 
 def test_a_replicas_refusal_without_proof_is_no_promise() -> None:
@@ -85,7 +85,12 @@
         for replica in world.replicas:
             replica.always = Misdeed.RESET_UNANSWERED
         # A tenant's refusal is remembered for a moment: it comes last.
-        refusing = (Verdict.RETURN, Verdict.NONE, Verdict.QUOTA_UNKNOWN, Verdict.OVER_QUOTA)
+        refusing = (
+            PlacementVerdict.RETRY_LATER,
+            PlacementVerdict.NO_REPLICA,
+            PlacementVerdict.QUOTA_UNKNOWN,
+            PlacementVerdict.OVER_QUOTA,
+        )
         for verdict in refusing:
             answer_next_asks(world, [None, verdict])
             answers = await send_while_promised(world, "/safe/a", verdict.value)
@@ -148,7 +153,7 @@
             await world.ask("/once/a", request_id)
         lines = [line for text in log.read_text().splitlines() if (line := parse_line(text))]
         ended = {one.fields["request"]: one for one in lines if one.number == REQUEST_ENDED}
-        assert known_of_work(ended["not"]).startswith("the work had not begun")
-        assert known_of_work(ended["may"]).startswith("the work may have begun")
+        assert describe_work_state(ended["not"]).startswith("the work had not begun")
+        assert describe_work_state(ended["may"]).startswith("the work may have begun")
 
     in_world(test)
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -16,7 +16,7 @@
 from cloverwalk.gateway.replicas import ReplicaDirectory
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.platform.documents import decode_replica
-from cloverwalk.serving.knowledge import FleetKnowledge
+from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.store.types import Row, RowKey, RowPage
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
@@ -73,7 +73,7 @@
         self.lines: list[int] = []
         log.write = lambda number, **_: self.lines.append(number)  # type: ignore[method-assign]
         self.metrics = ServingMetrics()
-        self.knowledge = FleetKnowledge(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
+        self.knowledge = FleetState(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
         self.knowledge.metrics = self.metrics
         self.directory = self.knowledge.directory
 
@@ -120,8 +120,8 @@
 
 
 def test_an_entry_without_the_time_of_its_start_is_good() -> None:
-    assert decode_replica("r1", entry(), 1).born_ms == 0
-    assert decode_replica("r1", entry(born=1_790_000_000_001), 1).born_ms == 1_790_000_000_001
+    assert decode_replica("r1", entry(), 1).started_ms == 0
+    assert decode_replica("r1", entry(born=1_790_000_000_001), 1).started_ms == 1_790_000_000_001
 
 
 def test_peers_hear_that_an_entry_can_t_be_read() -> None:
@@ -135,12 +135,12 @@
     since = known.directory.fingerprint
     known.change(3, "r1", b"\xff")
     gone = [RemovedReplica("r1", known.directory.version)]
-    assert sync.take(DirectoryUpdate(since, known.directory.fingerprint, 3, 0, [], gone))
+    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 3, 0, [], gone))
     assert [one.replica_id for one in peer.all()] == ["r2"]
     since = known.directory.fingerprint
     known.change(4, "r1", entry())
     back = [one for one in known.directory.all() if one.replica_id == "r1"]
-    assert sync.take(DirectoryUpdate(since, known.directory.fingerprint, 4, 0, back))
+    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 4, 0, back))
     assert peer.find("r1") is not None
 
 
--- a/tests/serving/test_pace.py
+++ b/tests/serving/test_slowdown.py
@@ -10,14 +10,14 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.load import InFlight
+from cloverwalk.fleet.in_flight import InFlight
 from cloverwalk.fleet.messages import (
-    Ask,
     Datagram,
-    PaceFigures,
-    ReplicaTiming,
+    ItemTiming,
+    PlacementRequest,
     Report,
-    Served,
+    RequestTiming,
+    SlowdownEstimate,
     Snapshot,
     WaitingGroup,
 )
@@ -31,16 +31,21 @@
 )
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.scheduling import pace, selection
-from cloverwalk.scheduling.admission import Verdict
+from cloverwalk.scheduling import selection, slowdown
+from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.scheduling.decisions import Decisions
 from cloverwalk.scheduling.features import Feature
-from cloverwalk.scheduling.pace import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaPaces
-from cloverwalk.scheduling.pace_handover import COPIES, MOST_TOLD, TELL_AGAIN_S, PaceTeller
 from cloverwalk.scheduling.quotas import QuotaBounds
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
 from cloverwalk.scheduling.service_times import ServiceTimes
+from cloverwalk.scheduling.slowdown import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaSlowdowns
+from cloverwalk.scheduling.slowdown_replication import (
+    COPIES,
+    MOST_TOLD,
+    TELL_AGAIN_S,
+    SlowdownReplicator,
+)
 
 SLOTS = 8
 EVENTS = 17
@@ -60,30 +65,34 @@
         holder = ConfigurationHolder()
         parts = (RoutePart("model", 1.0),)
         route = Route("chat", "h", "/chat/", RouteKind.STREAM, parts, 5.0, 0.3, 1)
-        holder.offer(Configuration(1, (route,), {}, ClientLimits()))
+        holder.update_if_newer(Configuration(1, (route,), {}, ClientLimits()))
         quotas, random = QuotaBounds(slack=20.0), Random(1)
         self.scheduler = Scheduler(
             self.directory, holder, ServiceTimes(), quotas, CrashLedger(), random
         )
-        self.scheduler.use_store_time(lambda: STORE_MS)
+        self.scheduler.set_store_time(lambda: STORE_MS)
         self.sequence = 0
 
     def hear(self, **more: object) -> Decisions | None:
         """Have the node report; return what was decided for it, with which it does nothing."""
         self.sequence += 1
-        fields = {"settled": self.sequence - 1, "configuration_version": 1, "directory": 1}
+        fields = {
+            "last_applied_order": self.sequence - 1,
+            "configuration_version": 1,
+            "directory": 1,
+        }
         fields |= {"store_age_ms": 0, **more}  # type: ignore[dict-item]
         report = Report("n0", "0a", "z1", self.sequence, **fields)  # type: ignore[arg-type]
-        self.scheduler.hear(report, self.now)
-        return self.scheduler.take_decisions().get("n0")
+        self.scheduler.handle_report(report, self.now)
+        return self.scheduler.pop_decisions().get("n0")
 
     def answered(self, replica_id: str, factor: float, told: int = 100, count: int = 1) -> None:
         """Have a replica answer requests at a pace, while it tells one."""
         took_ms = round(factor * EVENT_MS * (EVENTS - 1))
-        served = Served("chat", replica_id, 40, took_ms, 0, EVENTS, told)
+        served = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS, told)
         for _ in range(count):
             self.now += 0.01
-            self.hear(served=[served])
+            self.hear(request_timings=[served])
 
     def learn(self, factors: dict[str, float], rounds: int = 60) -> None:
         """Have all replicas answer in turn, each at its pace."""
@@ -94,23 +103,27 @@
     def place(self, count: int) -> list[str]:
         """Ask for requests that stay; return where they were sent."""
         asks = [
-            Ask(10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
+            PlacementRequest(
+                10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000
+            )
             for number in range(count)
         ]
-        decided = self.hear(asks=asks)
+        decided = self.hear(placement_requests=asks)
         assert decided is not None
-        return [one.replica_id for one in decided.placements if one.verdict is Verdict.SEND]
+        return [
+            one.replica_id for one in decided.placements if one.verdict is PlacementVerdict.SEND
+        ]
 
     def grants(self, rest_ms: int, left_ms: float, items: int, replica_id: str = "") -> set[str]:
         """Return where waiting items are granted slots, that are due in ``left_ms``."""
         step = int((STORE_MS + left_ms) // 250)
-        group = WaitingGroup(step, items, replica_id, rest_ms=rest_ms)
+        group = WaitingGroup(step, items, replica_id, remaining_ms=rest_ms)
         decided = self.hear(waiting={"model": [group]})
         return set() if decided is None else set(decided.grants)
 
     def pace(self, replica_id: str) -> float:
         self.scheduler.tick(self.now)
-        return self.scheduler.paces.pace(replica_id)
+        return self.scheduler.slowdowns.pace(replica_id)
 
 
 # --- under load ---
@@ -121,7 +134,7 @@
     fleet = PacedFleet(replicas=9)
     fast = fleet.ids[:3]
     fleet.learn(dict.fromkeys(fast, 0.6))
-    usual = [fleet.scheduler.paces.usual(one) for one in fleet.ids]
+    usual = [fleet.scheduler.slowdowns.usual(one) for one in fleet.ids]
     ratios = [one / usual[8] for one in usual[:3]]
     assert all(0.5 < one < 0.75 for one in ratios)
     fleet.now += 2.0
@@ -175,9 +188,9 @@
     fleet = PacedFleet(replicas=2)
     for _ in range(60):
         fleet.now += 0.1
-        timings = [ReplicaTiming("r0", 115, 700, 100), ReplicaTiming("r1", 115, 1120, 100)]
-        fleet.hear(timings=timings)
-    paces = fleet.scheduler.paces
+        timings = [ItemTiming("r0", 115, 700, 100), ItemTiming("r1", 115, 1120, 100)]
+        fleet.hear(item_timings=timings)
+    paces = fleet.scheduler.slowdowns
     assert paces.usual("r1") / paces.usual("r0") > 1.4
 
 
@@ -189,7 +202,7 @@
     fleet = PacedFleet(replicas=1)
     fleet.learn({})
     before = fleet.pace("r0")
-    fleet.hear(served=[Served("chat", "r0", 40, 5000, 0, 0, 400)])
+    fleet.hear(request_timings=[RequestTiming("chat", "r0", 40, 5000, 0, 0, 400)])
     assert math.isclose(fleet.pace("r0"), before, rel_tol=0.1)
 
 
@@ -199,7 +212,7 @@
     fleet.directory.put(Replica("r0", "model", "h2", 7, "z1", SLOTS, False, 2))
     assert fleet.pace("r0") == 1.0
     # An answer of the earlier process says nothing of this one.
-    fleet.hear(served=[Served("chat", "r0", 40, 300, 0, EVENTS, 400)])
+    fleet.hear(request_timings=[RequestTiming("chat", "r0", 40, 300, 0, EVENTS, 400)])
     assert fleet.pace("r0") == 1.0
 
 
@@ -207,10 +220,10 @@
     fleet = PacedFleet(replicas=2)
     known = fleet.directory.find("r0")
     assert known is not None
-    fleet.directory.put(msgspec.structs.replace(known, version=2, born_ms=1_000))
+    fleet.directory.put(msgspec.structs.replace(known, version=2, started_ms=1_000))
     fleet.learn({"r0": 2.5})
     assert fleet.pace("r0") > 1.2
-    fleet.directory.put(msgspec.structs.replace(known, version=3, born_ms=2_000))
+    fleet.directory.put(msgspec.structs.replace(known, version=3, started_ms=2_000))
     assert fleet.pace("r0") == 1.0
 
 
@@ -218,7 +231,7 @@
     """It tells 100 while its neighbours take half of its machine for a while."""
     fleet = PacedFleet(replicas=3)
     fleet.learn({}, rounds=40)
-    for _ in range(pace.TRUSTED_ANSWERS):
+    for _ in range(slowdown.TRUSTED_ANSWERS):
         for factor in (3.0, 1.0):
             fleet.answered("r0", factor, told=100, count=3)
             fleet.answered("r1", 1.0)
@@ -231,13 +244,13 @@
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
     paces = []
-    for _ in range(4 * pace.TRUSTED_ANSWERS):
+    for _ in range(4 * slowdown.TRUSTED_ANSWERS):
         fleet.answered("r0", 1.0, told=10_000)
         paces.append(fleet.pace("r0"))
         fleet.answered("r0", 1.0, told=100)
         fleet.now += 1.0
     assert max(paces) <= MOST_FACTOR
-    assert all(one < 1.3 for one in paces[2 * pace.TRUSTED_ANSWERS :])
+    assert all(one < 1.3 for one in paces[2 * slowdown.TRUSTED_ANSWERS :])
     # What it calls usual does not matter, as long as it calls it so all the time.
     fleet.answered("r1", 1.0, told=10_000, count=100)
     assert fleet.pace("r1") < 1.5
@@ -258,9 +271,9 @@
 def test_some_odd_answers_do_not_move_a_pace_far() -> None:
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
-    before = fleet.scheduler.paces.usual("r0")
+    before = fleet.scheduler.slowdowns.usual("r0")
     fleet.answered("r0", 100.0, count=3)
-    assert fleet.scheduler.paces.usual("r0") / before < 1.1
+    assert fleet.scheduler.slowdowns.usual("r0") / before < 1.1
 
 
 def test_a_coordinator_that_takes_over_knows_the_paces() -> None:
@@ -268,23 +281,23 @@
         world = CoordinationWorld(5)
         await world.start()
         before = world.coordinator
-        figures = {"r1": PaceFigures(1.6, 1.6, 0), "r2": PaceFigures(0.6, 0.6, 0)}
-        before.scheduler.take_paces(figures, world.now)
+        figures = {"r1": SlowdownEstimate(1.6, 1.6, 0), "r2": SlowdownEstimate(0.6, 0.6, 0)}
+        before.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         world.kill(before)
         await world.run(3.0)
         after = world.coordinator.scheduler
         assert after.features.is_on(Feature.REPLICA_PACE)
-        assert [after.paces.usual(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
+        assert [after.slowdowns.usual(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
 
     curio.run(test)
 
 
 def test_figures_of_another_coordinator_that_cannot_be_are_dropped() -> None:
-    paces = ReplicaPaces()
+    paces = ReplicaSlowdowns()
     odd = [(math.nan, 1.0, 0), (1.0, math.inf, 0), (-1.0, 1.0, 0), (99.0, 1.0, 0), (1.0, 1.0, -5)]
-    paces.take({f"r{i}": PaceFigures(*one) for i, one in enumerate(odd)}, now=10.0)
-    assert paces.dropped == len(odd)
+    paces.apply({f"r{i}": SlowdownEstimate(*one) for i, one in enumerate(odd)}, now=10.0)
+    assert paces.invalid_count == len(odd)
     assert paces.present == {}
 
 
@@ -298,16 +311,16 @@
         coordinator = world.coordinator()
         assert coordinator is not None
         fleet = coordinator._fleet
-        served: list[Served] = []
-        timings: list[ReplicaTiming] = []
-        hear = fleet.scheduler.hear
+        served: list[RequestTiming] = []
+        timings: list[ItemTiming] = []
+        hear = fleet.scheduler.handle_report
 
         def watch(report: Report, now: float) -> None:
-            served.extend(report.served)
-            timings.extend(report.timings)
+            served.extend(report.request_timings)
+            timings.extend(report.item_timings)
             hear(report, now)
 
-        fleet.scheduler.hear = watch  # type: ignore[method-assign]
+        fleet.scheduler.handle_report = watch  # type: ignore[method-assign]
         assert not fleet.features.is_on(Feature.REPLICA_PACE)
         world.replicas[0].slowdown_percent = 250
         for number in range(2):
@@ -329,8 +342,8 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=1, events=10)
         link = world.nodes[0]._fleet.link
-        timings: list[ReplicaTiming] = []
-        link.note_timing = timings.append  # type: ignore[method-assign, assignment]
+        timings: list[ItemTiming] = []
+        link.record_item_timing = timings.append  # type: ignore[method-assign, assignment]
         await world.hand_in("j-1", count=2)
         await world.until_done("j-1", 2)
         assert timings == []
@@ -361,8 +374,8 @@
     async def test() -> None:
         world = CoordinationWorld(5)
         await world.start()
-        figures = {f"r{number}": PaceFigures(1.6, 1.6, 0) for number in range(4)}
-        world.coordinator.scheduler.take_paces(figures, world.now)
+        figures = {f"r{number}": SlowdownEstimate(1.6, 1.6, 0) for number in range(4)}
+        world.coordinator.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         told: list[Snapshot] = []
         put = world.wire.put
@@ -375,14 +388,14 @@
         world.wire.put = watch  # type: ignore[method-assign]
         await world.run(10.0)
         assert told
-        assert not any(one.paces for one in told)
+        assert not any(one.slowdowns for one in told)
 
     curio.run(test)
 
 
 @given(st.lists(st.floats(LEAST_FACTOR, MOST_FACTOR), min_size=1, max_size=60))
 def test_a_replica_is_told_at_most_so_often(factors: list[float]) -> None:
-    teller = PaceTeller()
+    teller = SlowdownReplicator()
     told = 0
     for step, factor in enumerate(factors):
         known = {f"r{number}": math.log(factor) for number in range(2 * MOST_TOLD)}
@@ -407,7 +420,7 @@
 def test_whatever_is_told_paces_stay_in_their_bounds(
     history: list[tuple[str, bool, int, int, int, float, float]],
 ) -> None:
-    paces, now = ReplicaPaces(), 100.0
+    paces, now = ReplicaSlowdowns(), 100.0
     for replica_id, is_item, events, took_ms, told, fill, passed in history:
         now += passed
         paces.note(Measurement(replica_id, "s", is_item, events, took_ms, told, fill), now)
@@ -459,7 +472,7 @@
     used = load.online / slots
     cost = selection.SUSPECT_COST_MS if one.is_suspect else 0.0
     cost += selection.DOUBT_COST_MS if one.is_doubted else 0.0
-    cost += one.reading_ms
+    cost += one.prefill_ms
     cost += selection.COMPANY_COST_MS * one.other_suspects
     cost += selection.LOAD_COST_MS * used
     crowded_from = selection.CROWDED_FROM
@@ -499,29 +512,33 @@
     """Times of items and events of answers change nothing, nor does how long items still run."""
     plain, fed = PacedFleet(replicas=3), PacedFleet(replicas=3)
     for number, (replica_id, took_ms, items) in enumerate(history):
-        ask = Ask(number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
-        asks, served = [ask], Served("chat", replica_id, 40, took_ms, 0)
+        ask = PlacementRequest(number, "chat", "model", objective_left_ms=300, time_left_ms=5000)
+        asks, served = [ask], RequestTiming("chat", replica_id, 40, took_ms, 0)
         group = WaitingGroup(4004, items)
-        one = plain.hear(asks=asks, served=[served], waiting={"model": [group]})
-        told = Served("chat", replica_id, 40, took_ms, 0, EVENTS)
-        timing = ReplicaTiming(replica_id, 115, took_ms)
-        group = WaitingGroup(4004, items, rest_ms=900)
+        one = plain.hear(
+            placement_requests=asks, request_timings=[served], waiting={"model": [group]}
+        )
+        told = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS)
+        timing = ItemTiming(replica_id, 115, took_ms)
+        group = WaitingGroup(4004, items, remaining_ms=900)
         waiting = {"model": [group]}
-        other = fed.hear(asks=asks, served=[told], waiting=waiting, timings=[timing])
+        other = fed.hear(
+            placement_requests=asks, request_timings=[told], waiting=waiting, item_timings=[timing]
+        )
         assert one == other
         plain.now += 0.05
         fed.now += 0.05
     assert not fed.scheduler.features.is_on(Feature.REPLICA_PACE)
-    assert fed.scheduler.paces.present == {}
+    assert fed.scheduler.slowdowns.present == {}
 
 
 def test_a_standby_forgets_the_paces_of_replicas_that_are_gone_or_have_started_again() -> None:
     """Replicas come and go for months at a standby that nobody reports to."""
     fleet = PacedFleet(2)
-    figures = {key: PaceFigures(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
-    fleet.scheduler.take_paces(figures, fleet.now)
-    assert fleet.scheduler.paces.usual("r0") == 1.6
+    figures = {key: SlowdownEstimate(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
+    fleet.scheduler.apply_slowdowns(figures, fleet.now)
+    assert fleet.scheduler.slowdowns.usual("r0") == 1.6
     fleet.directory.put(Replica("r0", "model", "h", 99, "z1", SLOTS, False, 2))
     fleet.directory.remove("r1", 2)
-    fleet.scheduler.take_paces({}, fleet.now)
-    assert fleet.scheduler.paces.established() == {}
+    fleet.scheduler.apply_slowdowns({}, fleet.now)
+    assert fleet.scheduler.slowdowns.baselines() == {}
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -26,7 +26,7 @@
 from cloverwalk.fleet import messages, transport
 from cloverwalk.platform import names
 from cloverwalk.telemetry.tenant_metrics import (
-    MOST_LABELS,
+    MAX_LABELS,
     OTHERS,
     TenantMetrics,
     TenantOutcome,
@@ -171,7 +171,7 @@
         await started(world, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        await other._configuration_follower._health.note_failure()
+        await other._configuration_follower._health.record_failure()
         other._configuration_follower._on_changes = nothing
         other._configuration_follower._on_whole = nothing
         await put(world, with_tenants(3, [SECOND]))
@@ -277,7 +277,7 @@
         asked = 0
         send_ask = other._fleet.link.send_ask
 
-        async def counting(ask: messages.Ask) -> messages.Contact | None:
+        async def counting(ask: messages.PlacementRequest) -> messages.Contact | None:
             nonlocal asked
             asked += 1
             return await send_ask(ask)
@@ -432,8 +432,8 @@
     metrics = TenantMetrics()
     for number in range(100):
         for _ in range(number + 1):
-            metrics.note(f"t{number}", TenantOutcome.ANSWERED)
+            metrics.request_ended(f"t{number}", TenantOutcome.ANSWERED)
     counts = metrics.counts()
-    assert len(counts) == MOST_LABELS + 1
+    assert len(counts) == MAX_LABELS + 1
     assert counts["t99", TenantOutcome.ANSWERED] == 100
     assert counts[OTHERS, TenantOutcome.ANSWERED] == sum(range(1, 81))
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.fleet.load import InFlight, LoadBook
+from cloverwalk.fleet.in_flight import InFlight, InFlightTracker
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.event_stream import EventSplitter
 from cloverwalk.gateway.messages import ClientRequest
@@ -15,8 +15,8 @@
 from cloverwalk.platform import names
 from cloverwalk.platform.codec import PlatformCodec
 from cloverwalk.platform.documents import decode_configuration
+from cloverwalk.scheduling.batch_limits import batch_room, items_to_preempt, reserved_slots
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
-from cloverwalk.scheduling.share import batch_room, kept_free, must_yield
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
 
@@ -43,7 +43,7 @@
     highest = -1
     for version in versions:
         raw = b'{"version":%d}' % version
-        assert holder.offer(decode_configuration(raw)) == (version > highest)
+        assert holder.update_if_newer(decode_configuration(raw)) == (version > highest)
         highest = max(highest, version)
         assert holder.version == highest
 
@@ -73,19 +73,19 @@
 
 @given(st.floats(0.0, 30_000.0))
 def test_slots_are_kept_for_online_work_only(arrivals_per_s: float) -> None:
-    assert kept_free(0.0, 24.0) == 0
-    kept = kept_free(arrivals_per_s, 24.0)
-    assert 0 <= kept <= kept_free(arrivals_per_s + 10.0, 24.0)
+    assert reserved_slots(0.0, 24.0) == 0
+    kept = reserved_slots(arrivals_per_s, 24.0)
+    assert 0 <= kept <= reserved_slots(arrivals_per_s + 10.0, 24.0)
     # Shorter prompts pay their start sooner, and never at once.
-    assert kept_free(arrivals_per_s, 0.0) <= kept_free(arrivals_per_s, 5.0) <= kept
-    assert kept_free(100.0, 0.0) > 0
+    assert reserved_slots(arrivals_per_s, 0.0) <= reserved_slots(arrivals_per_s, 5.0) <= kept
+    assert reserved_slots(100.0, 0.0) > 0
 
 
 @given(st.integers(1, 40), st.integers(0, 60), st.integers(0, 60))
 def test_no_item_stands_before_online_work_that_has_a_slot(
     slots: int, online: int, batch: int
 ) -> None:
-    yielding = must_yield(slots, InFlight(online, batch))
+    yielding = items_to_preempt(slots, InFlight(online, batch))
     assert 0 <= yielding <= batch
     left = batch - yielding
     assert left == 0 or online + left <= slots
@@ -103,12 +103,12 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["r", "s"]), st.booleans()), max_size=12))
 def test_work_that_has_ended_leaves_nothing_behind(sends: list[tuple[str, bool]]) -> None:
-    book = LoadBook()
+    book = InFlightTracker()
     begun = [book.begin(replica_id, is_batch) for replica_id, is_batch in sends]
-    assert sum(one.total for one in book.own.values()) == len(sends)
+    assert sum(one.total for one in book.by_replica.values()) == len(sends)
     for work in begun:
         book.end(work)
-    assert book.own == {}
+    assert book.by_replica == {}
 
 
 def test_headers_set_on_the_way_replace_the_clients() -> None:
@@ -141,14 +141,14 @@
 
 def test_a_replica_that_failed_at_another_node_is_doubted_for_a_moment_and_not_told_on() -> None:
     directory = ReplicaDirectory()
-    directory.hear_suspects(["r"], 10.0)
-    assert directory.is_doubted("r", 10.5)
+    directory.add_peer_suspects(["r"], 10.0)
+    assert directory.is_peer_suspect("r", 10.5)
     assert not directory.is_suspect("r", 10.5)
     assert directory.suspects(10.5) == []
-    assert not directory.is_doubted("r", 11.3)
-    directory.hear_suspects(["r"], 11.3)
+    assert not directory.is_peer_suspect("r", 11.3)
+    directory.add_peer_suspects(["r"], 11.3)
     directory.clear_suspicion("r")
-    assert not directory.is_doubted("r", 11.4)
+    assert not directory.is_peer_suspect("r", 11.4)
     directory.suspect("r", 12.0)
     assert directory.suspects(12.1) == ["r"]
 
