--- a/tests/interface_types.py
+++ b/tests/interface_types.py
@@ -29,7 +29,7 @@
 )
 from cloverwalk.emulator import engine_model, prefix_cache, replica_runs, simulation
 from cloverwalk.experiment import workload
-from cloverwalk.fleet import load
+from cloverwalk.fleet import in_flight
 from cloverwalk.gateway import (
     event_stream,
     messages,
@@ -57,7 +57,7 @@
     intake,
     item_call,
     limits,
-    load,
+    in_flight,
     loader,
     messages,
     model_placement,
--- a/tests/unit/test_interface_names.py
+++ b/tests/unit/test_interface_names.py
@@ -79,7 +79,7 @@
 
 def _metric_lines() -> list[str]:
     serving = ServingMetrics()
-    serving.fullness = {"memory": 0.5}  # it is told only where it is measured
+    serving.utilization = {"memory": 0.5}  # it is told only where it is measured
     families: list[Any] = list(serving.collect())
     told = [(one.name, one.type, one._labelnames) for one in families]
     for one in vars(NodeMetrics()).values():
