--- a/tests/soak/test_soak_plan.py
+++ b/tests/soak/test_soak_plan.py
@@ -1,4 +1,4 @@
-"""Schedules: drawn from the seed, read from files, refused when they can't be used."""
+"""Schedules are drawn from a seed, read from files and rejected if they are invalid."""
 
 from pathlib import Path
 
@@ -14,18 +14,18 @@
 from cloverwalk.soak.plan import Action, ActionKind, Plan, check_plan, load_plan
 
 
-def test_a_seed_gives_the_same_schedule_each_time() -> None:
+def test_same_seed_gives_same_schedule() -> None:
     assert draw_plan(5, 4, 1.0) == draw_plan(5, 4, 1.0)
     assert draw_plan(5, 4, 1.0) != draw_plan(6, 4, 1.0)
 
 
-def test_every_drawn_schedule_can_be_used_and_all_kinds_come() -> None:
+def test_drawn_schedules_are_valid_and_have_all_kinds() -> None:
     kinds = set()
     for seed in range(40):
         for nodes in (1, 3, 24):
             plan = draw_plan(seed, nodes, 1.0)
             check_plan(plan, "drawn")
-            kinds |= {one.kind for one in plan.actions}
+            kinds |= {action.kind for action in plan.actions}
     assert kinds == set(ActionKind)
 
 
@@ -41,22 +41,22 @@
         (Action(1.0, ActionKind.HERD_JOBS, amount=1e9, name="quiz"), "amount"),
     ],
 )
-def test_a_step_that_names_what_is_not_there_is_refused(action: Action, problem: str) -> None:
+def test_action_with_invalid_value_is_rejected(action: Action, problem: str) -> None:
     with pytest.raises(SoakInputError, match=rf"actions\[0\]: {problem}"):
         check_plan(Plan(1, 3, 5, 60.0, [action]), "file")
 
 
-def test_a_schedule_is_read_back_as_it_was_written(tmp_path: Path) -> None:
+def test_written_schedule_is_read_back_unchanged(tmp_path: Path) -> None:
     plan = draw_plan(3, 3, 0.5)
     path = tmp_path / "schedule.json"
     path.write_bytes(msgspec.json.encode(plan))
     assert load_plan(path) == plan
 
 
-def test_a_history_is_read_back_as_it_was_written(tmp_path: Path) -> None:
+def test_written_history_is_read_back_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "history.jsonl"
     history = History(path, lambda: 7.0)
-    history.note(RunEnded(run=1, request="r", end="left"))
+    history.record(RunEnded(run=1, request="r", end="left"))
     history.close()
     assert list(read_history(path)) == [RunEnded(run=1, request="r", end="left")]
     path.write_text("{}\n")
@@ -78,13 +78,13 @@
         ["--schedule", "there-is-no-such-file.json"],
     ],
 )
-def test_bad_input_ends_with_exit_code_2_and_starts_nothing(arguments: list[str]) -> None:
+def test_invalid_arguments_exit_with_code_2(arguments: list[str]) -> None:
     result = CliRunner().invoke(cli, ["soak", *arguments])
     assert result.exit_code == 2
     assert "Error" in result.output
 
 
-def test_a_schedule_that_cannot_be_read_ends_with_exit_code_2(tmp_path: Path) -> None:
+def test_unreadable_schedule_exits_with_code_2(tmp_path: Path) -> None:
     path = tmp_path / "schedule.json"
     for text in ("", "{", '{"seed": 1}', '{"seed": "x"}'):
         path.write_text(text)
@@ -92,16 +92,16 @@
         assert (result.exit_code, str(path) in result.output) == (2, True)
 
 
-def test_more_nodes_than_the_memory_holds_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_more_nodes_than_fit_in_memory_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("cloverwalk.cli.soak.NODE_BYTES", 10**12)
     result = CliRunner().invoke(cli, ["soak", "--nodes", "3"])
     assert result.exit_code == 2
     assert "memory" in result.output
 
 
-def test_the_schedule_is_shown_without_starting_anything() -> None:
+def test_show_prints_the_schedule() -> None:
     first = CliRunner().invoke(cli, ["soak", "--seed", "4", "--show"])
-    again = CliRunner().invoke(cli, ["soak", "--seed", "4", "--show"])
+    second = CliRunner().invoke(cli, ["soak", "--seed", "4", "--show"])
     assert first.exit_code == 0
-    assert first.output == again.output
+    assert first.output == second.output
     assert first.output.startswith("seed 4: 3 nodes")
