--- a/src/cloverwalk/jobs/checkpoint.py
+++ b/src/cloverwalk/jobs/checkpoint.py
@@ -20,16 +20,16 @@
 OnConflict = Callable[[JobRun], Awaitable[None]]
 
 
-def take_within(segments: list[PartialOutput]) -> list[PartialOutput]:
+def fitting_segments(segments: list[PartialOutput]) -> list[PartialOutput]:
     """Return the first segments that fit into one transaction."""
-    taken: list[PartialOutput] = []
+    fitting: list[PartialOutput] = []
     size = 0
     for segment in segments:
         size += sum(len(text) for text in segment.texts)
-        if len(taken) >= MAX_SEGMENTS or size > MAX_CHARACTERS:
+        if len(fitting) >= MAX_SEGMENTS or size > MAX_CHARACTERS:
             break
-        taken.append(segment)
-    return taken
+        fitting.append(segment)
+    return fitting
 
 
 class Checkpointer:
@@ -57,7 +57,7 @@
     async def save(self) -> None:
         """Save what is new, a transaction a job; what does not fit waits for the next time."""
         for job in list(self._runner.jobs.values()):
-            segments = take_within(job.unsaved())
+            segments = fitting_segments(job.unsaved())
             if segments and not job.is_dropped:
                 await self._save(job, segments)
 
--- a/src/cloverwalk/jobs/commit.py
+++ b/src/cloverwalk/jobs/commit.py
@@ -6,9 +6,9 @@
 from cloverwalk.store.types import CommitOutcome, CommitStatus, Store, Transaction
 
 FIRST_PAUSE_S = 0.03
-LONGEST_PAUSE_S = 0.5
-LEAST_TIMEOUT_S = 0.15
-LONGEST_TIMEOUT_S = 1.5
+MAX_RETRY_DELAY_S = 0.5
+MIN_TIMEOUT_S = 0.15
+MAX_TIMEOUT_S = 1.5
 
 
 class Committer:
@@ -18,25 +18,25 @@
         self._store = store
         self._health = health
         self._clock = clock
-        self._pace_s = 0.02
+        self._latency_s = 0.02
 
     def _timeout_s(self) -> float:
-        return min(LONGEST_TIMEOUT_S, max(LEAST_TIMEOUT_S, 8 * self._pace_s))
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, 8 * self._latency_s))
 
     async def once(self, transaction: Transaction, timeout_s: float | None = None) -> CommitOutcome:
         """Try once to commit."""
-        limit_s = self._timeout_s() if timeout_s is None else timeout_s
-        began_at = self._clock()
-        outcome = await self._store.commit(transaction, limit_s)
-        took_s = self._clock() - began_at
+        chosen_timeout_s = self._timeout_s() if timeout_s is None else timeout_s
+        started_at = self._clock()
+        outcome = await self._store.commit(transaction, chosen_timeout_s)
+        elapsed_s = self._clock() - started_at
         if outcome.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT):
-            self._pace_s += 0.3 * (took_s - self._pace_s)
+            self._latency_s += 0.3 * (elapsed_s - self._latency_s)
         elif outcome.status is CommitStatus.UNKNOWN:
-            self._pace_s = min(LONGEST_TIMEOUT_S, 2 * max(self._pace_s, took_s / 8))
+            self._latency_s = min(MAX_TIMEOUT_S, 2 * max(self._latency_s, elapsed_s / 8))
         return outcome
 
     async def settle(
-        self, transaction: Transaction, until: float, refuse_at: float = float("inf")
+        self, transaction: Transaction, deadline: float, refuse_at: float = float("inf")
     ) -> CommitOutcome:
         """Repeat a transaction until it is committed or in conflict, or time is up.
 
@@ -44,16 +44,16 @@
         the conflicting rows. With time up the status is UNKNOWN if any answer was lost, else
         NOT_DONE. While no answer was lost, time is up at ``refuse_at`` already.
         """
-        pause_s = FIRST_PAUSE_S
-        was_lost = False
+        retry_delay_s = FIRST_PAUSE_S
+        has_lost_response = False
         while True:
             outcome = await self.once(transaction)
             if outcome.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT):
                 return outcome
-            was_lost = was_lost or outcome.status is CommitStatus.UNKNOWN
-            limit = until if was_lost else min(until, refuse_at)
-            if self._clock() + pause_s >= limit:
-                status = CommitStatus.UNKNOWN if was_lost else CommitStatus.NOT_DONE
+            has_lost_response = has_lost_response or outcome.status is CommitStatus.UNKNOWN
+            give_up_at = deadline if has_lost_response else min(deadline, refuse_at)
+            if self._clock() + retry_delay_s >= give_up_at:
+                status = CommitStatus.UNKNOWN if has_lost_response else CommitStatus.NOT_DONE
                 return CommitOutcome(status)
-            await self._health.backoff(pause_s * 1000)
-            pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+            await self._health.backoff(retry_delay_s * 1000)
+            retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * retry_delay_s)
--- a/src/cloverwalk/jobs/errors.py
+++ b/src/cloverwalk/jobs/errors.py
@@ -10,7 +10,7 @@
     default_code = "job_refused"
 
 
-def unsettled(status: CommitStatus, retry_after_s: float) -> JobError:
+def unresolved_error(status: CommitStatus, retry_after_s: float) -> JobError:
     """Return the error of a transaction that was neither committed nor in conflict."""
     if status is CommitStatus.UNKNOWN:
         message = "the store did not answer in time"
--- a/src/cloverwalk/jobs/evidence.py
+++ b/src/cloverwalk/jobs/evidence.py
@@ -78,8 +78,8 @@
     if route is not None:
         kept_ms = max(kept_ms, route.retention_s * 1000)
     give_up_ms = record.accepted_ms + kept_ms
-    is_kept_for_good = kept_ms <= 0
-    if is_kept_for_good or time.earliest_ms <= give_up_ms:
+    is_kept_forever = kept_ms <= 0
+    if is_kept_forever or time.earliest_ms <= give_up_ms:
         return None
     return PastRetention(record.accepted_ms, give_up_ms, time.earliest_ms, time.uncertainty_ms)
 
@@ -88,16 +88,16 @@
     replica: str, failures: int, record: JobRecord, route: Route | None
 ) -> AttemptsUsed | None:
     """Return the evidence that an item has failed as often as it may, by either version."""
-    allowed = record.max_attempts
+    max_attempts = record.max_attempts
     if route is not None:
-        allowed = max(allowed, route.max_attempts)
-    if failures < allowed:
+        max_attempts = max(max_attempts, route.max_attempts)
+    if failures < max_attempts:
         return None
-    return AttemptsUsed(replica, failures, allowed)
+    return AttemptsUsed(replica, failures, max_attempts)
 
 
 @attrs.frozen
-class StatusPast:
+class StatusExpired:
     """Nobody may ask for the job any more. All times are of the store's clock, ms."""
 
     accepted_ms: float
@@ -105,33 +105,35 @@
     store_ms: float
 
 
-def status_past(record: JobRecord, time: StoreTime | None, kept_ms: float) -> StatusPast | None:
+def status_expired(
+    record: JobRecord, time: StoreTime | None, kept_ms: float
+) -> StatusExpired | None:
     """Return the evidence that a job's rows may go; none while it is open or the time unknown."""
     if record.is_open or time is None or time.earliest_ms <= record.accepted_ms + kept_ms:
         return None
-    return StatusPast(record.accepted_ms, kept_ms, time.earliest_ms)
+    return StatusExpired(record.accepted_ms, kept_ms, time.earliest_ms)
 
 
-class RouteWatch:
+class RouteMonitor:
     """Notices that the routes of jobs are gone for good.
 
     Time alone tells nothing, nor does the configuration that a node has: one that is cut off, stood
     still or has just taken a job over may lack a route that is there, and would list the job's
-    items as dead. So the store must have been asked again ``GONE_AFTER_MS`` after the first look.
+    items as dead. So the store must have been asked again ``CONFIRMATION_DELAY_MS`` after the first look.
     """
 
-    GONE_AFTER_MS = 4000.0
+    CONFIRMATION_DELAY_MS = 4000.0
     """A route that is moved may be missing for one version; the next comes within some seconds
     (platform's settings: 2 to 4 s until a change is in force)."""
 
     def __init__(self) -> None:
         self._missing_since_ms: dict[str, float] = {}
 
-    def note_present(self, job_id: str) -> None:
+    def record_present(self, job_id: str) -> None:
         """A route takes the job's items."""
         self._missing_since_ms.pop(job_id, None)
 
-    def note_missing(
+    def record_missing(
         self, record: JobRecord, configuration: int, now_ms: float, confirmed_at_ms: float
     ) -> RouteEnded | None:
         """No route takes the job's items at ``now_ms`` (steady clock).
@@ -141,10 +143,10 @@
         """
         since_ms = self._missing_since_ms.setdefault(record.job_id, now_ms)
         confirmed_ms = confirmed_at_ms - since_ms
-        if confirmed_ms <= self.GONE_AFTER_MS:
+        if confirmed_ms <= self.CONFIRMATION_DELAY_MS:
             return None
         return RouteEnded(record.configuration, configuration, confirmed_ms)
 
-    def forget(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """The job is not run here any more."""
         self._missing_since_ms.pop(job_id, None)
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -9,7 +9,7 @@
 from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.jobs.commit import Committer
-from cloverwalk.jobs.errors import JobError, unsettled
+from cloverwalk.jobs.errors import JobError, unresolved_error
 from cloverwalk.jobs.quota import admit, waiting_tokens
 from cloverwalk.jobs.reader import JobReader
 from cloverwalk.jobs.records import (
@@ -40,19 +40,19 @@
 )
 from cloverwalk.telemetry.log import ServingLog
 
-OLD_JOBS_READ = 3
+MAX_OLD_JOBS_READ = 3
 """Jobs of the quota row whose records are read at each admission: more than come in besides, so
 that the row stays short."""
 
-YOUNG_MS = 3000.0
+MIN_OLD_JOB_AGE_MS = 3000.0
 """A job is hardly ever over sooner."""
 
 QUOTA_RETRY_AFTER_S = 0.7
 STORE_RETRY_AFTER_S = 0.3
-REFUSE_AFTER_S = 0.6
+REFUSE_TIMEOUT_S = 0.6
 """A store that takes nothing for so long: the client is told, and comes back sooner."""
 
-REFUSE_AFTER_SERVED_ELSEWHERE_S = 0.1
+REFUSE_TIMEOUT_SERVED_ELSEWHERE_S = 0.1
 """The same while the store serves other nodes: there the client has its answer in time."""
 
 ELSEWHERE_RETRY_AFTER_S = 0.02
@@ -62,7 +62,7 @@
 MAX_PAYLOAD_ROWS = 12
 """Rows of items that go into one transaction."""
 
-OnTaken = Callable[[JobRun], Awaitable[None]]
+OnAccepted = Callable[[JobRun], Awaitable[None]]
 
 
 class Submission(Struct):
@@ -92,9 +92,9 @@
         store_time: Callable[[], StoreTime | None],
         clock: Callable[[], float],
         log: ServingLog,
-        on_taken: OnTaken,
+        on_accepted: OnAccepted,
         is_served_elsewhere: Callable[[], bool],
-        is_store_lost: Callable[[], bool],
+        is_store_unavailable: Callable[[], bool],
         random: Random,
     ) -> None:
         self._owner = owner
@@ -105,66 +105,66 @@
         self._store_time = store_time
         self._clock = clock
         self._log = log
-        self._on_taken = on_taken
+        self._on_accepted = on_accepted
         self._is_served_elsewhere = is_served_elsewhere
-        self._is_store_lost = is_store_lost
+        self._is_store_unavailable = is_store_unavailable
         self._random = random
         self._quotas: dict[RowKey, tuple[QuotaRow, int]] = {}
         self.submitting_ids: set[str] = set()
         """Jobs that are being taken: their records may be there before their runs."""
 
     async def submit(
-        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
+        self, submission: Submission, route: Route, deadline: float, writes: JobWriteTracker
     ) -> None:
         """Take a job, or find that it was taken; raise JobError otherwise.
 
         ``writes`` learns what is known of the job's transactions.
         """
-        known = self._view.find(submission.job_id)
-        if known is not None:
-            _check_owner(known.record, submission)
-            self._note(submission, "known", known.record)
+        cached = self._view.find(submission.job_id)
+        if cached is not None:
+            _check_owner(cached.record, submission)
+            self._log_accepted(submission, "known", cached.record)
             return
-        if self._is_store_lost() and self._is_served_elsewhere():
-            raise self._unsettled(submission, CommitOutcome(CommitStatus.NOT_DONE))
+        if self._is_store_unavailable() and self._is_served_elsewhere():
+            raise self._unresolved_error(submission, CommitOutcome(CommitStatus.NOT_DONE))
         self.submitting_ids.add(submission.job_id)
         try:
-            await self._settle(submission, route, until, writes)
+            await self._commit_submission(submission, route, deadline, writes)
         finally:
             self.submitting_ids.discard(submission.job_id)
 
-    async def _settle(
-        self, submission: Submission, route: Route, until: float, writes: JobWriteTracker
+    async def _commit_submission(
+        self, submission: Submission, route: Route, deadline: float, writes: JobWriteTracker
     ) -> None:
         is_elsewhere = self._is_served_elsewhere()
-        refuse_after_s = REFUSE_AFTER_SERVED_ELSEWHERE_S if is_elsewhere else REFUSE_AFTER_S
+        refuse_after_s = REFUSE_TIMEOUT_SERVED_ELSEWHERE_S if is_elsewhere else REFUSE_TIMEOUT_S
         refuse_at = self._clock() + refuse_after_s
         for _ in range(MAX_CONFLICTS):
-            record = self._new_record(submission, route, await self._time(submission))
+            record = self._new_record(submission, route, await self._read_store_time(submission))
             payload = payload_puts(record.job_id, submission.items)
             record.payload_rows = len(payload)
-            payload = await self._put_ahead(submission, payload, until)
+            payload = await self._write_payload_ahead(submission, payload, deadline)
             transaction = await self._transaction(record, payload, route)
-            settling = self._committer.settle(transaction, until, refuse_at)
-            outcome = await writes.settle(settling)
+            committing = self._committer.settle(transaction, deadline, refuse_at)
+            outcome = await writes.track(committing)
             if outcome.status is CommitStatus.COMMITTED:
-                await self._took(submission, record, outcome, route, transaction)
+                await self._on_committed(submission, record, outcome, route, transaction)
                 return
             if outcome.status is not CommitStatus.CONFLICT:
-                raise self._unsettled(submission, outcome)
+                raise self._unresolved_error(submission, outcome)
             existing = outcome.conflict(job_key(submission.job_id))
             if existing is not None:
-                await self._found(submission, existing)
+                await self._on_existing_record(submission, existing)
                 return
             # Whatever was sent before can't take effect any more: its expectations are void.
-            writes.note_void()
-            self._learn_quota(quota_key(route.name, submission.tenant), outcome)
+            writes.mark_void()
+            self._update_quota(quota_key(route.name, submission.tenant), outcome)
         message = "too many jobs at once"
         raise JobError(Reason.UNAVAILABLE, "quota_contended", message, STORE_RETRY_AFTER_S)
 
     # --- steps ---
 
-    async def _time(self, submission: Submission) -> StoreTime:
+    async def _read_store_time(self, submission: Submission) -> StoreTime:
         """Return the store's time; a process that has just started reads something to learn it.
 
         The configuration may have come from a peer. Times that were guessed would have the items
@@ -174,7 +174,7 @@
             await self._reader.read_record(submission.job_id)
         time = self._store_time()
         if time is None:
-            raise self._unsettled(submission, CommitOutcome(CommitStatus.NOT_DONE))
+            raise self._unresolved_error(submission, CommitOutcome(CommitStatus.NOT_DONE))
         return time
 
     def _new_record(self, submission: Submission, route: Route, time: StoreTime) -> JobRecord:
@@ -199,15 +199,15 @@
             configuration=submission.configuration,
         )
 
-    async def _put_ahead(
-        self, submission: Submission, payload: list[Put], until: float
+    async def _write_payload_ahead(
+        self, submission: Submission, payload: list[Put], deadline: float
     ) -> list[Put]:
         """Write what does not fit beside the record; nothing refers to it before the record."""
         while len(payload) > MAX_PAYLOAD_ROWS:
-            ahead, payload = payload[:MAX_PAYLOAD_ROWS], payload[MAX_PAYLOAD_ROWS:]
-            outcome = await self._committer.settle(Transaction(puts=ahead), until)
+            batch, payload = payload[:MAX_PAYLOAD_ROWS], payload[MAX_PAYLOAD_ROWS:]
+            outcome = await self._committer.settle(Transaction(puts=batch), deadline)
             if outcome.status is not CommitStatus.COMMITTED:
-                raise self._unsettled(submission, CommitOutcome(CommitStatus.NOT_DONE))
+                raise self._unresolved_error(submission, CommitOutcome(CommitStatus.NOT_DONE))
         return payload
 
     async def _transaction(
@@ -218,18 +218,18 @@
         puts = [Put(key, encode(record)), *payload]
         if route.max_queued_tokens > 0:
             row_key = quota_key(route.name, record.tenant)
-            quota, version = await self._quota(row_key)
-            over = await self._jobs_over(quota, record)
-            await self._check_quota(quota, over, record, route)
-            admitted = admit(quota, over, record.job_id, record.tokens, record.accepted_ms)
+            quota, version = await self._load_quota(row_key)
+            closed_ids = await self._closed_jobs(quota, record)
+            await self._check_quota(quota, closed_ids, record, route)
+            admitted = admit(quota, closed_ids, record.job_id, record.tokens, record.accepted_ms)
             expectations.append(Expectation(row_key, version))
             puts.append(Put(row_key, encode(admitted)))
         return Transaction(expectations, puts)
 
-    async def _quota(self, key: RowKey) -> tuple[QuotaRow, int]:
-        known = self._quotas.get(key)
-        if known is not None:
-            return known
+    async def _load_quota(self, key: RowKey) -> tuple[QuotaRow, int]:
+        cached = self._quotas.get(key)
+        if cached is not None:
+            return cached
         try:
             page = await self._store.read(key.table, key.part, key.key, key.key + "\x01", 1)
         except StoreError as error:
@@ -239,45 +239,47 @@
         self._quotas[key] = (decode_quota(row.value), row.version)
         return self._quotas[key]
 
-    async def _jobs_over(self, quota: QuotaRow, record: JobRecord) -> set[str]:
+    async def _closed_jobs(self, quota: QuotaRow, record: JobRecord) -> set[str]:
         """Return jobs of the quota row that hold nothing any more: known ones and a few read."""
-        over = {job_id for job_id in quota.jobs if self._is_known_over(job_id)}
-        old = [
+        closed_ids = {job_id for job_id in quota.jobs if self._is_cached_job_closed(job_id)}
+        old_ids = [
             job_id
             for job_id, (_, admitted_ms) in quota.jobs.items()
-            if job_id not in over and record.accepted_ms - admitted_ms > YOUNG_MS
+            if job_id not in closed_ids and record.accepted_ms - admitted_ms > MIN_OLD_JOB_AGE_MS
         ]
-        for job_id in self._random.sample(old, min(OLD_JOBS_READ, len(old))):
-            if await self._is_read_over(job_id):
-                over.add(job_id)
-        return over
+        for job_id in self._random.sample(old_ids, min(MAX_OLD_JOBS_READ, len(old_ids))):
+            if await self._is_stored_job_closed(job_id):
+                closed_ids.add(job_id)
+        return closed_ids
 
-    def _is_known_over(self, job_id: str) -> bool:
-        known = self._view.find(job_id)
-        return known is not None and not known.record.is_open
+    def _is_cached_job_closed(self, job_id: str) -> bool:
+        cached = self._view.find(job_id)
+        return cached is not None and not cached.record.is_open
 
-    async def _is_read_over(self, job_id: str) -> bool:
+    async def _is_stored_job_closed(self, job_id: str) -> bool:
         """Whether a job is over; its record was written with the quota row, so it was there."""
         record = await self._reader.read_record(job_id)
         return record is None or not record.is_open
 
     async def _check_quota(
-        self, quota: QuotaRow, over: set[str], record: JobRecord, route: Route
+        self, quota: QuotaRow, closed_ids: set[str], record: JobRecord, route: Route
     ) -> None:
         """Raise JobError 429 where a job does not fit beside what still waits."""
-        others = {
-            key: one for key, one in quota.jobs.items() if key != record.job_id and key not in over
+        other_jobs = {
+            key: entry
+            for key, entry in quota.jobs.items()
+            if key != record.job_id and key not in closed_ids
         }
-        limit = route.max_queued_tokens - record.tokens
-        if waiting_tokens(QuotaRow(others), self._view) <= limit:
+        max_other_tokens = route.max_queued_tokens - record.tokens
+        if waiting_tokens(QuotaRow(other_jobs), self._view) <= max_other_tokens:
             return
         # Jobs of other nodes count whole until their records are read.
-        for job_id in sorted(others):
-            if await self._is_read_over(job_id):
-                over.add(job_id)
-        left = {key: one for key, one in others.items() if key not in over}
-        waiting = waiting_tokens(QuotaRow(left), self._view)
-        if waiting <= limit:
+        for job_id in sorted(other_jobs):
+            if await self._is_stored_job_closed(job_id):
+                closed_ids.add(job_id)
+        open_jobs = {key: entry for key, entry in other_jobs.items() if key not in closed_ids}
+        waiting = waiting_tokens(QuotaRow(open_jobs), self._view)
+        if waiting <= max_other_tokens:
             return
         if record.job_id in quota.jobs and await self._reader.read_record(record.job_id):
             # It was taken before: the transaction finds its record.
@@ -294,7 +296,7 @@
         message = f"{waiting} tokens wait, {route.max_queued_tokens} may"
         raise JobError(Reason.OVER_QUOTA, "quota", message, QUOTA_RETRY_AFTER_S)
 
-    def _learn_quota(self, key: RowKey, outcome: CommitOutcome) -> None:
+    def _update_quota(self, key: RowKey, outcome: CommitOutcome) -> None:
         row = outcome.conflict(key)
         if row is None:
             self._quotas[key] = (QuotaRow(), 0)
@@ -303,7 +305,7 @@
 
     # --- outcomes ---
 
-    async def _took(
+    async def _on_committed(
         self,
         submission: Submission,
         record: JobRecord,
@@ -316,29 +318,29 @@
             if put.row_key == key:
                 self._quotas[key] = (decode_quota(put.value), outcome.version)
         await self._view.put(record, outcome.version)
-        self._note(submission, "taken", record)
-        await self._on_taken(JobRun(record, outcome.version, submission.items))
+        self._log_accepted(submission, "taken", record)
+        await self._on_accepted(JobRun(record, outcome.version, submission.items))
 
-    async def _found(self, submission: Submission, row: Row) -> None:
+    async def _on_existing_record(self, submission: Submission, row: Row) -> None:
         assert row.value is not None
         record = decode_record(row.value)
         await self._view.put(record, row.version)
         _check_owner(record, submission)
-        self._note(submission, "found", record)
+        self._log_accepted(submission, "found", record)
         is_new = record.epoch == 1 and record.listed == 0
         if record.owner == self._owner and record.is_open and is_new:
             # The answer to an own transaction was lost. A job that was taken over is begun by the
             # takeover, which reads what is listed: begun here, its items were listed once more.
-            await self._on_taken(JobRun(record, row.version, submission.items))
+            await self._on_accepted(JobRun(record, row.version, submission.items))
 
-    def _unsettled(self, submission: Submission, outcome: CommitOutcome) -> JobError:
+    def _unresolved_error(self, submission: Submission, outcome: CommitOutcome) -> JobError:
         is_elsewhere = self._is_served_elsewhere()
         retry_after_s = ELSEWHERE_RETRY_AFTER_S if is_elsewhere else STORE_RETRY_AFTER_S
-        error = unsettled(outcome.status, retry_after_s)
+        error = unresolved_error(outcome.status, retry_after_s)
         self._log.write(catalogue.JOB_REFUSED, request=submission.job_id, code=error.code)
         return error
 
-    def _note(self, submission: Submission, outcome: str, record: JobRecord) -> None:
+    def _log_accepted(self, submission: Submission, outcome: str, record: JobRecord) -> None:
         time = self._store_time()
         self._log.write(
             catalogue.JOB_TAKEN,
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -25,7 +25,7 @@
 """Nobody waits for single events of an item: what has come in this time is taken at once. A slot is
 given back so much later at the most, 2 in 100 of an item's time."""
 
-REPLACEMENT = "\ufffd"
+REPLACEMENT_CHARACTER = "\ufffd"
 """Stands in an event's data for bytes that are no UTF-8."""
 
 ANSWER_SILENCE_S = 3.0
@@ -40,7 +40,7 @@
     """The replica says that the item can never be done."""
 
 
-FAILURES: dict[int, type[Exception]] = {422: ItemImpossibleError, 500: ItemFailedError}
+ERRORS_BY_STATUS: dict[int, type[Exception]] = {422: ItemImpossibleError, 500: ItemFailedError}
 """What a replica's whole and signed answer with this status says of an item."""
 
 
@@ -52,20 +52,20 @@
     directory: ReplicaDirectory
     clock: Callable[[], float]
 
-    def prompt(self, one: ItemRun) -> tuple[PromptPart, ...]:
+    def prompt(self, item_run: ItemRun) -> tuple[PromptPart, ...]:
         """Return the parts of an item's prompt, as far as its headers tell them."""
-        return self.codec.request_fields(_raw_headers(one)).prompt
+        return self.codec.request_fields(_raw_headers(item_run)).prompt
 
-    def content(self, job: JobRun, one: ItemRun) -> str:
+    def content_hash(self, job: JobRun, item_run: ItemRun) -> str:
         """Return the name of an item's content."""
-        if not one.content:
-            one.content = hash_request(self._request(job, one))
-        return one.content
+        if not item_run.content_hash:
+            item_run.content_hash = hash_request(self._request(job, item_run))
+        return item_run.content_hash
 
     async def run(
         self,
         job: JobRun,
-        one: ItemRun,
+        item_run: ItemRun,
         replica: Replica,
         on_output: Callable[[], None],
         must_be_new: bool = False,
@@ -76,53 +76,53 @@
         Raises ReplicaError when the run broke off, ItemFailedError or ItemImpossibleError.
         """
         address = (replica.host, replica.port)
-        one.delivery = one.timing = None
-        connection = await self.pool.acquire(address, one.item.item_id, must_be_new)
-        is_kept = False
+        item_run.delivery = item_run.timing = None
+        connection = await self.pool.acquire(address, item_run.item.item_id, must_be_new)
+        is_released = False
         try:
             if self.directory.find(replica.replica_id) is None:
                 raise ReplicaError("the replica began to leave", False, "draining")
-            keep_alive_s = await self._exchange(job, one, replica, connection, on_output)
-            is_kept = True
+            keep_alive_s = await self._exchange(job, item_run, replica, connection, on_output)
+            is_released = True
             await self.pool.release(connection, keep_alive_s)
         except ReplicaError as error:
             if error.code == TIMED_OUT:
                 await self.pool.close_timed_out(connection)
             raise
         finally:
-            if not is_kept:
+            if not is_released:
                 await connection.close()
 
     async def _exchange(
         self,
         job: JobRun,
-        one: ItemRun,
+        item_run: ItemRun,
         replica: Replica,
         connection: ReplicaConnection,
         on_output: Callable[[], None],
     ) -> float | None:
-        request = self._request(job, one)
+        request = self._request(job, item_run)
         headers = self.codec.headers_to_replica(
-            request, replica.replica_id, None, one.last_event_id
+            request, replica.replica_id, None, item_run.last_event_id
         )
         try:
             async with curio.timeout_after(ANSWER_SILENCE_S):
-                one.delivery = Delivery(connection.is_new, self.clock())
-                await connection.send("POST", one.item.path, headers, one.item.body)
-                head = await connection.read_head(one.item.item_id)
+                item_run.delivery = Delivery(connection.is_new, self.clock())
+                await connection.send("POST", item_run.item.path, headers, item_run.item.body)
+                head = await connection.read_head(item_run.item.item_id)
         except OSError as error:
             raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
             raise ReplicaError("no answer in time", True, TIMED_OUT) from error
         if head.fields.was_not_run:
             raise ReplicaError(f"the replica answered {head.status}", False, "not_run")
-        if head.status in FAILURES and head.fields.is_signed:
+        if head.status in ERRORS_BY_STATUS and head.fields.is_signed:
             await self._read_failure(connection)
-            raise FAILURES[head.status]
+            raise ERRORS_BY_STATUS[head.status]
         if head.status != 200 or not head.fields.is_signed:
             raise ReplicaError(f"the replica answered {head.status}", True, "unusable")
-        one.timing = RunTiming(slowdown_percent(head.fields.load))
-        await self._take_events(job, one, one.timing, connection, on_output)
+        item_run.timing = RunTiming(slowdown_percent(head.fields.load))
+        await self._handle_events(job, item_run, item_run.timing, connection, on_output)
         return head.fields.keep_alive_s
 
     async def _read_failure(self, connection: ReplicaConnection) -> None:
@@ -134,42 +134,42 @@
         except curio.TaskTimeout as error:
             raise ReplicaError("the failure did not end in time", True, TIMED_OUT) from error
 
-    def _request(self, job: JobRun, one: ItemRun) -> ClientRequest:
-        headers = _raw_headers(one)
-        names = {name.lower() for name, _ in headers}
-        if b"host" not in names:
+    def _request(self, job: JobRun, item_run: ItemRun) -> ClientRequest:
+        headers = _raw_headers(item_run)
+        header_names = {name.lower() for name, _ in headers}
+        if b"host" not in header_names:
             headers.insert(0, (b"Host", job.record.host.encode()))
-        fields = RequestFields(one.item.item_id)
+        fields = RequestFields(item_run.item.item_id)
         return ClientRequest(
             "POST",
-            one.item.path,
+            item_run.item.path,
             headers,
-            one.item.body,
+            item_run.item.body,
             job.record.host,
             fields,
             self.clock(),
             job.record.tenant,
         )
 
-    async def _take_events(
+    async def _handle_events(
         self,
         job: JobRun,
-        one: ItemRun,
+        item_run: ItemRun,
         timing: RunTiming,
         connection: ReplicaConnection,
         on_output: Callable[[], None],
     ) -> None:
         splitter = EventSplitter()
-        order = EventOrder(one.last_event_id)
+        order = EventOrder(item_run.last_event_id)
         while (data := await self._next_data(connection)) is not None:
             try:
                 events = splitter.feed(data)
                 for event in events:
-                    _take_event(job, one, order, event)
+                    _handle_event(job, item_run, order, event)
             except ValueError as error:
                 raise ReplicaError(str(error), True, "invalid_stream") from error
             if events:
-                timing.note(len(events), self.clock())
+                timing.record_events(len(events), self.clock())
                 on_output()
             await curio.sleep(READ_EVERY_S)
             connection.expect_data()
@@ -184,17 +184,17 @@
             raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
 
 
-def _take_event(job: JobRun, one: ItemRun, order: EventOrder, event: StreamEvent) -> None:
+def _handle_event(job: JobRun, item_run: ItemRun, order: EventOrder, event: StreamEvent) -> None:
     """Add an event to a run. Raises ValueError when it does not belong there."""
     if event.event_id is None:
         raise ValueError("an event has no id")
-    if REPLACEMENT in event.data:
+    if REPLACEMENT_CHARACTER in event.data:
         # It is the replica's own character, or stands for bytes that are no text.
         event.raw.decode("utf-8")
     order.take(event.event_id)
-    if not job.take_event(one, event.event_id, event.data):
+    if not job.take_event(item_run, event.event_id, event.data):
         raise ValueError("an event is missing")
 
 
-def _raw_headers(one: ItemRun) -> RawHeaders:
-    return [(name.encode(), value.encode()) for name, value in one.item.headers]
+def _raw_headers(item_run: ItemRun) -> RawHeaders:
+    return [(name.encode(), value.encode()) for name, value in item_run.item.headers]
--- a/src/cloverwalk/jobs/lister.py
+++ b/src/cloverwalk/jobs/lister.py
@@ -19,10 +19,10 @@
 from cloverwalk.store.types import CommitOutcome, CommitStatus, Expectation, Put, Transaction
 from cloverwalk.telemetry.log import ServingLog
 
-LINGER_S = 0.12
+GROUPING_DELAY_S = 0.12
 """Results that finish within this time share a transaction."""
 
-SETTLE_S = 4.0
+COMMIT_TIMEOUT_S = 4.0
 
 DropJob = Callable[[str], Awaitable[None]]
 
@@ -45,34 +45,34 @@
         self._drop_job = drop_job
         self._log = log
         self._clock = clock
-        self._due: dict[str, JobRun] = {}
-        self._busy: set[str] = set()
+        self._finished_jobs: dict[str, JobRun] = {}
+        self._listing_ids: set[str] = set()
         self._wake = curio.Event()
 
     async def notify_finished(self, job: JobRun) -> None:
         """A job has finished items."""
-        self._due[job.job_id] = job
+        self._finished_jobs[job.job_id] = job
         await self._wake.set()
 
     async def run(self) -> None:
         """List results until cancelled."""
         while True:
             await self._wake.wait()
-            await curio.sleep(LINGER_S)
+            await curio.sleep(GROUPING_DELAY_S)
             self._wake.clear()
-            for job_id, job in list(self._due.items()):
-                if job_id in self._busy:
+            for job_id, job in list(self._finished_jobs.items()):
+                if job_id in self._listing_ids:
                     continue
-                del self._due[job_id]
-                self._busy.add(job_id)
+                del self._finished_jobs[job_id]
+                self._listing_ids.add(job_id)
                 await curio.spawn(self._list_job, job, daemon=True)
 
     async def _list_job(self, job: JobRun) -> None:
         try:
             await self.list_finished(job)
         finally:
-            self._busy.discard(job.job_id)
-            if self._due:
+            self._listing_ids.discard(job.job_id)
+            if self._finished_jobs:
                 await self._wake.set()
 
     async def list_finished(self, job: JobRun) -> None:
@@ -88,41 +88,41 @@
         record = job.record_after(group)
         transaction = self._transaction(job, group, record)
         while not job.is_dropped:
-            outcome = await self._committer.settle(transaction, self._clock() + SETTLE_S)
+            outcome = await self._committer.settle(transaction, self._clock() + COMMIT_TIMEOUT_S)
             if outcome.status is CommitStatus.COMMITTED:
-                await self._listed(job, group, record, outcome.version)
+                await self._on_listed(job, group, record, outcome.version)
                 return
             if outcome.status is CommitStatus.CONFLICT:
-                await self._resolve(job, group, record, outcome)
+                await self._reconcile(job, group, record, outcome)
                 return
 
     def _transaction(self, job: JobRun, group: list[ItemRun], record: JobRecord) -> Transaction:
         key = job_key(job.job_id)
         puts = [Put(key, encode(record))]
-        for offset, one in enumerate(group):
-            assert one.result is not None
-            puts += result_puts(job.job_id, job.record.listed + offset, one.result)
+        for offset, item_run in enumerate(group):
+            assert item_run.result is not None
+            puts += result_puts(job.job_id, job.record.listed + offset, item_run.result)
         return Transaction([Expectation(key, job.version)], puts)
 
-    async def _listed(
+    async def _on_listed(
         self, job: JobRun, group: list[ItemRun], record: JobRecord, version: int
     ) -> None:
-        first = job.record.listed
-        for offset, one in enumerate(group):
-            assert one.result is not None
-            self._cache.put(job.job_id, first + offset, one.result)
+        first_position = job.record.listed
+        for offset, item_run in enumerate(group):
+            assert item_run.result is not None
+            self._cache.put(job.job_id, first_position + offset, item_run.result)
             self._log.write(
                 catalogue.ITEM_LISTED,
-                request=one.item.item_id,
+                request=item_run.item.item_id,
                 job=job.job_id,
-                position=first + offset,
-                state=one.result.state.value,
+                position=first_position + offset,
+                state=item_run.result.state.value,
                 version=version,
             )
         job.mark_listed(group, record, version)
         await self._view.put(record, version)
 
-    async def _resolve(
+    async def _reconcile(
         self, job: JobRun, group: list[ItemRun], record: JobRecord, outcome: CommitOutcome
     ) -> None:
         """Somebody changed the record: this node with a lost answer, an end, or a new owner."""
@@ -130,20 +130,20 @@
         if row is None or row.value is None:
             await self._drop_job(job.job_id)
             return
-        present = decode_record(row.value)
-        await self._view.put(present, row.version)
-        is_owner = (present.owner, present.epoch) == (job.record.owner, job.record.epoch)
-        if not is_owner or (present.is_ended and present.listed == job.record.listed):
+        current = decode_record(row.value)
+        await self._view.put(current, row.version)
+        is_owner = (current.owner, current.epoch) == (job.record.owner, job.record.epoch)
+        if not is_owner or (current.is_ended and current.listed == job.record.listed):
             self._log.write(
                 catalogue.JOB_DROPPED,
                 job=job.job_id,
-                owner=present.owner,
-                epoch=present.epoch,
-                is_ended=present.is_ended,
+                owner=current.owner,
+                epoch=current.epoch,
+                is_ended=current.is_ended,
             )
             await self._drop_job(job.job_id)
-        elif present.listed == record.listed:
-            await self._listed(job, group, present, row.version)
+        elif current.listed == record.listed:
+            await self._on_listed(job, group, current, row.version)
         else:
-            job.record = present
+            job.record = current
             job.version = row.version
--- a/src/cloverwalk/jobs/quota.py
+++ b/src/cloverwalk/jobs/quota.py
@@ -11,18 +11,26 @@
 
 def waiting_tokens(quota: QuotaRow, view: JobView) -> int:
     """Return the tokens that the admitted jobs still hold, as far as the view tells."""
-    return sum(_waiting(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items())
+    return sum(
+        _waiting_tokens_of(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items()
+    )
 
 
-def _waiting(job_id: str, tokens: int, view: JobView) -> int:
-    known = view.find(job_id)
-    if known is None:
+def _waiting_tokens_of(job_id: str, tokens: int, view: JobView) -> int:
+    cached = view.find(job_id)
+    if cached is None:
         return tokens
-    return known.record.waiting_tokens if known.record.is_open else 0
+    return cached.record.waiting_tokens if cached.record.is_open else 0
 
 
-def admit(quota: QuotaRow, over: set[str], job_id: str, tokens: int, now_ms: float) -> QuotaRow:
+def admit(
+    quota: QuotaRow, closed_ids: set[str], job_id: str, tokens: int, now_ms: float
+) -> QuotaRow:
     """Return the quota row with a job added, and without jobs that are ``over``."""
-    kept = {known_id: entry for known_id, entry in quota.jobs.items() if known_id not in over}
-    kept[job_id] = (tokens, now_ms)
-    return QuotaRow(kept)
+    jobs = {
+        admitted_id: entry
+        for admitted_id, entry in quota.jobs.items()
+        if admitted_id not in closed_ids
+    }
+    jobs[job_id] = (tokens, now_ms)
+    return QuotaRow(jobs)
--- a/src/cloverwalk/jobs/reader.py
+++ b/src/cloverwalk/jobs/reader.py
@@ -29,7 +29,7 @@
 MAX_RESULT_BYTES = 700_000
 MAX_RESULTS = 100
 RETRY_AFTER_S = 0.3
-LOOK_EVERY_S = 0.3
+POLL_INTERVAL_S = 0.3
 """How often the record of another node's job is read while a caller waits for a result."""
 
 
@@ -61,25 +61,25 @@
     async def read(self, job_id: str, position: int, wait_s: float) -> ResultPage:
         """Return results from ``position`` on; wait for one up to ``wait_s`` seconds."""
         record = await self.find(job_id)
-        until = self._clock() + wait_s
-        while position >= record.listed and record.is_open and self._clock() < until:
-            await self._wait_for_change(job_id, until)
+        deadline = self._clock() + wait_s
+        while position >= record.listed and record.is_open and self._clock() < deadline:
+            await self._wait_for_change(job_id, deadline)
             record = await self.find(job_id)
         results = await self._results(record, position)
         return ResultPage(record.total, position + len(results), results)
 
-    async def _wait_for_change(self, job_id: str, until: float) -> None:
-        rest_s = max(0.0, until - self._clock())
+    async def _wait_for_change(self, job_id: str, deadline: float) -> None:
+        remaining_s = max(0.0, deadline - self._clock())
         if self._is_run_here(job_id):
-            await self._view.wait_for_change(job_id, rest_s)
+            await self._view.wait_for_change(job_id, remaining_s)
         else:
-            await curio.sleep(min(LOOK_EVERY_S, rest_s))
+            await curio.sleep(min(POLL_INTERVAL_S, remaining_s))
 
     async def find(self, job_id: str) -> JobRecord:
         """Return a job's record; raise JobError 404 only when the store says that it has none."""
-        known = self._view.find(job_id)
-        if known is not None and self._is_run_here(job_id):
-            return known.record
+        cached = self._view.find(job_id)
+        if cached is not None and self._is_run_here(job_id):
+            return cached.record
         record = await self.read_record(job_id)
         if record is None:
             raise JobError(Reason.NOT_FOUND, "no_such_job", "no such job")
@@ -102,38 +102,38 @@
             raise JobError(Reason.UNAVAILABLE, error.code, str(error), RETRY_AFTER_S) from error
 
     async def _results(self, record: JobRecord, position: int) -> list[ItemResult]:
-        wanted = min(record.listed, position + MAX_RESULTS)
+        end = min(record.listed, position + MAX_RESULTS)
         results: list[ItemResult] = []
         size = 0
-        at = position
-        while at < wanted and size < MAX_RESULT_BYTES:
-            result = self._cache.get(record.job_id, at)
+        next_position = position
+        while next_position < end and size < MAX_RESULT_BYTES:
+            result = self._cache.get(record.job_id, next_position)
             if result is None:
-                if not await self._load(record, at, wanted):
+                if not await self._cache_results(record, next_position, end):
                     break
                 continue
             results.append(result)
             size += len(result.text)
-            at += 1
+            next_position += 1
         if not results and position < record.listed:
             message = "the result could not be read"
             raise JobError(Reason.UNAVAILABLE, "result_not_read", message, RETRY_AFTER_S)
         return results
 
-    async def _load(self, record: JobRecord, position: int, end: int) -> bool:
+    async def _cache_results(self, record: JobRecord, position: int, end: int) -> bool:
         """Bring results into the cache; return whether ``position`` is there now."""
         job_id = record.job_id
         page = await self._page(
             RESULT_TABLE, part_of(job_id), result_start(job_id, position), result_start(job_id, end)
         )
         pieces = [(row.row_key.key, row.value) for row in page.rows if row.value is not None]
-        names = join_pieces(pieces)
-        if page.has_more and names:
+        values_by_position = join_pieces(pieces)
+        if page.has_more and values_by_position:
             # The last position may not be whole in this page.
-            names.pop(max(names))
-        for name, value in names.items():
+            values_by_position.pop(max(values_by_position))
+        for name, value in values_by_position.items():
             self._cache.put(job_id, int(name), decode_result(value))
-        return f"{position:06d}" in names
+        return f"{position:06d}" in values_by_position
 
     async def items(self, record: JobRecord) -> list[JobItem]:
         """Return a job's items from the store."""
--- a/src/cloverwalk/jobs/records.py
+++ b/src/cloverwalk/jobs/records.py
@@ -21,7 +21,7 @@
 PART_COUNT = 16
 """Jobs are spread over this many parts of each table."""
 
-ROW_BYTES = 48_000
+MAX_ROW_BYTES = 48_000
 """Largest value that is put into one row."""
 
 MAX_ITEMS = 200
@@ -157,12 +157,12 @@
 
 def payload_puts(job_id: str, items: list[JobItem]) -> list[Put]:
     """Return the rows that hold a job's items."""
-    return _pieces(PAYLOAD_TABLE, job_id, "p", encode(items))
+    return _split(PAYLOAD_TABLE, job_id, "p", encode(items))
 
 
 def result_puts(job_id: str, position: int, result: ItemResult) -> list[Put]:
     """Return the rows that hold one result."""
-    return _pieces(RESULT_TABLE, job_id, f"{position:06d}", encode(result))
+    return _split(RESULT_TABLE, job_id, f"{position:06d}", encode(result))
 
 
 def partial_put(job_id: str, partial: PartialOutput) -> Put:
@@ -171,26 +171,29 @@
     return Put(RowKey(PARTIAL_TABLE, part_of(job_id), f"{job_id}/{name}"), encode(partial))
 
 
-def _pieces(table: str, job_id: str, name: str, data: bytes) -> list[Put]:
+def _split(table: str, job_id: str, name: str, data: bytes) -> list[Put]:
     part = part_of(job_id)
-    starts = range(0, max(1, len(data)), ROW_BYTES)
+    starts = range(0, max(1, len(data)), MAX_ROW_BYTES)
     return [
-        Put(RowKey(table, part, f"{job_id}/{name}.{number:03d}"), data[at : at + ROW_BYTES])
-        for number, at in enumerate(starts)
+        Put(
+            RowKey(table, part, f"{job_id}/{name}.{number:03d}"),
+            data[start : start + MAX_ROW_BYTES],
+        )
+        for number, start in enumerate(starts)
     ]
 
 
 def join_pieces(rows: list[tuple[str, bytes]]) -> dict[str, bytes]:
-    """Return the data by name of rows that ``_pieces`` made.
+    """Return the data by name of rows that ``_split`` made.
 
     >>> join_pieces([("j/000001.000", b"a"), ("j/000001.001", b"b"), ("j/000002.000", b"c")])
     {'000001': b'ab', '000002': b'c'}
     """
-    joined: dict[str, bytes] = {}
+    data_by_name: dict[str, bytes] = {}
     for key, value in rows:
         name = key.rpartition("/")[2].partition(".")[0]
-        joined[name] = joined.get(name, b"") + value
-    return joined
+        data_by_name[name] = data_by_name.get(name, b"") + value
+    return data_by_name
 
 
 def decode_record(value: bytes) -> JobRecord:
--- a/src/cloverwalk/jobs/result_cache.py
+++ b/src/cloverwalk/jobs/result_cache.py
@@ -32,7 +32,7 @@
         self._jobs.move_to_end(job_id)
         while self._bytes > self._max_bytes and len(self._jobs) > 1:
             _, evicted = self._jobs.popitem(last=False)
-            self._bytes -= sum(len(one.text) for one in evicted.values())
+            self._bytes -= sum(len(cached.text) for cached in evicted.values())
 
     def get(self, job_id: str, position: int) -> ItemResult | None:
         """Return a result if it is kept."""
--- a/src/cloverwalk/jobs/run.py
+++ b/src/cloverwalk/jobs/run.py
@@ -14,7 +14,7 @@
 from cloverwalk.jobs.evidence import ItemEnd, attempts_used
 from cloverwalk.jobs.records import ItemResult, ItemState, JobItem, JobRecord, PartialOutput
 
-MAX_GROUP = 24
+MAX_GROUP_ITEMS = 24
 MAX_GROUP_BYTES = 400_000
 SEGMENT_CHARACTERS = 20_000
 """Characters of output in one saved segment, about."""
@@ -43,7 +43,7 @@
     first_at: float = 0.0
     last_at: float = 0.0
 
-    def note(self, events: int, now: float) -> None:
+    def record_events(self, events: int, now: float) -> None:
         """Events came."""
         if self.events == 0:
             self.first_at = now
@@ -73,7 +73,7 @@
     replica_started_ms: int = 0
     """Which start of that replica it was, see ``Replica``: the next one keeps no prompt."""
 
-    content: str = ""
+    content_hash: str = ""
     """Name of its content, once somebody has asked for it; see ``gateway.content_hash``."""
 
     delivery: Delivery | None = None
@@ -82,10 +82,10 @@
     timing: RunTiming | None = None
     """How that run went, once it was answered."""
 
-    saved: int = 0
+    saved_events: int = 0
     """Events of the output that the store holds."""
 
-    first_began_at: float | None = None
+    first_started_at: float | None = None
     """When it was first sent to a replica by this owner (steady clock, seconds)."""
 
     ran_s: float = 0.0
@@ -108,7 +108,7 @@
         self.items = [ItemRun(index, item) for index, item in enumerate(items)]
         self._body_bytes = sum(len(item.body) for item in items)
         self.is_dropped = False
-        self._by_id = {one.item.item_id: one for one in self.items}
+        self._by_id = {item_run.item.item_id: item_run for item_run in self.items}
 
     @property
     def job_id(self) -> str:
@@ -118,18 +118,20 @@
     @property
     def buffered_bytes(self) -> int:
         """About what its bodies, and the outputs that are not listed, take in memory."""
-        outputs = sum(one.output_bytes for one in self.items if one.phase is not Phase.LISTED)
+        outputs = sum(
+            item_run.output_bytes for item_run in self.items if item_run.phase is not Phase.LISTED
+        )
         return self._body_bytes + outputs
 
     def restore(self, listed_ids: set[str], partials: list[PartialOutput]) -> None:
         """Take over what an earlier owner left."""
-        for one in self.items:
-            if one.item.item_id in listed_ids:
-                one.phase = Phase.LISTED
-        for (index, _epoch), segments in _by_owner(partials).items():
+        for item_run in self.items:
+            if item_run.item.item_id in listed_ids:
+                item_run.phase = Phase.LISTED
+        for (index, _epoch), segments in _segments_by_owner(partials).items():
             self._restore_output(self.items[index], segments)
 
-    def _restore_output(self, one: ItemRun, segments: list[PartialOutput]) -> None:
+    def _restore_output(self, item_run: ItemRun, segments: list[PartialOutput]) -> None:
         """Take what one owner saved, up to the first gap, if it is more than is there."""
         texts: list[str] = []
         last_event_id = None
@@ -138,28 +140,34 @@
             if segment.start <= len(texts) < end:
                 texts += segment.texts[len(texts) - segment.start :]
                 last_event_id = segment.last_event_id
-        one.failures = max(one.failures, max(segment.failures for segment in segments))
-        if one.phase is Phase.PENDING and len(texts) > len(one.texts):
-            one.texts = texts
-            one.output_bytes = sum(len(text) + TEXT_OVERHEAD_BYTES for text in texts)
-            one.last_event_id = last_event_id
+        item_run.failures = max(item_run.failures, max(segment.failures for segment in segments))
+        if item_run.phase is Phase.PENDING and len(texts) > len(item_run.texts):
+            item_run.texts = texts
+            item_run.output_bytes = sum(len(text) + TEXT_OVERHEAD_BYTES for text in texts)
+            item_run.last_event_id = last_event_id
 
     def pending(self, now: float) -> list[ItemRun]:
         """Return the items that may start now, those with output first."""
         if self.is_dropped or self.record.is_ended:
             return []
-        ready = [one for one in self.items if one.phase is Phase.PENDING and one.not_before <= now]
-        return sorted(ready, key=lambda one: (not one.texts, one.index))
-
-    def begin(self, one: ItemRun, replica_id: str, now: float, born_ms: int = 0) -> None:
+        ready = [
+            item_run
+            for item_run in self.items
+            if item_run.phase is Phase.PENDING and item_run.not_before <= now
+        ]
+        return sorted(ready, key=lambda item_run: (not item_run.texts, item_run.index))
+
+    def begin(
+        self, item_run: ItemRun, replica_id: str, now: float, replica_started_ms: int = 0
+    ) -> None:
         """An item was sent to a replica."""
-        if one.first_began_at is None:
-            one.first_began_at = now
-        one.phase = Phase.RUNNING
-        one.replica_id = replica_id
-        one.replica_started_ms = born_ms
+        if item_run.first_started_at is None:
+            item_run.first_started_at = now
+        item_run.phase = Phase.RUNNING
+        item_run.replica_id = replica_id
+        item_run.replica_started_ms = replica_started_ms
 
-    def take_event(self, one: ItemRun, event_id: int | None, data: str) -> bool:
+    def take_event(self, item_run: ItemRun, event_id: int | None, data: str) -> bool:
         """Add an event's data; return False when it does not follow the last one.
 
         >>> run = JobRun(_example_record(), 1, [JobItem("a", "/", [], b"", 1)])
@@ -168,82 +176,82 @@
         >>> run.items[0].texts
         ['x', 'x']
         """
-        last = one.last_event_id
+        last = item_run.last_event_id
         if event_id is None:
             return False
         if last is not None and event_id <= last:
             return True
         if last is not None and event_id != last + 1:
             return False
-        one.last_event_id = event_id
-        one.texts.append(data)
-        one.output_bytes += len(data) + TEXT_OVERHEAD_BYTES
+        item_run.last_event_id = event_id
+        item_run.texts.append(data)
+        item_run.output_bytes += len(data) + TEXT_OVERHEAD_BYTES
         return True
 
-    def suspend(self, one: ItemRun, not_before: float) -> None:
+    def suspend(self, item_run: ItemRun, not_before: float) -> None:
         """A run broke off or gave way; it goes on later behind its last event."""
-        one.phase = Phase.PENDING
-        one.not_before = not_before
+        item_run.phase = Phase.PENDING
+        item_run.not_before = not_before
 
-    def succeed(self, one: ItemRun) -> None:
+    def succeed(self, item_run: ItemRun) -> None:
         """A run came to its proper end."""
-        self._finish(one, ItemState.SUCCEEDED, "\n".join(one.texts))
+        self._finish(item_run, ItemState.SUCCEEDED, "\n".join(item_run.texts))
 
-    def fail(self, one: ItemRun, not_before: float, route: Route | None) -> None:
+    def fail(self, item_run: ItemRun, not_before: float, route: Route | None) -> None:
         """A run failed by its own fault; ``route`` takes the job's items now."""
-        one.failures += 1
-        evidence = attempts_used(one.replica_id, one.failures, self.record, route)
+        item_run.failures += 1
+        evidence = attempts_used(item_run.replica_id, item_run.failures, self.record, route)
         if evidence is None:
-            self.suspend(one, not_before)
+            self.suspend(item_run, not_before)
         else:
-            self.end(one, evidence)
+            self.end(item_run, evidence)
 
-    def end(self, one: ItemRun, evidence: ItemEnd) -> None:
+    def end(self, item_run: ItemRun, evidence: ItemEnd) -> None:
         """An item is ended without a result, for a reason that is allowed."""
-        one.end = evidence
-        self._finish(one, ItemState.DEAD, "")
+        item_run.end = evidence
+        self._finish(item_run, ItemState.DEAD, "")
 
-    def _finish(self, one: ItemRun, state: ItemState, text: str) -> None:
-        one.phase = Phase.FINISHED
-        one.replica_id = ""
-        one.texts = []
-        one.result = ItemResult(one.item.item_id, state, text)
+    def _finish(self, item_run: ItemRun, state: ItemState, text: str) -> None:
+        item_run.phase = Phase.FINISHED
+        item_run.replica_id = ""
+        item_run.texts = []
+        item_run.result = ItemResult(item_run.item.item_id, state, text)
 
     def next_group(self) -> list[ItemRun]:
         """Return finished items to be listed in one transaction."""
         group: list[ItemRun] = []
         size = 0
-        for one in self.items:
-            if one.phase is not Phase.FINISHED or one.result is None:
+        for item_run in self.items:
+            if item_run.phase is not Phase.FINISHED or item_run.result is None:
                 continue
-            size += len(one.result.text)
-            if group and (len(group) >= MAX_GROUP or size > MAX_GROUP_BYTES):
+            size += len(item_run.result.text)
+            if group and (len(group) >= MAX_GROUP_ITEMS or size > MAX_GROUP_BYTES):
                 break
-            group.append(one)
+            group.append(item_run)
         return group
 
     def record_after(self, group: list[ItemRun]) -> JobRecord:
         """Return the record once ``group`` is listed."""
-        listed = {one.index for one in group}
+        listed = {item_run.index for item_run in group}
         waiting = sum(
-            one.item.tokens
-            for one in self.items
-            if one.phase is not Phase.LISTED and one.index not in listed
+            item_run.item.tokens
+            for item_run in self.items
+            if item_run.phase is not Phase.LISTED and item_run.index not in listed
         )
         listed_count = self.record.listed + len(group)
         return replace_record(self.record, listed=listed_count, waiting_tokens=waiting)
 
     def mark_listed(self, group: list[ItemRun], record: JobRecord, version: int) -> None:
         """The transaction of a group was committed."""
-        for one in group:
-            one.phase = Phase.LISTED
-            one.result = None
+        for item_run in group:
+            item_run.phase = Phase.LISTED
+            item_run.result = None
         self.record = record
         self.version = version
 
     def is_done(self) -> bool:
         """Whether every item is listed."""
-        return all(one.phase is Phase.LISTED for one in self.items)
+        return all(item_run.phase is Phase.LISTED for item_run in self.items)
 
     def find(self, item_id: str) -> ItemRun | None:
         """Return an item by its id."""
@@ -252,38 +260,43 @@
     def unsaved(self) -> list[PartialOutput]:
         """Return the output of unfinished items that the store does not hold yet."""
         segments: list[PartialOutput] = []
-        for one in self.items:
-            if one.phase in (Phase.PENDING, Phase.RUNNING) and len(one.texts) > one.saved:
-                segments += _segments(one, self.record.epoch)
+        for item_run in self.items:
+            if (
+                item_run.phase in (Phase.PENDING, Phase.RUNNING)
+                and len(item_run.texts) > item_run.saved_events
+            ):
+                segments += _segments(item_run, self.record.epoch)
         return segments
 
     def mark_saved(self, segments: list[PartialOutput]) -> None:
         """The store holds these segments."""
         for segment in segments:
-            one = self.items[segment.index]
-            one.saved = max(one.saved, segment.start + len(segment.texts))
+            item_run = self.items[segment.index]
+            item_run.saved_events = max(item_run.saved_events, segment.start + len(segment.texts))
 
 
-def _by_owner(partials: list[PartialOutput]) -> dict[tuple[int, int], list[PartialOutput]]:
-    owners: dict[tuple[int, int], list[PartialOutput]] = {}
-    for partial in sorted(partials, key=lambda one: (one.index, one.epoch, one.start)):
-        owners.setdefault((partial.index, partial.epoch), []).append(partial)
-    return owners
+def _segments_by_owner(partials: list[PartialOutput]) -> dict[tuple[int, int], list[PartialOutput]]:
+    by_owner: dict[tuple[int, int], list[PartialOutput]] = {}
+    for partial in sorted(partials, key=lambda output: (output.index, output.epoch, output.start)):
+        by_owner.setdefault((partial.index, partial.epoch), []).append(partial)
+    return by_owner
 
 
-def _segments(one: ItemRun, epoch: int) -> list[PartialOutput]:
+def _segments(item_run: ItemRun, epoch: int) -> list[PartialOutput]:
     """Return an item's unsaved output in segments that fit into a row each."""
-    assert one.last_event_id is not None
+    assert item_run.last_event_id is not None
     segments: list[PartialOutput] = []
-    start = one.saved
-    while start < len(one.texts):
+    start = item_run.saved_events
+    while start < len(item_run.texts):
         end, size = start, 0
-        while end < len(one.texts) and (end == start or size < SEGMENT_CHARACTERS):
-            size += len(one.texts[end])
+        while end < len(item_run.texts) and (end == start or size < SEGMENT_CHARACTERS):
+            size += len(item_run.texts[end])
             end += 1
-        last_event_id = one.last_event_id - (len(one.texts) - end)
-        texts = one.texts[start:end]
-        segments.append(PartialOutput(one.index, epoch, start, last_event_id, texts, one.failures))
+        last_event_id = item_run.last_event_id - (len(item_run.texts) - end)
+        texts = item_run.texts[start:end]
+        segments.append(
+            PartialOutput(item_run.index, epoch, start, last_event_id, texts, item_run.failures)
+        )
         start = end
     return segments
 
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -14,7 +14,7 @@
 from cloverwalk.gateway.crash_detector import CrashDetector
 from cloverwalk.gateway.errors import TIMED_OUT, ReplicaError
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteWatch, past_retention
+from cloverwalk.jobs.evidence import Impossible, ItemEnd, RouteMonitor, past_retention
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
 from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
@@ -26,18 +26,20 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-LOOK_EVERY_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """How often waiting items are looked at though nothing has happened: some become late."""
 
 RETRY_S = 0.3
 
 
-class _Running:
+class _RunningItem:
     """An item at a replica."""
 
-    def __init__(self, job: JobRun, one: ItemRun, work: InFlightEntry, started_at: float) -> None:
+    def __init__(
+        self, job: JobRun, item_run: ItemRun, work: InFlightEntry, started_at: float
+    ) -> None:
         self.job = job
-        self.one = one
+        self.item_run = item_run
         self.work = work
         self.replica_id = work.replica_id
         self.started_at = started_at
@@ -45,10 +47,10 @@
         self.expected_ms = 0.0
         """Slot time that it was expected to take when it was granted its slot."""
 
-        self.gives_way = False
+        self.is_preempted = False
         """Whether it was told to give way: its work is not counted any more."""
 
-    def note_output(self) -> None:
+    def record_output(self) -> None:
         """The replica has put something out."""
         self.work.has_output = True
 
@@ -62,8 +64,8 @@
         directory: ReplicaDirectory,
         loads: InFlightTracker,
         caller: ItemCaller,
-        witness: CrashDetector,
-        link: CoordinatorClient,
+        crash_detector: CrashDetector,
+        coordinator_client: CoordinatorClient,
         on_finished: Callable[[JobRun], Awaitable[None]],
         on_orphans: Callable[[list[str]], Awaitable[None]],
         store_time: Callable[[], StoreTime | None],
@@ -76,8 +78,8 @@
         self._directory = directory
         self._loads = loads
         self._caller = caller
-        self._witness = witness
-        self._link = link
+        self._crash_detector = crash_detector
+        self._coordinator_client = coordinator_client
         self._on_finished = on_finished
         self._on_orphans = on_orphans
         self._store_time = store_time
@@ -86,15 +88,15 @@
         self._metrics = metrics
         self._clock = clock
         self.jobs: dict[str, JobRun] = {}
-        self._running: dict[tuple[str, int], _Running] = {}
+        self._running: dict[tuple[str, int], _RunningItem] = {}
         self._wake = curio.Event()
         self._has_jobs = curio.Event()
-        self._pace = ItemTimeEstimator()
-        self._route_watch = RouteWatch()
-        self._tells_pace = False
+        self._time_estimator = ItemTimeEstimator()
+        self._route_monitor = RouteMonitor()
+        self._reports_item_timings = False
         """Whether a replica has told its pace here: then how long items still run matters."""
 
-        self._has_ended = False
+        self._has_ended_run = False
         """Whether a run has ended since the last report was asked for."""
 
         self.is_stopping = False
@@ -111,13 +113,13 @@
     async def drop(self, job_id: str) -> None:
         """Stop a job: it is done, ended, or owned by another node."""
         job = self.jobs.pop(job_id, None)
-        self._route_watch.forget(job_id)
+        self._route_monitor.remove(job_id)
         if job is None:
             return
         job.is_dropped = True
         if not self.jobs:
             self._has_jobs.clear()
-        for running in [one for one in self._running.values() if one.job is job]:
+        for running in [active for active in self._running.values() if active.job is job]:
             await running.task.cancel(blocking=False)
         await self._wake.set()
 
@@ -143,26 +145,26 @@
         """Tell the coordinator what waits, whenever that changes, until cancelled."""
         while True:
             if self.jobs:
-                async with curio.ignore_after(self._rest_s()):
+                async with curio.ignore_after(self._check_timeout_s()):
                     await self._wake.wait()
             else:
                 await self._wake.wait()
             self._wake.clear()
-            await self._give_up_old()
-            await self._tell_waiting()
+            await self._end_expired_items()
+            await self._report_waiting()
 
-    def _rest_s(self) -> float:
+    def _check_timeout_s(self) -> float:
         """Return the time to the next look, or to the end of an item's pause."""
         now = self._clock()
-        pauses = [
-            one.not_before - now
+        retry_delays_s = [
+            item_run.not_before - now
             for job in self.jobs.values()
-            for one in job.items
-            if one.phase is Phase.PENDING and one.not_before > now
+            for item_run in job.items
+            if item_run.phase is Phase.PENDING and item_run.not_before > now
         ]
-        return min([LOOK_EVERY_S, *pauses])
+        return min([CHECK_INTERVAL_S, *retry_delays_s])
 
-    async def _tell_waiting(self) -> None:
+    async def _report_waiting(self) -> None:
         by_pool: dict[str, list[WaitingItem]] = {}
         if not self.is_stopping:
             for job in self.jobs.values():
@@ -171,55 +173,61 @@
                     pool = ",".join(services)
                     by_pool.setdefault(pool, []).extend(self._waiting_items(job))
         waiting = {pool: summarise(items) for pool, items in by_pool.items() if items}
-        if waiting != self._link.waiting or self._take_has_ended():
-            self._link.waiting = waiting
-            await self._link.trigger_report()
+        if waiting != self._coordinator_client.waiting or self._pop_has_ended_run():
+            self._coordinator_client.waiting = waiting
+            await self._coordinator_client.trigger_report()
 
-    def _take_has_ended(self) -> bool:
+    def _pop_has_ended_run(self) -> bool:
         """Return whether a run has ended since the last call; own loads have changed then."""
-        has_ended, self._has_ended = self._has_ended, False
+        has_ended, self._has_ended_run = self._has_ended_run, False
         return has_ended
 
     def _waiting_items(self, job: JobRun) -> list[WaitingItem]:
-        return [self._waiting_item(job, one) for one in self._sendable(job)]
+        return [self._waiting_item(job, item_run) for item_run in self._startable_items(job)]
 
-    def _sendable(self, job: JobRun) -> list[ItemRun]:
+    def _startable_items(self, job: JobRun) -> list[ItemRun]:
         """Return the items that may start now.
 
         A contained one waits for the time of its next trial; it is listed as dead by what ends
         other items only, and the rest of its job goes on.
         """
         pending = job.pending(self._clock())
-        if self._witness.ledger.is_empty:
+        if self._crash_detector.ledger.is_empty:
             return pending
         return [
-            one for one in pending if not self._witness.is_contained(self._caller.content(job, one))
+            item_run
+            for item_run in pending
+            if not self._crash_detector.is_contained(self._caller.content_hash(job, item_run))
         ]
 
-    def _waiting_item(self, job: JobRun, one: ItemRun) -> WaitingItem:
+    def _waiting_item(self, job: JobRun, item_run: ItemRun) -> WaitingItem:
         due_ms = job.record.due_ms
-        can_be_in_time = self._pace.can_be_in_time(one, self._left_ms(job))
-        kept_at = self._directory.find(one.replica_id)
+        can_be_in_time = self._time_estimator.can_be_in_time(item_run, self._time_left_ms(job))
+        last_replica = self._directory.find(item_run.replica_id)
         replica_id = (
-            one.replica_id if kept_at and kept_at.may_be_incarnation(one.replica_started_ms) else ""
+            item_run.replica_id
+            if last_replica and last_replica.may_be_incarnation(item_run.replica_started_ms)
+            else ""
         )
-        order_ms = self._pace.order_ms(one, due_ms)
+        order_ms = self._time_estimator.effective_due_ms(item_run, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
             order_ms,
             can_be_in_time,
             replica_id,
-            self._reading_ms(one),
+            self._prefill_ms(item_run),
             priority,
-            tokens=self._tokens(job, one),
+            tokens=self._tokens(job, item_run),
         )
         has_tenants = self._configuration.has_tenants
-        if not has_tenants and not self._tells_pace:
+        if not has_tenants and not self._reports_item_timings:
             return waiting
         tenant = job.record.tenant if has_tenants else ""
-        return attrs.evolve(waiting, tenant=tenant, remaining_ms=1000 * self._pace.remaining_s(one))
+        return attrs.evolve(
+            waiting, tenant=tenant, remaining_ms=1000 * self._time_estimator.remaining_s(item_run)
+        )
 
-    def _tokens(self, job: JobRun, one: ItemRun) -> int:
+    def _tokens(self, job: JobRun, item_run: ItemRun) -> int:
         """Return the memory that an item may take at a replica, 0 where nobody counts it.
 
         One that no replica holds counts as nothing: its replica refuses it, and others go on.
@@ -227,57 +235,59 @@
         current = self._configuration.current
         if not self._loads.counts_tokens or current is None:
             return 0
-        known = [current.services.get(name) for name in self._services(job)]
-        limits = [0 if service is None else memory_limit_tokens(service) for service in known]
-        can_fit = 0 in limits or one.item.tokens <= max(limits, default=0)
-        return max(0, one.item.tokens) if can_fit else 0
+        services = [current.services.get(name) for name in self._services(job)]
+        limits_tokens = [
+            0 if service is None else memory_limit_tokens(service) for service in services
+        ]
+        can_fit = 0 in limits_tokens or item_run.item.tokens <= max(limits_tokens, default=0)
+        return max(0, item_run.item.tokens) if can_fit else 0
 
     def _priority(self, job: JobRun) -> int:
         """Return the rank of a job: its tenant's, or its route's."""
         route = self._route(job)
-        own = 0 if route is None else route.priority
-        return self._configuration.tenants.priority(job.record.tenant, own)
+        route_priority = 0 if route is None else route.priority
+        return self._configuration.tenants.priority(job.record.tenant, route_priority)
 
-    def _left_ms(self, job: JobRun) -> float:
+    def _time_left_ms(self, job: JobRun) -> float:
         """Return the time until a job is due; all the time while the store's is not known."""
         time = self._store_time()
         return float("inf") if time is None else job.record.due_ms - time.earliest_ms
 
-    def _reading_ms(self, one: ItemRun) -> float:
-        prompt = self._caller.prompt(one)
+    def _prefill_ms(self, item_run: ItemRun) -> float:
+        prompt = self._caller.prompt(item_run)
         return prefill_ms(prompt[-1].tokens) if prompt else 0.0
 
-    async def _give_up_old(self) -> None:
+    async def _end_expired_items(self) -> None:
         """End waiting items past their retention, and those whose route is gone for good."""
         for job in list(self.jobs.values()):
-            evidence = self._end_of_all(job)
+            evidence = self._evidence_for_all_items(job)
             if evidence is None:
                 continue
-            waiting = [one for one in job.items if one.phase is Phase.PENDING]
-            for one in waiting:
-                job.end(one, evidence)
+            waiting = [item_run for item_run in job.items if item_run.phase is Phase.PENDING]
+            for item_run in waiting:
+                job.end(item_run, evidence)
             if waiting:
-                self._note_dead(job, waiting, evidence)
+                self._log_dead_items(job, waiting, evidence)
                 await self._on_finished(job)
 
-    def _end_of_all(self, job: JobRun) -> ItemEnd | None:
+    def _evidence_for_all_items(self, job: JobRun) -> ItemEnd | None:
         """Return what ends every unfinished item of a job, if anything does."""
-        over = past_retention(job.record, self._route(job), self._store_time())
-        return over or self._end_of_route(job)
+        retention_evidence = past_retention(job.record, self._route(job), self._store_time())
+        return retention_evidence or self._evidence_of_route_end(job)
 
-    def _end_of_route(self, job: JobRun) -> ItemEnd | None:
+    def _evidence_of_route_end(self, job: JobRun) -> ItemEnd | None:
         if self._configuration.current is None or self._route(job) is not None:
-            self._route_watch.note_present(job.job_id)
+            self._route_monitor.record_present(job.job_id)
             return None
         version, now_ms = self._configuration.version, self._clock() * 1000
         confirmed_ms = self._configuration_confirmed_at() * 1000
-        return self._route_watch.note_missing(job.record, version, now_ms, confirmed_ms)
+        return self._route_monitor.record_missing(job.record, version, now_ms, confirmed_ms)
 
-    def _note_dead(self, job: JobRun, dead: list[ItemRun], evidence: ItemEnd) -> None:
+    def _log_dead_items(self, job: JobRun, dead_items: list[ItemRun], evidence: ItemEnd) -> None:
         """Write one line for all items that end together, so that none is left out."""
         self._log.write(
             catalogue.ITEMS_DEAD,
-            requests=[one.item.item_id for one in dead],
+            requests=[item_run.item.item_id for item_run in dead_items],
             job=job.job_id,
             epoch=job.record.epoch,
             reason=evidence.reason,
@@ -323,11 +333,15 @@
                 continue
             waiting = self._waiting_for(replica)
             tenants = [job.record.tenant for job, _ in waiting]
-            sizes = [self._tokens(job, one) for job, one in waiting] if tokens else []
-            most = tokens.get(replica_id, 0) if tokens else None
-            for index in pick(tenants, count, by_tenant.get(replica_id, {}), sizes, most):
-                job, one = waiting[index]
-                await self._start(job, one, replica)
+            item_tokens = (
+                [self._tokens(job, item_run) for job, item_run in waiting] if tokens else []
+            )
+            max_tokens = tokens.get(replica_id, 0) if tokens else None
+            for index in pick(
+                tenants, count, by_tenant.get(replica_id, {}), item_tokens, max_tokens
+            ):
+                job, item_run = waiting[index]
+                await self._start(job, item_run, replica)
         await self._wake.set()
 
     def _waiting_for(self, replica: Replica) -> list[tuple[JobRun, ItemRun]]:
@@ -336,150 +350,152 @@
         for job in self.jobs.values():
             if replica.service not in self._services(job):
                 continue
-            for one in self._sendable(job):
-                told = self._waiting_item(job, one)
-                is_elsewhere = told.replica_id not in ("", replica.replica_id)
-                ranked.append(((told.sort_key, is_elsewhere, told.due_ms), job, one))
+            for item_run in self._startable_items(job):
+                waiting = self._waiting_item(job, item_run)
+                is_elsewhere = waiting.replica_id not in ("", replica.replica_id)
+                ranked.append(((waiting.sort_key, is_elsewhere, waiting.due_ms), job, item_run))
         ranked.sort(key=lambda entry: entry[0])
-        return [(job, one) for _, job, one in ranked]
+        return [(job, item_run) for _, job, item_run in ranked]
 
     async def apply_revokes(self, revokes: dict[str, int]) -> None:
         """Suspend items at replicas, where online requests need their slots."""
-        giving_way = [
+        preempted = [
             running
             for replica_id, count in revokes.items()
-            for running in self._give_way(replica_id, count)
+            for running in self._preempt(replica_id, count)
         ]
-        for running in giving_way:
+        for running in preempted:
             await running.task.cancel(blocking=False)
         await self._wake.set()
 
-    async def _start(self, job: JobRun, one: ItemRun, replica: Replica) -> None:
+    async def _start(self, job: JobRun, item_run: ItemRun, replica: Replica) -> None:
         now = self._clock()
-        job.begin(one, replica.replica_id, now, replica.started_ms)
-        work = self._loads.begin(replica.replica_id, True, self._tokens(job, one))
-        running = _Running(job, one, work, now)
-        running.expected_ms = self._pace.remaining_s(one) * 1000
-        self._running[job.job_id, one.index] = running
+        job.begin(item_run, replica.replica_id, now, replica.started_ms)
+        work = self._loads.begin(replica.replica_id, True, self._tokens(job, item_run))
+        running = _RunningItem(job, item_run, work, now)
+        running.expected_ms = self._time_estimator.remaining_s(item_run) * 1000
+        self._running[job.job_id, item_run.index] = running
         self._log.write(
             catalogue.ITEM_STARTED,
-            request=one.item.item_id,
+            request=item_run.item.item_id,
             job=job.job_id,
             replica=replica.replica_id,
-            after_event=one.last_event_id,
+            after_event=item_run.last_event_id,
             configuration=self._configuration.version,
         )
         running.task = await curio.spawn(self._run_item, running, replica, daemon=True)
 
     # --- one run ---
 
-    async def _run_item(self, running: _Running, replica: Replica) -> None:
-        job, one = running.job, running.one
+    async def _run_item(self, running: _RunningItem, replica: Replica) -> None:
+        job, item_run = running.job, running.item_run
         outcome = "suspended"
-        began_with = len(one.texts)
+        earlier_events = len(item_run.texts)
         is_answered = False
         try:
-            is_suspect = self._is_suspect(job, one)
-            await self._caller.run(job, one, replica, running.note_output, is_suspect)
-            took_s = self._clock() - running.started_at
-            self._pace.note_run(len(one.texts), began_with, took_s)
-            self._pace.note_item(one, self._clock(), took_s)
-            job.succeed(one)
+            is_suspect = self._is_suspect(job, item_run)
+            await self._caller.run(job, item_run, replica, running.record_output, is_suspect)
+            run_s = self._clock() - running.started_at
+            self._time_estimator.record_run(len(item_run.texts), earlier_events, run_s)
+            self._time_estimator.record_item(item_run, self._clock(), run_s)
+            job.succeed(item_run)
             outcome = "succeeded"
             is_answered = True
         except ItemImpossibleError:
-            job.end(one, Impossible(replica.replica_id))
+            job.end(item_run, Impossible(replica.replica_id))
             outcome = "impossible"
             is_answered = True
         except ItemFailedError:
-            job.fail(one, self._clock() + RETRY_S, self._route(job))
+            job.fail(item_run, self._clock() + RETRY_S, self._route(job))
             outcome = "failed"
             is_answered = True
         except ReplicaError as error:
             outcome = error.code
-            if error.may_have_run and len(one.texts) == began_with:
+            if error.may_have_run and len(item_run.texts) == earlier_events:
                 # One that has put something out does not end its replica as it begins.
-                content = self._caller.content(job, one)
-                item_id, delivery = one.item.item_id, one.delivery
-                await self._witness.record_failure(item_id, content, replica, error.code, delivery)
+                content = self._caller.content_hash(job, item_run)
+                item_id, delivery = item_run.item.item_id, item_run.delivery
+                await self._crash_detector.record_failure(
+                    item_id, content, replica, error.code, delivery
+                )
             if error.code in ("reset", "unreachable", TIMED_OUT):
                 self._directory.suspect(replica.replica_id, self._clock())
         finally:
             if is_answered:
-                self._witness.record_answer(self._caller.content(job, one))
+                self._crash_detector.record_answer(self._caller.content_hash(job, item_run))
             await self._end_run(running, outcome)
 
-    def _is_suspect(self, job: JobRun, one: ItemRun) -> bool:
-        if self._witness.ledger.is_empty:
+    def _is_suspect(self, job: JobRun, item_run: ItemRun) -> bool:
+        if self._crash_detector.ledger.is_empty:
             return False
-        return self._witness.is_crash_suspect(self._caller.content(job, one))
+        return self._crash_detector.is_crash_suspect(self._caller.content_hash(job, item_run))
 
-    async def _end_run(self, running: _Running, outcome: str) -> None:
-        job, one = running.job, running.one
-        if not running.gives_way:
+    async def _end_run(self, running: _RunningItem, outcome: str) -> None:
+        job, item_run = running.job, running.item_run
+        if not running.is_preempted:
             self._loads.end(running.work)
-        self._running.pop((job.job_id, one.index), None)
-        one.last_run_s = self._clock() - running.started_at
-        one.ran_s += one.last_run_s
-        self._note_correction(running)
-        one.suspensions += outcome == "suspended"
-        if one.phase is Phase.RUNNING:
-            pause_s = 0.0 if outcome == "suspended" else RETRY_S
-            job.suspend(one, self._clock() + pause_s)
-        self._tell_timing(running)
+        self._running.pop((job.job_id, item_run.index), None)
+        item_run.last_run_s = self._clock() - running.started_at
+        item_run.ran_s += item_run.last_run_s
+        self._record_correction(running)
+        item_run.suspensions += outcome == "suspended"
+        if item_run.phase is Phase.RUNNING:
+            retry_delay_s = 0.0 if outcome == "suspended" else RETRY_S
+            job.suspend(item_run, self._clock() + retry_delay_s)
+        self._record_timing(running)
         self._metrics.item_ended(outcome)
         self._log.write(
             catalogue.ITEM_RUN_ENDED,
-            request=one.item.item_id,
+            request=item_run.item.item_id,
             job=job.job_id,
             replica=running.replica_id,
             outcome=outcome,
-            failures=one.failures,
-            last_event=one.last_event_id,
+            failures=item_run.failures,
+            last_event=item_run.last_event_id,
             ran_ms=round((self._clock() - running.started_at) * 1000),
-            late=self._note_lateness(job, one),
+            late=self._record_lateness(job, item_run),
         )
-        if one.phase is Phase.FINISHED:
-            if one.end is not None:
-                self._note_dead(job, [one], one.end)
+        if item_run.phase is Phase.FINISHED:
+            if item_run.end is not None:
+                self._log_dead_items(job, [item_run], item_run.end)
             await self._on_finished(job)
-        self._has_ended = True
+        self._has_ended_run = True
         await self._wake.set()
 
-    def _note_correction(self, running: _Running) -> None:
+    def _record_correction(self, running: _RunningItem) -> None:
         """Tell what the run took beyond what its tenant was charged for it."""
         if not self._configuration.has_tenants:
             return
         tenant, rank = running.job.record.tenant, self._priority(running.job)
-        more_ms = running.one.last_run_s * 1000 - running.expected_ms
-        self._link.record_work_correction(tenant, rank, round(more_ms))
+        extra_ms = running.item_run.last_run_s * 1000 - running.expected_ms
+        self._coordinator_client.record_work_correction(tenant, rank, round(extra_ms))
 
-    def _tell_timing(self, running: _Running) -> None:
-        timing = running.one.timing
+    def _record_timing(self, running: _RunningItem) -> None:
+        timing = running.item_run.timing
         if timing is None or timing.events == 0:
             return
-        self._tells_pace |= timing.reported_slowdown_percent > 0
-        if not self._tells_pace:
+        self._reports_item_timings |= timing.reported_slowdown_percent > 0
+        if not self._reports_item_timings:
             # Nobody asks for it, and reports stay as small as they are without it.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
-        told = ItemTiming(
+        item_timing = ItemTiming(
             running.replica_id, timing.events, took_ms, timing.reported_slowdown_percent
         )
-        self._link.record_item_timing(told)
+        self._coordinator_client.record_item_timing(item_timing)
 
-    def _note_lateness(self, job: JobRun, one: ItemRun) -> str | None:
+    def _record_lateness(self, job: JobRun, item_run: ItemRun) -> str | None:
         """Return why a finished item is late; None for one in time, or not finished."""
-        if one.phase is not Phase.FINISHED or one.end is not None:
+        if item_run.phase is not Phase.FINISHED or item_run.end is not None:
             return None
         cause = item_cause(
             ItemTimes(
-                -self._left_ms(job),
+                -self._time_left_ms(job),
                 job.record.due_ms - job.record.accepted_ms,
-                one.ran_s * 1000,
-                one.last_run_s * 1000,
-                one.failures,
-                one.suspensions,
+                item_run.ran_s * 1000,
+                item_run.last_run_s * 1000,
+                item_run.failures,
+                item_run.suspensions,
             )
         )
         if cause is None:
@@ -488,24 +504,32 @@
         self._metrics.request_late("" if route is None else route.name, cause.value)
         return cause.value
 
-    def _give_way(self, replica_id: str, count: int) -> list[_Running]:
+    def _preempt(self, replica_id: str, count: int) -> list[_RunningItem]:
         """Return the items at a replica that give way; from now on they have no slot there.
 
         First those that have put out nothing in this run: they may still wait in the replica's
         queue, before the online request. Then those that can't be in time, then those of the
         lowest priority, and of these those with the most time to spare.
         """
-        there = [one for one in self._running.values() if one.replica_id == replica_id]
-        there = [one for one in there if not one.gives_way and one.task is not None]
-        there.sort(key=self._yield_rank)
-        chosen = there[:count]
-        for running in chosen:
-            running.gives_way = True
+        candidates = [
+            running_item
+            for running_item in self._running.values()
+            if running_item.replica_id == replica_id
+        ]
+        candidates = [
+            running_item
+            for running_item in candidates
+            if not running_item.is_preempted and running_item.task is not None
+        ]
+        candidates.sort(key=self._preemption_rank)
+        preempted = candidates[:count]
+        for running in preempted:
+            running.is_preempted = True
             self._loads.end(running.work)
-        return chosen
+        return preempted
 
-    def _yield_rank(self, running: _Running) -> tuple[bool, bool, int, float]:
-        left_ms = self._left_ms(running.job)
-        spare_ms = left_ms - self._pace.remaining_s(running.one) * 1000
+    def _preemption_rank(self, running: _RunningItem) -> tuple[bool, bool, int, float]:
+        time_left_ms = self._time_left_ms(running.job)
+        spare_ms = time_left_ms - self._time_estimator.remaining_s(running.item_run) * 1000
         priority = self._priority(running.job)
         return (running.work.has_output, spare_ms >= 0, -priority, -spare_ms)
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -6,7 +6,7 @@
 from cloverwalk.core.error_response import Reason
 from cloverwalk.gateway.configuration import Route
 from cloverwalk.jobs.commit import Committer
-from cloverwalk.jobs.errors import JobError, unsettled
+from cloverwalk.jobs.errors import JobError, unresolved_error
 from cloverwalk.jobs.intake import JobIntake, Submission
 from cloverwalk.jobs.reader import JobReader, ResultPage
 from cloverwalk.jobs.records import JobRecord, decode_record, encode, job_key
@@ -22,10 +22,10 @@
 )
 from cloverwalk.telemetry.log import ServingLog
 
-SUBMIT_S = 3.2
+SUBMIT_TIMEOUT_S = 3.2
 """A hand-in is settled or given up within this time; callers wait a little longer."""
 
-END_S = 3.2
+END_TIMEOUT_S = 3.2
 MAX_END_CONFLICTS = 20
 END_RETRY_AFTER_S = 0.2
 
@@ -59,8 +59,10 @@
         writes: JobWriteTracker,
     ) -> None:
         """Take a job; returns once the store holds it."""
-        allowed_s = SUBMIT_S if deadline_s is None else min(SUBMIT_S, 0.8 * deadline_s)
-        await self._intake.submit(submission, route, self._clock() + allowed_s, writes)
+        timeout_s = (
+            SUBMIT_TIMEOUT_S if deadline_s is None else min(SUBMIT_TIMEOUT_S, 0.8 * deadline_s)
+        )
+        await self._intake.submit(submission, route, self._clock() + timeout_s, writes)
 
     async def read(self, job_id: str, tenant: str, position: int, wait_s: float) -> ResultPage:
         """Return results of a tenant's job from a position on."""
@@ -69,9 +71,9 @@
 
     async def _find(self, job_id: str, tenant: str) -> JobRecord:
         """Return the record of a tenant's job. A job of another tenant is not there for it."""
-        known = self._view.find(job_id)
+        cached = self._view.find(job_id)
         # Who handed a job in never changes, so any version of its record tells it.
-        record = await self._reader.find(job_id) if known is None else known.record
+        record = await self._reader.find(job_id) if cached is None else cached.record
         if record.tenant != tenant:
             raise JobError(Reason.NOT_FOUND, "no_such_job", "no such job")
         return record
@@ -81,9 +83,9 @@
         await self._find(job_id, tenant)
         job = self._runner.jobs.get(job_id)
         if job is not None:
-            one = job.find(item_id)
-            if one is not None:
-                return one.item.body
+            item_run = job.find(item_id)
+            if item_run is not None:
+                return item_run.item.body
             raise JobError(Reason.NOT_FOUND, "no_such_item", "no such item")
         record = await self._reader.find(job_id)
         for item in await self._reader.items(record):
@@ -93,36 +95,36 @@
 
     async def end(self, job_id: str, tenant: str, writes: JobWriteTracker) -> None:
         """End a tenant's job: none of its items starts any more."""
-        until = self._clock() + END_S
+        deadline = self._clock() + END_TIMEOUT_S
         await self._find(job_id, tenant)
         record = await self._reader.find(job_id)
-        known = self._view.find(job_id)
-        version = 0 if known is None else known.version
+        cached = self._view.find(job_id)
+        version = 0 if cached is None else cached.version
         for _ in range(MAX_END_CONFLICTS):
             if not record.is_open:
                 break
             ended = replace_record(record, is_ended=True)
             key = job_key(job_id)
             transaction = Transaction([Expectation(key, version)], [Put(key, encode(ended))])
-            outcome = await writes.settle(self._committer.settle(transaction, until))
+            outcome = await writes.track(self._committer.settle(transaction, deadline))
             if outcome.status is CommitStatus.COMMITTED:
-                await self._ended(ended, outcome.version)
+                await self._on_ended(ended, outcome.version)
                 return
             row = outcome.conflict(key)
             if outcome.status is not CommitStatus.CONFLICT:
-                raise unsettled(outcome.status, END_RETRY_AFTER_S)
+                raise unresolved_error(outcome.status, END_RETRY_AFTER_S)
             if row is None or row.value is None:
                 raise JobError(Reason.NOT_FOUND, "no_such_job", "no such job")
             record, version = decode_record(row.value), row.version
             if record.is_open:
-                writes.note_void()
+                writes.mark_void()
         if record.is_open:
             message = "the job changes too fast"
             raise JobError(Reason.UNAVAILABLE, "job_contended", message, END_RETRY_AFTER_S)
         # Ended before, or by a transaction of this call whose answer was lost.
         await self._runner.drop(job_id)
 
-    async def _ended(self, record: JobRecord, version: int) -> None:
+    async def _on_ended(self, record: JobRecord, version: int) -> None:
         self._log.write(catalogue.JOB_ENDED, request=record.job_id, listed=record.listed)
         await self._view.put(record, version)
         await self._runner.drop(record.job_id)
--- a/src/cloverwalk/jobs/sweeper.py
+++ b/src/cloverwalk/jobs/sweeper.py
@@ -8,7 +8,7 @@
 from cloverwalk.core import catalogue
 from cloverwalk.core.hashing import rendezvous_owner
 from cloverwalk.jobs.commit import Committer
-from cloverwalk.jobs.evidence import StatusPast, status_past
+from cloverwalk.jobs.evidence import StatusExpired, status_expired
 from cloverwalk.jobs.records import (
     PARTIAL_TABLE,
     PAYLOAD_TABLE,
@@ -17,7 +17,7 @@
     keys_end,
     part_of,
 )
-from cloverwalk.jobs.view import JobView, KnownJob
+from cloverwalk.jobs.view import JobView, VersionedRecord
 from cloverwalk.store.clock import StoreTime
 from cloverwalk.store.types import (
     CommitStatus,
@@ -29,8 +29,8 @@
 )
 from cloverwalk.telemetry.log import ServingLog
 
-LOOK_EVERY_S = 10.0
-MARGIN_MS = 60_000.0
+SWEEP_INTERVAL_S = 10.0
+REMOVAL_MARGIN_MS = 60_000.0
 """Added to the time for which a job can be read."""
 
 MAX_REMOVALS = 90
@@ -56,30 +56,30 @@
         self._store = store
         self._committer = committer
         self._store_time = store_time
-        self._kept_ms = job_status_ttl_s * 1000 + MARGIN_MS
+        self._readable_ms = job_status_ttl_s * 1000 + REMOVAL_MARGIN_MS
         self._log = log
 
     async def run(self) -> None:
         """Look for old jobs until cancelled."""
         while True:
-            await curio.sleep(LOOK_EVERY_S)
+            await curio.sleep(SWEEP_INTERVAL_S)
             await self.sweep()
 
     async def sweep(self) -> None:
         """Remove the old jobs that fall to this node."""
-        for known in self._view.all():
-            evidence = status_past(known.record, self._store_time(), self._kept_ms)
+        for versioned in self._view.all():
+            evidence = status_expired(versioned.record, self._store_time(), self._readable_ms)
             if evidence is None:
                 continue
-            if rendezvous_owner(known.record.job_id, self._members()) != self._name:
+            if rendezvous_owner(versioned.record.job_id, self._members()) != self._name:
                 continue
             try:
-                await self._remove(known, evidence)
+                await self._remove(versioned, evidence)
             except StoreError:
                 return
 
-    async def _remove(self, known: KnownJob, evidence: StatusPast) -> None:
-        job_id = known.record.job_id
+    async def _remove(self, versioned: VersionedRecord, evidence: StatusExpired) -> None:
+        job_id = versioned.record.job_id
         for table in (RESULT_TABLE, PARTIAL_TABLE, PAYLOAD_TABLE):
             while keys := await self._keys(table, job_id):
                 outcome = await self._committer.once(Transaction(removals=keys))
@@ -87,7 +87,7 @@
                     return
         # The record goes last: while it is there, the rest is found again.
         key = job_key(job_id)
-        transaction = Transaction([Expectation(key, known.version)], removals=[key])
+        transaction = Transaction([Expectation(key, versioned.version)], removals=[key])
         outcome = await self._committer.once(transaction)
         if outcome.status is not CommitStatus.COMMITTED:
             return
--- a/src/cloverwalk/jobs/takeover.py
+++ b/src/cloverwalk/jobs/takeover.py
@@ -6,7 +6,7 @@
 
 from cloverwalk.core import catalogue
 from cloverwalk.core.error_response import Reason
-from cloverwalk.jobs.checkpoint import take_within
+from cloverwalk.jobs.checkpoint import fitting_segments
 from cloverwalk.jobs.commit import Committer
 from cloverwalk.jobs.errors import JobError
 from cloverwalk.jobs.reader import JobReader
@@ -26,7 +26,7 @@
 )
 from cloverwalk.jobs.run import JobRun, replace_record
 from cloverwalk.jobs.runner import BatchRunner
-from cloverwalk.jobs.view import JobView, KnownJob
+from cloverwalk.jobs.view import JobView, VersionedRecord
 from cloverwalk.store.types import (
     CommitOutcome,
     CommitStatus,
@@ -38,8 +38,8 @@
 )
 from cloverwalk.telemetry.log import ServingLog
 
-SETTLE_S = 3.0
-HAND_OVER_S = 2.0
+TAKEOVER_TIMEOUT_S = 3.0
+HAND_OVER_TIMEOUT_S = 2.0
 
 
 class JobTakeover:
@@ -55,7 +55,7 @@
         committer: Committer,
         log: ServingLog,
         clock: Callable[[], float],
-        in_hand: Set[str],
+        submitting_ids: Set[str],
     ) -> None:
         self._incarnation = incarnation
         self._view = view
@@ -65,58 +65,61 @@
         self._committer = committer
         self._log = log
         self._clock = clock
-        self._in_hand = in_hand
+        self._submitting_ids = submitting_ids
         self.is_leaving = False
-        self._taking: set[str] = set()
+        self._taking_over: set[str] = set()
 
     async def take_over(self, job_ids: list[str]) -> None:
         """Begin to take jobs over that this node neither runs nor is taking."""
         for job_id in job_ids:
-            is_known = job_id in self._runner.jobs or job_id in self._in_hand
-            if self.is_leaving or is_known or job_id in self._taking:
+            is_handled = job_id in self._runner.jobs or job_id in self._submitting_ids
+            if self.is_leaving or is_handled or job_id in self._taking_over:
                 continue
-            self._taking.add(job_id)
-            await curio.spawn(self._take, job_id, daemon=True)
+            self._taking_over.add(job_id)
+            await curio.spawn(self._try_take_over, job_id, daemon=True)
 
-    async def _take(self, job_id: str) -> None:
+    async def _try_take_over(self, job_id: str) -> None:
         try:
             await self._reader.read_record(job_id)
-            known = self._view.find(job_id)
-            if known is not None and known.record.is_open:
-                await self._take_over(known)
+            versioned = self._view.find(job_id)
+            if versioned is not None and versioned.record.is_open:
+                await self._take_over(versioned)
         except (StoreError, JobError) as error:
             self._log.write(catalogue.JOB_NOT_TAKEN_OVER, job=job_id, code=error.code)
         finally:
-            self._taking.discard(job_id)
-
-    async def _take_over(self, known: KnownJob) -> None:
-        old = known.record
-        record = replace_record(old, owner=self._incarnation, epoch=old.epoch + 1)
-        key = job_key(old.job_id)
-        transaction = Transaction([Expectation(key, known.version)], [Put(key, encode(record))])
-        outcome = await self._committer.settle(transaction, self._clock() + SETTLE_S)
-        version = await self._version_taken(record, outcome)
+            self._taking_over.discard(job_id)
+
+    async def _take_over(self, versioned: VersionedRecord) -> None:
+        previous = versioned.record
+        record = replace_record(previous, owner=self._incarnation, epoch=previous.epoch + 1)
+        key = job_key(previous.job_id)
+        transaction = Transaction([Expectation(key, versioned.version)], [Put(key, encode(record))])
+        outcome = await self._committer.settle(transaction, self._clock() + TAKEOVER_TIMEOUT_S)
+        version = await self._owned_version(record, outcome)
         if version is None:
             return
         self._log.write(
-            catalogue.JOB_TAKEN_OVER, job=old.job_id, from_owner=old.owner, epoch=record.epoch
+            catalogue.JOB_TAKEN_OVER,
+            job=previous.job_id,
+            from_owner=previous.owner,
+            epoch=record.epoch,
         )
         await self._view.put(record, version)
         job = await self._restore(record, version)
-        present = self._view.find(old.job_id)
-        if present is not None and present.version == version and not self.is_leaving:
+        cached = self._view.find(previous.job_id)
+        if cached is not None and cached.version == version and not self.is_leaving:
             await self._runner.add(job)
 
-    async def _version_taken(self, record: JobRecord, outcome: CommitOutcome) -> int | None:
+    async def _owned_version(self, record: JobRecord, outcome: CommitOutcome) -> int | None:
         """Return the version of the row if this node owns the job now."""
         if outcome.status is CommitStatus.COMMITTED:
             return outcome.version
         row = outcome.conflict(job_key(record.job_id))
         if row is None or row.value is None:
             return None
-        present = decode_record(row.value)
-        await self._view.put(present, row.version)
-        if (present.owner, present.epoch) == (record.owner, record.epoch):
+        current = decode_record(row.value)
+        await self._view.put(current, row.version)
+        if (current.owner, current.epoch) == (record.owner, record.epoch):
             return row.version
         return None
 
@@ -130,7 +133,7 @@
             raise JobError(Reason.UNAVAILABLE, "results_not_read", message)
         segments = await self._rows(PARTIAL_TABLE, record.job_id)
         partials = [decode_partial(value) for _, value in segments]
-        job.restore({one.item_id for one in results}, partials)
+        job.restore({result.item_id for result in results}, partials)
         return job
 
     async def _rows(self, table: str, job_id: str) -> list[tuple[str, bytes]]:
@@ -151,20 +154,20 @@
         self.is_leaving = True
         jobs = list(self._runner.jobs.values())
         await self._runner.stop_all()
-        until = self._clock() + HAND_OVER_S
+        deadline = self._clock() + HAND_OVER_TIMEOUT_S
         async with curio.TaskGroup() as tasks:
             for job in jobs:
-                await tasks.spawn(self._give_up, job, until)
+                await tasks.spawn(self._release, job, deadline)
 
-    async def _give_up(self, job: JobRun, until: float) -> None:
-        segments = take_within(job.unsaved())
+    async def _release(self, job: JobRun, deadline: float) -> None:
+        segments = fitting_segments(job.unsaved())
         key = job_key(job.job_id)
         record = replace_record(job.record, owner="")
-        puts = [partial_put(job.job_id, one) for one in segments]
+        puts = [partial_put(job.job_id, segment) for segment in segments]
         transaction = Transaction(
             [Expectation(key, job.version)], [Put(key, encode(record)), *puts]
         )
-        outcome = await self._committer.settle(transaction, until)
+        outcome = await self._committer.settle(transaction, deadline)
         self._log.write(
             catalogue.JOB_HANDED_OVER,
             job=job.job_id,
--- a/src/cloverwalk/jobs/verifier.py
+++ b/src/cloverwalk/jobs/verifier.py
@@ -10,7 +10,7 @@
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.telemetry.log import ServingLog
 
-VERIFY_EVERY_S = 1.2
+VERIFY_INTERVAL_S = 1.2
 """An ended job starts nothing more after this time and that of two calls to the store; callers
 allow three seconds."""
 
@@ -32,7 +32,7 @@
         """Verify until cancelled."""
         while True:
             await self._runner.until_jobs()
-            await curio.sleep(VERIFY_EVERY_S)
+            await curio.sleep(VERIFY_INTERVAL_S)
             for job in list(self._runner.jobs.values()):
                 if not job.is_dropped:
                     await self.verify(job)
@@ -44,7 +44,7 @@
         except JobError:
             # The store's loss has its own line in the log; the next look comes soon.
             return
-        if job.is_dropped or record is not None and self._is_own(job, record):
+        if job.is_dropped or record is not None and self._is_owned_and_open(job, record):
             return
         self._log.write(
             catalogue.JOB_DROPPED,
@@ -55,6 +55,6 @@
         )
         await self._runner.drop(job.job_id)
 
-    def _is_own(self, job: JobRun, record: JobRecord) -> bool:
+    def _is_owned_and_open(self, job: JobRun, record: JobRecord) -> bool:
         is_owner = (record.owner, record.epoch) == (job.record.owner, job.record.epoch)
         return is_owner and not record.is_ended
--- a/src/cloverwalk/jobs/view.py
+++ b/src/cloverwalk/jobs/view.py
@@ -9,14 +9,14 @@
 from cloverwalk.jobs.records import JOB_TABLE, JobRecord, decode_record
 from cloverwalk.store.types import Row, RowPage
 
-MAX_REMOVED = 4096
+MAX_REMOVED_IDS = 4096
 """Removed jobs that are remembered, the latest ones."""
 
-MAX_KNOWN = 50_000
+MAX_RECORDS = 50_000
 """Records that are kept, the latest ones: some 20 MB."""
 
 
-class KnownJob(Struct):
+class VersionedRecord(Struct):
     """A record with the version of its row."""
 
     record: JobRecord
@@ -27,15 +27,15 @@
     """Records by job id. Older versions never replace newer ones."""
 
     def __init__(self) -> None:
-        self._jobs: dict[str, KnownJob] = {}
+        self._jobs: dict[str, VersionedRecord] = {}
         self._removed: dict[str, int] = {}
         self._waiters: dict[str, list[curio.Event]] = {}
 
-    def find(self, job_id: str) -> KnownJob | None:
+    def find(self, job_id: str) -> VersionedRecord | None:
         """Return what is known of a job."""
         return self._jobs.get(job_id)
 
-    def all(self) -> list[KnownJob]:
+    def all(self) -> list[VersionedRecord]:
         """Return every known job, sorted by id."""
         return [self._jobs[key] for key in sorted(self._jobs)]
 
@@ -56,23 +56,23 @@
 
     def _remove(self, job_id: str, version: int) -> None:
         """Forget a job; a read that lags behind must not bring it back."""
-        known = self._jobs.get(job_id)
-        if known is not None and known.version < version:
+        cached = self._jobs.get(job_id)
+        if cached is not None and cached.version < version:
             del self._jobs[job_id]
         self._removed[job_id] = max(version, self._removed.pop(job_id, 0))
-        if len(self._removed) > MAX_REMOVED:
+        if len(self._removed) > MAX_REMOVED_IDS:
             del self._removed[next(iter(self._removed))]
 
     async def put(self, record: JobRecord, version: int) -> None:
         """Take a record if it is newer, and wake those that wait for it."""
-        known = self._jobs.get(record.job_id)
-        if known is not None and known.version >= version:
+        cached = self._jobs.get(record.job_id)
+        if cached is not None and cached.version >= version:
             return
         if self._removed.get(record.job_id, -1) > version:
             return
         self._jobs.pop(record.job_id, None)
-        self._jobs[record.job_id] = KnownJob(record, version)
-        if len(self._jobs) > MAX_KNOWN:
+        self._jobs[record.job_id] = VersionedRecord(record, version)
+        if len(self._jobs) > MAX_RECORDS:
             del self._jobs[next(iter(self._jobs))]
         for event in self._waiters.pop(record.job_id, []):
             await event.set()
--- a/src/cloverwalk/jobs/waiting_items.py
+++ b/src/cloverwalk/jobs/waiting_items.py
@@ -13,7 +13,7 @@
 from cloverwalk.fleet.messages import WaitingGroup
 from cloverwalk.scheduling.item_sort_key import DUE_TIME_RESOLUTION_MS, LATE_OFFSET, PRIORITY_STRIDE
 
-REST_STEP_MS = 100
+REMAINING_TIME_STEP_MS = 100
 """What items still run is told in steps of this length; an estimate that moves less is no news."""
 
 MAX_GROUPS = 12
@@ -51,15 +51,15 @@
     True
     """
     by_key: dict[tuple[int, str, str], list[WaitingItem]] = {}
-    for one in items:
-        by_key.setdefault((one.sort_key, one.replica_id, one.tenant), []).append(one)
-    groups = [_group(key, ones) for key, ones in sorted(by_key.items())]
+    for item in items:
+        by_key.setdefault((item.sort_key, item.replica_id, item.tenant), []).append(item)
+    groups = [_group(key, members) for key, members in sorted(by_key.items())]
     if len(groups) <= MAX_GROUPS:
         return groups
-    return [*groups[: MAX_GROUPS - 1], *_merged(groups[MAX_GROUPS - 1 :])]
+    return [*groups[: MAX_GROUPS - 1], *_merge_by_tenant(groups[MAX_GROUPS - 1 :])]
 
 
-def _merged(groups: list[WaitingGroup]) -> list[WaitingGroup]:
+def _merge_by_tenant(groups: list[WaitingGroup]) -> list[WaitingGroup]:
     """Return one group a tenant, due as its first; the largest item's memory stands for each."""
     first_by_tenant: dict[str, WaitingGroup] = {}
     items_by_tenant: Counter[str] = Counter()
@@ -79,11 +79,13 @@
 def _group(key: tuple[int, str, str], items: list[WaitingItem]) -> WaitingGroup:
     """Return items of one key as they are told; the largest one's memory stands for each."""
     step, replica_id, tenant = key
-    reading_ms = round(sum(one.prefill_ms for one in items) / len(items))
-    rest_ms = sum(one.remaining_ms for one in items) / len(items)
-    rest_ms = round(rest_ms / REST_STEP_MS) * REST_STEP_MS
-    tokens = max(one.tokens for one in items)
-    return WaitingGroup(step, len(items), replica_id, reading_ms, tenant, rest_ms, tokens)
+    mean_prefill_ms = round(sum(item.prefill_ms for item in items) / len(items))
+    mean_remaining_ms = sum(item.remaining_ms for item in items) / len(items)
+    mean_remaining_ms = round(mean_remaining_ms / REMAINING_TIME_STEP_MS) * REMAINING_TIME_STEP_MS
+    tokens = max(item.tokens for item in items)
+    return WaitingGroup(
+        step, len(items), replica_id, mean_prefill_ms, tenant, mean_remaining_ms, tokens
+    )
 
 
 def pick(
@@ -91,11 +93,11 @@
     count: int,
     granted: Mapping[str, int],
     tokens: Sequence[int] = (),
-    most_tokens: int | None = None,
+    max_tokens: int | None = None,
 ) -> list[int]:
     """Return which of the waiting items start, by index; ``tenants`` are theirs, in their order.
 
-    Where ``most_tokens`` is told, together they take no more of the replica's memory than that:
+    Where ``max_tokens`` is told, together they take no more of the replica's memory than that:
     the slot may have been granted for a smaller item than the first.
 
     Each tenant's first items start in the slots that were granted for it. A slot that its tenant
@@ -104,28 +106,26 @@
     >>> pick(["a", "a", "b", "b"], 2, {"b": 1, "a": 1}), pick(["a", "a", "b"], 2, {"c": 1})
     ([0, 2], [0, 1])
     """
-    left = Counter(granted)
-    first: list[int] = []
-    others: list[int] = []
+    slots_left = Counter(granted)
+    in_granted_slots: list[int] = []
+    remaining: list[int] = []
     for index, tenant in enumerate(tenants):
-        if left[tenant] > 0:
-            left[tenant] -= 1
-            first.append(index)
+        if slots_left[tenant] > 0:
+            slots_left[tenant] -= 1
+            in_granted_slots.append(index)
         else:
-            others.append(index)
-    in_order = [*first, *others]
-    return (
-        in_order[:count] if most_tokens is None else _within(in_order, count, tokens, most_tokens)
-    )
+            remaining.append(index)
+    ordered = [*in_granted_slots, *remaining]
+    return ordered[:count] if max_tokens is None else _fitting(ordered, count, tokens, max_tokens)
 
 
-def _within(in_order: list[int], count: int, tokens: Sequence[int], most_tokens: int) -> list[int]:
+def _fitting(ordered: list[int], count: int, tokens: Sequence[int], max_tokens: int) -> list[int]:
     """Return the first items that take no more memory together."""
-    chosen: list[int] = []
-    for index in in_order:
-        if len(chosen) == count:
+    fitting: list[int] = []
+    for index in ordered:
+        if len(fitting) == count:
             break
-        if tokens[index] <= most_tokens:
-            most_tokens -= tokens[index]
-            chosen.append(index)
-    return chosen
+        if tokens[index] <= max_tokens:
+            max_tokens -= tokens[index]
+            fitting.append(index)
+    return fitting
--- a/src/cloverwalk/jobs/writes.py
+++ b/src/cloverwalk/jobs/writes.py
@@ -21,15 +21,15 @@
         """What is known now."""
         return WorkState.MAY_HAVE_BEGUN if self._may_be_done else WorkState.NOT_BEGUN
 
-    async def settle(self, settling: Awaitable[CommitOutcome]) -> CommitOutcome:
+    async def track(self, committing: Awaitable[CommitOutcome]) -> CommitOutcome:
         """Return the outcome of a transaction that makes the call's work real."""
         may_be_done, self._may_be_done = self._may_be_done, True
-        outcome = await settling
+        outcome = await committing
         if outcome.status is CommitStatus.NOT_DONE:
             self._may_be_done = may_be_done
         return outcome
 
-    def note_void(self) -> None:
+    def mark_void(self) -> None:
         """A conflict proves that nothing sent so far was done or ever will be.
 
         The caller has seen that the conflicting rows are not its own effect. Versions of rows only
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -390,8 +390,9 @@
     Mutant(
         "serving: another group follows an unsettled one",
         "jobs/lister.py",
-        "                await self._resolve(job, group, record, outcome)\n                return",
-        "                await self._resolve(job, group, record, outcome)\n            return",
+        "                await self._reconcile(job, group, record, outcome)\n"
+        "                return",
+        "                await self._reconcile(job, group, record, outcome)\n            return",
         JOBS + "test_a_lost_answer_does_not_list_results_twice",
     ),
     Mutant(
@@ -418,8 +419,8 @@
     Mutant(
         "serving: output of two owners is joined",
         "jobs/run.py",
-        "        owners.setdefault((partial.index, partial.epoch), []).append(partial)",
-        "        owners.setdefault((partial.index, 0), []).append(partial)",
+        "        by_owner.setdefault((partial.index, partial.epoch), []).append(partial)",
+        "        by_owner.setdefault((partial.index, 0), []).append(partial)",
         JOBS + "test_saved_output_comes_back_as_one_owners_prefix",
     ),
     Mutant(
@@ -481,8 +482,8 @@
     Mutant(
         "serving: a job in hand is taken over",
         "jobs/takeover.py",
-        "            is_known = job_id in self._runner.jobs or job_id in self._in_hand",
-        "            is_known = job_id in self._runner.jobs",
+        "            is_handled = job_id in self._runner.jobs or job_id in self._submitting_ids",
+        "            is_handled = job_id in self._runner.jobs",
         BATCH + "test_a_job_is_not_taken_over_while_it_is_handed_in",
     ),
     Mutant(
@@ -629,22 +630,22 @@
             ),
             (
                 "jobs/runner.py",
-                "        for running in giving_way:\n"
+                "        for running in preempted:\n"
                 "            await running.task.cancel(blocking=False)",
-                "        for running in giving_way:\n            await running.task.cancel()",
+                "        for running in preempted:\n            await running.task.cancel()",
             ),
         ),
     ),
     Mutant(
         "serving: items that give way count until they have closed",
         "jobs/runner.py",
-        "            self._loads.end(running.work)\n        return chosen",
-        "        return chosen",
+        "            self._loads.end(running.work)\n        return preempted",
+        "        return preempted",
         ITEM_SLOTS + "test_a_report_counts_an_order_wholly_or_not_at_all",
         more=(
             (
                 "jobs/runner.py",
-                "        if not running.gives_way:\n            self._loads.end",
+                "        if not running.is_preempted:\n            self._loads.end",
                 "        if True:\n            self._loads.end",
             ),
         ),
@@ -652,8 +653,8 @@
     Mutant(
         "serving: orders wait until items have given way",
         "jobs/runner.py",
-        "        for running in giving_way:\n            await running.task.cancel(blocking=False)",
-        "        for running in giving_way:\n            await running.task.cancel()",
+        "        for running in preempted:\n            await running.task.cancel(blocking=False)",
+        "        for running in preempted:\n            await running.task.cancel()",
         ITEM_SLOTS + "test_orders_do_not_wait_until_items_have_given_way",
     ),
     Mutant(
@@ -804,8 +805,8 @@
     Mutant(
         "serving: retention is over by the most that the store's time can be",
         "jobs/evidence.py",
-        "    if is_kept_for_good or time.earliest_ms <= give_up_ms:",
-        "    if is_kept_for_good or time.latest_ms <= give_up_ms:",
+        "    if is_kept_forever or time.earliest_ms <= give_up_ms:",
+        "    if is_kept_forever or time.latest_ms <= give_up_ms:",
         ITEM_ENDS + "test_a_new_owner_that_knows_the_time_roughly_gives_nothing_up_early",
     ),
     Mutant(
@@ -832,21 +833,21 @@
     Mutant(
         "serving: a job keeps the attempts of the version that took it",
         "jobs/evidence.py",
-        "        allowed = max(allowed, route.max_attempts)",
+        "        max_attempts = max(max_attempts, route.max_attempts)",
         "        pass",
         BATCH + "test_items_have_the_attempts_of_the_route_in_force",
     ),
     Mutant(
         "serving: no retention is one of zero",
         "jobs/evidence.py",
-        "    is_kept_for_good = kept_ms <= 0",
-        "    is_kept_for_good = False",
+        "    is_kept_forever = kept_ms <= 0",
+        "    is_kept_forever = False",
         ITEM_ENDS + "test_a_route_that_tells_no_retention_gives_nothing_up",
     ),
     Mutant(
         "serving: a route has ended with the first look without it",
         "jobs/evidence.py",
-        "        if confirmed_ms <= self.GONE_AFTER_MS:",
+        "        if confirmed_ms <= self.CONFIRMATION_DELAY_MS:",
         "        if confirmed_ms < 0:",
         ITEM_ENDS + "test_a_route_that_an_older_configuration_lacks_has_not_ended",
     ),
@@ -1122,7 +1123,7 @@
     Mutant(
         "answers: bytes that are no text are an item's",
         "jobs/item_call.py",
-        "    if REPLACEMENT in event.data:",
+        "    if REPLACEMENT_CHARACTER in event.data:",
         "    if False:",
         ANSWERS + "test_an_item_has_no_text_of_bytes_that_are_none",
     ),
@@ -1234,7 +1235,7 @@
     Mutant(
         "crashes: items are sent on",
         "jobs/runner.py",
-        "        if self._witness.ledger.is_empty:\n            return pending",
+        "        if self._crash_detector.ledger.is_empty:\n            return pending",
         "        return pending",
         CRASHING + "test_an_item_that_ends_its_replicas_keeps_nothing_back",
     ),
@@ -1313,8 +1314,8 @@
     Mutant(
         "restarts: items go back to a prompt that is gone",
         "jobs/runner.py",
-        "kept_at and kept_at.may_be_incarnation(one.replica_started_ms)",
-        "kept_at",
+        "last_replica and last_replica.may_be_incarnation(item_run.replica_started_ms)",
+        "last_replica",
         RESTARTED + "test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept",
     ),
     Mutant(
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -67,10 +67,10 @@
 class RefusedError(Exception):
     """A call on a job got this answer."""
 
-    def __init__(self, answer: ErrorResponse) -> None:
-        super().__init__(answer)
-        self.status = answer.status
-        self.retry_after_s = answer.retry_after_s
+    def __init__(self, response: ErrorResponse) -> None:
+        super().__init__(response)
+        self.status = response.status
+        self.retry_after_s = response.retry_after_s
 
 
 class OwnerNode:
@@ -81,7 +81,7 @@
         name: str,
         store: MemoryStore | MonitoredStore,
         clock: Callable[[], float],
-        told: Callable[[], StoreTime | None] | None = None,
+        store_time: Callable[[], StoreTime | None] | None = None,
     ) -> None:
         self.name = name
         self.store = store
@@ -94,17 +94,17 @@
         self.cache = ResultCache()
         self.reader = JobReader(store, self.view, self._is_run_here, self.cache, clock)
         self.is_served_elsewhere = False
-        self.told = told or self._exact_time
+        self.store_time = store_time or self._exact_time
         self.intake = JobIntake(
             name,
             store,
             self.committer,
             self.view,
             self.reader,
-            lambda: self.told(),
+            lambda: self.store_time(),
             clock,
             log,
-            self._taken,
+            self._on_accepted,
             lambda: self.is_served_elsewhere,
             lambda: health.is_unavailable,
             Random(1),
@@ -118,7 +118,7 @@
     def _is_run_here(self, job_id: str) -> bool:
         return job_id in self.jobs
 
-    async def _taken(self, job: JobRun) -> None:
+    async def _on_accepted(self, job: JobRun) -> None:
         self.jobs[job.job_id] = job
 
     async def _drop(self, job_id: str) -> None:
@@ -126,21 +126,21 @@
         if job is not None:
             job.is_dropped = True
 
-    async def submit(self, one: Submission, route: Route, allowed_s: float = 3.0) -> None:
+    async def submit(self, submitted: Submission, route: Route, allowed_s: float = 3.0) -> None:
         writes = JobWriteTracker()
         try:
-            await self.intake.submit(one, route, self.clock() + allowed_s, writes)
+            await self.intake.submit(submitted, route, self.clock() + allowed_s, writes)
         except JobError as error:
             raise RefusedError(error_response(error, writes)) from error
 
-    async def see_store(self) -> None:
+    async def sync_view(self) -> None:
         """Catch up with the job table."""
         await self.view.apply_page(await self.store.read_table(JOB_TABLE))
 
 
-def finish(job: JobRun, one: ItemRun, text: str) -> None:
+def finish(job: JobRun, item_run: ItemRun, text: str) -> None:
     """Run an item to its end."""
-    job.begin(one, "r1", 0.0)
+    job.begin(item_run, "r1", 0.0)
     for number, word in enumerate(text.split()):
-        assert job.take_event(one, number, word)
-    job.succeed(one)
+        assert job.take_event(item_run, number, word)
+    job.succeed(item_run)
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -11,10 +11,10 @@
 
 
 def texts(results: list[dict[str, str]]) -> dict[str, str]:
-    return {one["id"]: one["message"] for one in results}
+    return {result["id"]: result["message"] for result in results}
 
 
-def waiting(world: FleetWorld) -> dict[str, Any]:
+def waiting_groups(world: FleetWorld) -> dict[str, Any]:
     """Return the items that wait, as the coordinator counts them."""
     node = world.coordinator()
     return {} if node is None else node._fleet.scheduler.waiting
@@ -31,10 +31,10 @@
         assert (await world.hand_in("j", node=1)).status == 202
         results = await world.until_done("j", 3, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}") for n in range(3)}
-        assert {one["state"] for one in results} == {"succeeded"}
+        assert {result["state"] for result in results} == {"succeeded"}
         page = await world.read_job("j", 2)
         assert (page["total"], page["next_token"], len(page["results"])) == (3, 3, 1)
-        runs = [one.request_id for replica in world.replicas for one in replica.arrivals]
+        runs = [run.request_id for replica in world.replicas for run in replica.arrivals]
         assert sorted(runs) == ["j-0", "j-1", "j-2"]
 
     in_world(test)
@@ -107,7 +107,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=3, events=60, event_s=0.02)
         assert (await world.hand_in("j", count=4)).status == 202
-        await world.until(lambda: any(one.running for one in world.replicas))
+        await world.until(lambda: any(replica.running for replica in world.replicas))
         await world.kill_node(0)
         results = await world.until_done("j", 4, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 60) for n in range(4)}
@@ -121,16 +121,16 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.05)
         world.store.write_delay_s = 0.5
-        handing_in = await curio.spawn(world.hand_in, "j")
+        submitting = await curio.spawn(world.hand_in, "j")
         await world.until(lambda: "j" in world.store.rows.values("job"))
         # The coordinator sees the record before this node has the answer.
         await world.nodes[0]._batch.takeover.take_over(["j"])
-        assert (await handing_in.join()).status == 202
+        assert (await submitting.join()).status == 202
         world.store.write_delay_s = 0.0
         await world.until_done("j", 3)
-        known = world.nodes[0]._batch.view.find("j")
-        assert known is not None
-        assert known.record.epoch == 1
+        cached = world.nodes[0]._batch.view.find("j")
+        assert cached is not None
+        assert cached.record.epoch == 1
 
     in_world(test)
 
@@ -153,13 +153,13 @@
         await world.start(replicas=1, nodes=2, events=100, event_s=0.02)
         assert (await world.hand_in("j", count=2)).status == 202
         job = world.nodes[0]._batch.runner.jobs["j"]
-        await world.until(lambda: all(len(one.texts) > 20 for one in job.items))
+        await world.until(lambda: all(len(item_run.texts) > 20 for item_run in job.items))
         world.nodes[0].request_stop()
         results = await world.until_done("j", 2, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 100) for n in range(2)}
         resumed = [
-            int(one.headers.get(names.LAST_EVENT_ID.decode().lower(), "0"))
-            for one in world.replicas[0].arrivals
+            int(run.headers.get(names.LAST_EVENT_ID.decode().lower(), "0"))
+            for run in world.replicas[0].arrivals
         ]
         assert sorted(resumed)[:2] == [0, 0]
         assert min(sorted(resumed)[2:]) > 10
@@ -196,8 +196,8 @@
             # Items take all slots of the replica, none is kept free.
             most = seen + replica.slots
             await world.until(lambda most=most: len(replica.arrivals) >= most)  # type: ignore[misc]
-            first = [one.request_id for one in replica.arrivals[seen:most]]
-            assert len([one for one in first if one.startswith(urgent)]) == 5
+            first = [run.request_id for run in replica.arrivals[seen:most]]
+            assert len([request_id for request_id in first if request_id.startswith(urgent)]) == 5
 
     in_world(test)
 
@@ -207,12 +207,12 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=20, event_s=0.05)
         assert (await world.hand_in("j", count=40)).status == 202
-        await world.until(lambda: bool(waiting(world)))
+        await world.until(lambda: bool(waiting_groups(world)))
         if reason == "ended":
             assert (await world.call("DELETE", f"{names.JOB_PREFIX}j")).status == 200
         else:
             world.nodes[0].request_stop()
-        await world.until(lambda: not waiting(world))
+        await world.until(lambda: not waiting_groups(world))
         assert world.coordinator() is not None
 
     in_world(test)
@@ -278,6 +278,6 @@
         routes = [route("chat", "/chat/", "streaming", resumable=True)]
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(9, routes))
         results = await world.until_done("j", 3)
-        assert {one["state"] for one in results} == {"dead_letter"}
+        assert {result["state"] for result in results} == {"dead_letter"}
 
     in_world(test)
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -51,7 +51,7 @@
 from cloverwalk.telemetry.request_history import parse_line, request_history
 
 RETENTION_S = 60.0
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class WorldTime:
@@ -95,16 +95,16 @@
         return outcome
 
 
-class Link:
+class CoordinatorClientStub:
     """Stands for the way to the coordinator: nobody grants anything."""
 
     waiting: dict[str, object] = {}
 
-    async def note_change(self) -> None:
+    async def trigger_report(self) -> None:
         """Nobody is told."""
 
 
-class Owner(OwnerNode):
+class OwnerProcess(OwnerNode):
     """A process that takes jobs, and gives them up; it has just started."""
 
     def __init__(
@@ -115,9 +115,9 @@
         configuration: int,
         log_path: str = os.devnull,
     ) -> None:
-        self.heard = StoreClock(Clock(time))
-        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
-        super().__init__(name, store, time, self.heard.now)
+        self.store_clock = StoreClock(Clock(time))
+        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.store_clock)
+        super().__init__(name, store, time, self.store_clock.now)
         self.configuration = ConfigurationHolder()
         self.configuration.update_if_newer(
             Configuration(configuration, (batch_route(),), {}, ClientLimits())
@@ -126,27 +126,27 @@
         self.dead: dict[str, tuple[float, ItemRun]] = {}
         self._time = time
         none: Any = None
-        witness = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
+        crash_detector = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
         self.runner = BatchRunner(
             self.configuration,
             ReplicaDirectory(),
             None,  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
-            witness,
-            Link(),  # type: ignore[arg-type]
-            self._note_finished,
+            crash_detector,
+            CoordinatorClientStub(),  # type: ignore[arg-type]
+            self._record_finished,
             self._take_over,
-            self.heard.now,
+            self.store_clock.now,
             lambda: self.confirmed_at,
             ServingLog(name, time, os.open(log_path, os.O_WRONLY | os.O_APPEND)),
             None,  # type: ignore[arg-type]
             time,
         )
 
-    async def _note_finished(self, job: JobRun) -> None:
-        for one in job.items:
-            if one.phase is Phase.FINISHED:
-                self.dead.setdefault(one.item.item_id, (self._time.now, one))
+    async def _record_finished(self, job: JobRun) -> None:
+        for item_run in job.items:
+            if item_run.phase is Phase.FINISHED:
+                self.dead.setdefault(item_run.item.item_id, (self._time.now, item_run))
 
     async def _take_over(self, job_ids: list[str]) -> None:
         """No job is given to it."""
@@ -154,18 +154,18 @@
     async def run_job(self, job_id: str) -> None:
         await self.runner.add(self.jobs[job_id])
 
-    def know_routes(self, version: int, *routes: Route) -> None:
+    def use_routes(self, version: int, *routes: Route) -> None:
         """Have a configuration that the store has not confirmed: a peer told it."""
         self.configuration.update_if_newer(Configuration(version, routes, {}, ClientLimits()))
 
-    async def look_for(self, seconds: float, is_confirmed: bool = False) -> None:
+    async def run_checks(self, seconds: float, is_confirmed: bool = False) -> None:
         """Let time pass, with looks of the runner; the store may confirm the configuration."""
         until = self._time.now + seconds
         while self._time.now < until:
-            self._time.now += LOOK_S
+            self._time.now += CHECK_INTERVAL_S
             if is_confirmed:
                 self.confirmed_at = self._time.now
-            await self.runner._give_up_old()
+            await self.runner._end_expired_items()
 
 
 @given(
@@ -182,7 +182,7 @@
     async def main() -> None:
         time = WorldTime(store_zero_s)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         store.answer_s = first_answer_s
         if has_asked:
             await owner.reader.read_record("j")
@@ -191,10 +191,10 @@
         await owner.run_job("j")
         store.answer_s = later_answer_s
         await owner.reader.read_record("j")
-        await owner.look_for(RETENTION_S + 20.0)
+        await owner.run_checks(RETENTION_S + 20.0)
         assert len(owner.dead) == 3
-        for died_at, one in owner.dead.values():
-            assert isinstance(one.end, PastRetention)
+        for died_at, item_run in owner.dead.values():
+            assert isinstance(item_run.end, PastRetention)
             assert died_at - sent_at >= RETENTION_S
 
     curio.run(main)
@@ -204,17 +204,17 @@
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         sent_at = time.now
         await owner.submit(submission("j"), batch_route())
-        later = Owner("n2", store, time, configuration=1)
+        new_owner = OwnerProcess("n2", store, time, configuration=1)
         store.call_s = 4.0
-        await later.reader.read_record("j")
-        later.jobs["j"] = owner.jobs["j"]
-        await later.run_job("j")
-        await later.look_for(RETENTION_S + 10.0)
-        assert len(later.dead) == 3
-        assert all(died_at - sent_at >= RETENTION_S for died_at, _ in later.dead.values())
+        await new_owner.reader.read_record("j")
+        new_owner.jobs["j"] = owner.jobs["j"]
+        await new_owner.run_job("j")
+        await new_owner.run_checks(RETENTION_S + 10.0)
+        assert len(new_owner.dead) == 3
+        assert all(died_at - sent_at >= RETENTION_S for died_at, _ in new_owner.dead.values())
 
     curio.run(main)
 
@@ -225,25 +225,27 @@
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=7)
+        owner = OwnerProcess("n1", store, time, configuration=7)
         await owner.submit(replace(submission("j"), configuration=7), batch_route())
-        behind = Owner("n2", store, time, configuration=3)
-        behind.know_routes(5)
-        behind.jobs["j"] = owner.jobs["j"]
-        await behind.run_job("j")
-        await behind.look_for(30.0)
-        assert behind.dead == {}
-        behind.know_routes(7, batch_route())
-        await behind.look_for(10.0, is_confirmed=True)
-        assert behind.dead == {}
-        behind.know_routes(8)
-        await behind.look_for(3.5, is_confirmed=True)
-        assert behind.dead == {}
-        await behind.look_for(10.0)
-        assert behind.dead == {}
-        await behind.look_for(LOOK_S, is_confirmed=True)
-        assert {one.end.reason for _, one in behind.dead.values() if one.end} == {"route_ended"}
-        evidence = next(one.end for _, one in behind.dead.values())
+        lagging = OwnerProcess("n2", store, time, configuration=3)
+        lagging.use_routes(5)
+        lagging.jobs["j"] = owner.jobs["j"]
+        await lagging.run_job("j")
+        await lagging.run_checks(30.0)
+        assert lagging.dead == {}
+        lagging.use_routes(7, batch_route())
+        await lagging.run_checks(10.0, is_confirmed=True)
+        assert lagging.dead == {}
+        lagging.use_routes(8)
+        await lagging.run_checks(3.5, is_confirmed=True)
+        assert lagging.dead == {}
+        await lagging.run_checks(10.0)
+        assert lagging.dead == {}
+        await lagging.run_checks(CHECK_INTERVAL_S, is_confirmed=True)
+        assert {item_run.end.reason for _, item_run in lagging.dead.values() if item_run.end} == {
+            "route_ended"
+        }
+        evidence = next(item_run.end for _, item_run in lagging.dead.values())
         assert isinstance(evidence, RouteEnded)
         assert (evidence.accepted_configuration, evidence.configuration) == (7, 8)
 
@@ -254,15 +256,15 @@
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=7)
+        owner = OwnerProcess("n1", store, time, configuration=7)
         await owner.submit(replace(submission("j"), configuration=7), batch_route())
         await owner.run_job("j")
-        owner.know_routes(8)
-        await owner.look_for(LOOK_S, is_confirmed=True)
+        owner.use_routes(8)
+        await owner.run_checks(CHECK_INTERVAL_S, is_confirmed=True)
         time.now += 8.0
-        await owner.runner._give_up_old()
-        owner.know_routes(9, batch_route())
-        await owner.look_for(10.0, is_confirmed=True)
+        await owner.runner._end_expired_items()
+        owner.use_routes(9, batch_route())
+        await owner.run_checks(10.0, is_confirmed=True)
         assert owner.dead == {}
 
     curio.run(main)
@@ -271,14 +273,14 @@
 def test_a_longer_prefix_of_another_kind_does_not_end_a_batch_route() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        nearer = Route(
+        longer = Route(
             "near", "h.example", "/jobs/x", RouteKind.SAFE, (RoutePart("other", 1.0),), 5.0, 0.4, 3
         )
-        owner.know_routes(2, batch_route(), nearer)
-        await owner.look_for(20.0, is_confirmed=True)
+        owner.use_routes(2, batch_route(), longer)
+        await owner.run_checks(20.0, is_confirmed=True)
         assert owner.dead == {}
         assert owner.runner._services(owner.jobs["j"]) == ["s"]
 
@@ -288,13 +290,13 @@
 def test_a_retention_that_was_raised_holds_for_jobs_that_wait() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        owner.know_routes(2, replace(batch_route(), retention_s=2 * RETENTION_S))
-        await owner.look_for(2 * RETENTION_S - LOOK_S)
+        owner.use_routes(2, replace(batch_route(), retention_s=2 * RETENTION_S))
+        await owner.run_checks(2 * RETENTION_S - CHECK_INTERVAL_S)
         assert owner.dead == {}
-        await owner.look_for(3 * LOOK_S)
+        await owner.run_checks(3 * CHECK_INTERVAL_S)
         assert len(owner.dead) == 3
 
     curio.run(main)
@@ -303,12 +305,12 @@
 def test_a_route_that_tells_no_retention_gives_nothing_up() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
-        untold = replace(batch_route(), retention_s=0.0)
-        owner.know_routes(2, untold)
-        await owner.submit(submission("j"), untold)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
+        route = replace(batch_route(), retention_s=0.0)
+        owner.use_routes(2, route)
+        await owner.submit(submission("j"), route)
         await owner.run_job("j")
-        await owner.look_for(2 * RETENTION_S)
+        await owner.run_checks(2 * RETENTION_S)
         assert owner.dead == {}
 
     curio.run(main)
@@ -319,17 +321,17 @@
         log_path = tmp_path / "log"
         log_path.touch()
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, 1, str(log_path))
+        owner = OwnerProcess("n1", SlowStore(time), time, 1, str(log_path))
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        await owner.look_for(RETENTION_S + 2.0)
+        await owner.run_checks(RETENTION_S + 2.0)
         lines = [parse_line(text) for text in log_path.read_text().splitlines()]
-        dead = request_history([one for one in lines if one is not None], "j-1")
-        assert [one.event for one in dead] == ["items_dead"]
-        told = dead[0].fields
-        assert (told["reason"], told["job"]) == ("past_retention", "j")
-        assert told["store_ms"] > told["give_up_ms"] == told["accepted_ms"] + 60_000
-        assert told["unsure_ms"] < 100.0
+        dead = request_history([line for line in lines if line is not None], "j-1")
+        assert [line.event for line in dead] == ["items_dead"]
+        fields = dead[0].fields
+        assert (fields["reason"], fields["job"]) == ("past_retention", "j")
+        assert fields["store_ms"] > fields["give_up_ms"] == fields["accepted_ms"] + 60_000
+        assert fields["unsure_ms"] < 100.0
 
     curio.run(main)
 
@@ -338,12 +340,12 @@
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         await owner.submit(submission("j"), batch_route())
-        fresh = Owner("n2", store, time, configuration=1)
-        fresh.jobs["j"] = owner.jobs["j"]
-        await fresh.run_job("j")
-        await fresh.look_for(2 * RETENTION_S)
-        assert fresh.dead == {}
+        new_owner = OwnerProcess("n2", store, time, configuration=1)
+        new_owner.jobs["j"] = owner.jobs["j"]
+        await new_owner.run_job("j")
+        await new_owner.run_checks(2 * RETENTION_S)
+        assert new_owner.dead == {}
 
     curio.run(main)
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -34,21 +34,21 @@
 DUE_MS = 20_000.0
 
 
-class SlowlyClosing:
+class SlowlyClosingCaller:
     """Runs items for ever; of those that give way, only ``may_close`` end at once."""
 
     def __init__(self) -> None:
         self.may_close = 0
-        self.given_way = 0
+        self.preempted = 0
         self.all_may_close = curio.Event()
 
-    def prompt(self, one: ItemRun) -> tuple[PromptPart, ...]:
+    def prompt(self, item_run: ItemRun) -> tuple[PromptPart, ...]:
         return ()
 
     async def run(
         self,
         job: JobRun,
-        one: ItemRun,
+        item_run: ItemRun,
         replica: Replica,
         on_output: Callable[[], None],
         must_be_new: bool,
@@ -56,8 +56,8 @@
         try:
             await curio.Event().wait()
         finally:
-            self.given_way += 1
-            if self.given_way > self.may_close:
+            self.preempted += 1
+            if self.preempted > self.may_close:
                 await self.all_may_close.wait()
 
 
@@ -66,23 +66,23 @@
 
     def __init__(self, world: CoordinationWorld) -> None:
         self.world = world
-        self.holder = world.coordinator
-        self.node = next(one for one in world.nodes if one is not self.holder)
-        self.caller = SlowlyClosing()
-        self.runner = runner_of(self.node, self.caller, world)
-        self._number = self.holder.scheduler.last_decision_number(self.node.name) + 1
+        self.coordinator = world.coordinator
+        self.node = next(node for node in world.nodes if node is not self.coordinator)
+        self.caller = SlowlyClosingCaller()
+        self.runner = create_runner(self.node, self.caller, world)
+        self._number = self.coordinator.scheduler.last_decision_number(self.node.name) + 1
 
     async def order(self, change: int, tokens: int = 0) -> int:
         """Have the node start or suspend items, as its coordinator would; return the number.
 
         What starts may take ``tokens`` of the replica's memory, where the coordinator counts it.
         """
-        leadership = self.holder.leader.current
+        leadership = self.coordinator.leader.current
         assert leadership is not None
         self._number += 1
         orders = Orders(
             leadership,
-            self.holder.identity.incarnation,
+            self.coordinator.identity.incarnation,
             self._number,
             1,
             0,
@@ -93,19 +93,23 @@
             revokes={REPLICA: -change} if change < 0 else {},
             grant_tokens={REPLICA: tokens} if tokens else {},
         )
-        await self.node.link.handle_orders(orders, self.holder.host)
+        await self.node.link.handle_orders(orders, self.coordinator.host)
         return self._number
 
     async def report(self) -> tuple[int, int]:
         """Have the node report; return up to which order, and how many items it counts."""
         self.world.wire.waiting.clear()
         await self.node.link._report()
-        reports = [one for _, _, one in self.world.wire.waiting if isinstance(one, Report)]
+        reports = [
+            message for _, _, message in self.world.wire.waiting if isinstance(message, Report)
+        ]
         load = reports[-1].loads.get(REPLICA)
         return reports[-1].last_applied_order, 0 if load is None else load.batch
 
 
-def runner_of(node: FleetNode, caller: SlowlyClosing, world: CoordinationWorld) -> BatchRunner:
+def create_runner(
+    node: FleetNode, caller: SlowlyClosingCaller, world: CoordinationWorld
+) -> BatchRunner:
     """Give a node a runner of items, and a configuration that has their route."""
     parts = (RoutePart("model", 1.0),)
     route = Route("jobs", "h", "/jobs/", RouteKind.BATCH, parts, 30.0, 0.4, 3)
@@ -122,13 +126,13 @@
     clock: Callable[[], float] = lambda: world.now  # noqa: E731
     log = ServingLog(node.name, clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
-    witness = CrashDetector(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
+    crash_detector = CrashDetector(node.ledger, node.directory, pool, log, ServingMetrics(), clock)
     runner = BatchRunner(
         node.configuration,
         node.directory,
         node.loads,
         cast(ItemCaller, caller),
-        witness,
+        crash_detector,
         node.link,
         ignore,
         ignore,
@@ -142,7 +146,7 @@
     return runner
 
 
-def job(node: FleetNode) -> JobRun:
+def create_job(node: FleetNode) -> JobRun:
     items = [JobItem(f"j-{number}", "/jobs/x", [], b"", 1) for number in range(ITEMS)]
     owner = node.identity.incarnation
     record = JobRecord("j", "h", "/jobs/x", 0.0, DUE_MS, 2 * DUE_MS, 3, ITEMS, ITEMS, 1, owner)
@@ -156,7 +160,7 @@
         world = CoordinationWorld(2)
         await world.start()
         owner = OwnerWorld(world)
-        await owner.runner.add(job(owner.node))
+        await owner.runner.add(create_job(owner.node))
         await owner.order(SLOTS)
         # The runs begin.
         await curio.sleep(0)
@@ -177,13 +181,13 @@
         owner.caller.may_close = closed
         before, items = await owner.report()
         assert items == SLOTS
-        carrying_out = await curio.spawn(owner.order, -3, daemon=True)
+        applying = await curio.spawn(owner.order, -3, daemon=True)
         for _ in range(10):
             await curio.sleep(0)
-            settled, items = await owner.report()
-            assert items == (SLOTS if settled == before else SLOTS - 3)
+            last_applied, items = await owner.report()
+            assert items == (SLOTS if last_applied == before else SLOTS - 3)
         await owner.caller.all_may_close.set()
-        after = await carrying_out.join()
+        after = await applying.join()
         assert await owner.report() == (after, SLOTS - 3)
 
     with_running_items(test)
@@ -194,37 +198,39 @@
 
     async def test(owner: OwnerWorld) -> None:
         before, _ = await owner.report()
-        items_by_settled = {before: SLOTS, before + 1: SLOTS - 3, before + 2: SLOTS - 1}
+        items_by_order = {before: SLOTS, before + 1: SLOTS - 3, before + 2: SLOTS - 1}
         revoking = await curio.spawn(owner.order, -3, daemon=True)
         await curio.sleep(0)
         granting = await curio.spawn(owner.order, 2, daemon=True)
-        told = []
+        reports = []
         for turn in range(10):
             await curio.sleep(0)
-            told.append(await owner.report())
+            reports.append(await owner.report())
             if turn == 5:
                 await owner.caller.all_may_close.set()
         await revoking.join()
         await granting.join()
-        told.append(await owner.report())
-        assert told == [(settled, items_by_settled[settled]) for settled, _ in told]
-        assert told == sorted(told, key=lambda one: one[0])
-        assert told[-1][0] == before + 2
+        reports.append(await owner.report())
+        assert reports == [
+            (last_applied, items_by_order[last_applied]) for last_applied, _ in reports
+        ]
+        assert reports == sorted(reports, key=lambda report: report[0])
+        assert reports[-1][0] == before + 2
 
     with_running_items(test)
 
 
 def test_a_run_that_gives_way_leaves_the_loads_once() -> None:
     async def test(owner: OwnerWorld) -> None:
-        giving_way = await curio.spawn(owner.order, -SLOTS, daemon=True)
+        preempting = await curio.spawn(owner.order, -SLOTS, daemon=True)
         await curio.sleep(0)
         await owner.caller.all_may_close.set()
-        await giving_way.join()
+        await preempting.join()
         await curio.sleep(0)
         assert owner.node.loads.by_replica == {}
         assert len(owner.runner.jobs["j"].pending(owner.world.now)) == ITEMS
-        settled = await owner.order(SLOTS)
-        assert await owner.report() == (settled, SLOTS)
+        last_applied = await owner.order(SLOTS)
+        assert await owner.report() == (last_applied, SLOTS)
 
     with_running_items(test)
 
@@ -233,11 +239,11 @@
     """A coordinator that owns jobs itself has orders of other nodes to send as well."""
 
     async def test(owner: OwnerWorld) -> None:
-        giving_way = await curio.spawn(owner.order, -3, daemon=True)
+        preempting = await curio.spawn(owner.order, -3, daemon=True)
         for _ in range(10):
             await curio.sleep(0)
-        assert owner.caller.given_way == 3
-        assert giving_way.terminated
+        assert owner.caller.preempted == 3
+        assert preempting.terminated
 
     with_running_items(test)
 
@@ -246,12 +252,17 @@
     async def test(owner: OwnerWorld) -> None:
         owner.node.loads.counts_tokens = True
         items = owner.runner.jobs["j"].items
-        first, *others = [one for one in items if not one.replica_id]
+        first, *remaining = [item_run for item_run in items if not item_run.replica_id]
         first.item.tokens = 4_000
-        for one in others:
-            one.item.tokens = 100
+        for item_run in remaining:
+            item_run.item.tokens = 100
         await owner.order(3, tokens=250)
-        assert [one.replica_id for one in (first, *others)] == ["", REPLICA, REPLICA, ""]
+        assert [item_run.replica_id for item_run in (first, *remaining)] == [
+            "",
+            REPLICA,
+            REPLICA,
+            "",
+        ]
         await owner.order(1)
         assert first.replica_id == REPLICA
 
@@ -270,13 +281,15 @@
             Configuration(3, configuration.current.routes, services, ClientLimits())
         )
         owner.node.loads.counts_tokens = True
-        first, *others = [one for one in owner.runner.jobs["j"].items if not one.replica_id]
+        first, *remaining = [
+            item_run for item_run in owner.runner.jobs["j"].items if not item_run.replica_id
+        ]
         first.item.tokens = odd
-        for one in others:
-            one.item.tokens = 100
-        await owner.runner._tell_waiting()
-        told = [one for groups in owner.node.link.waiting.values() for one in groups]
-        assert [one.tokens for one in told] == [100]
+        for item_run in remaining:
+            item_run.item.tokens = 100
+        await owner.runner._report_waiting()
+        reported = [group for groups in owner.node.link.waiting.values() for group in groups]
+        assert [group.tokens for group in reported] == [100]
         before = owner.node.loads.by_replica[REPLICA].tokens
         await owner.order(2, tokens=100)
         assert first.replica_id == REPLICA
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -29,30 +29,30 @@
 from cloverwalk.store.types import CommitOutcome, Put, RowKey, Transaction
 
 
-class Meanwhile(Enum):
+class Interference(Enum):
     """What happens just before a commit."""
 
     ROWS_CHANGE = "other writers change the job's record and the quota row"
     LATE_WRITES = "transactions without an answer are done now, if they still hold"
 
 
-class BusyStore(MemoryStore):
+class InterferingStore(MemoryStore):
     """Things happen between the commits of a call."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.meanwhile: deque[Meanwhile | None] = deque()
+        self.interferences: deque[Interference | None] = deque()
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
-        match self.meanwhile.popleft() if self.meanwhile else None:
-            case Meanwhile.ROWS_CHANGE:
-                self._write_anew(job_key("j"))
-                self._write_anew(quota_key("jobs"))
-            case Meanwhile.LATE_WRITES:
+        match self.interferences.popleft() if self.interferences else None:
+            case Interference.ROWS_CHANGE:
+                self._rewrite(job_key("j"))
+                self._rewrite(quota_key("jobs"))
+            case Interference.LATE_WRITES:
                 self.run_late()
         return await super().commit(transaction, timeout_s)
 
-    def _write_anew(self, key: RowKey) -> None:
+    def _rewrite(self, key: RowKey) -> None:
         value = self.values(key.table).get(key.key)
         if value is None and key.table == QUOTA_TABLE:
             value = encode(QuotaRow())
@@ -60,7 +60,7 @@
             self.apply(Transaction(puts=[Put(key, value)]))
 
 
-def service_of(node: OwnerNode) -> JobService:
+def create_service(node: OwnerNode) -> JobService:
     async def drop(job_id: str) -> None:
         node.jobs.pop(job_id, None)
 
@@ -69,7 +69,7 @@
     return JobService(node.intake, node.reader, runner, node.view, node.committer, log, node.clock)
 
 
-async def hand_in_status(node: OwnerNode, max_queued_tokens: int) -> int:
+async def submit_status(node: OwnerNode, max_queued_tokens: int) -> int:
     """Return the status of the answer to a hand-in of the job "j"."""
     try:
         await node.submit(submission("j"), batch_route(max_queued_tokens))
@@ -78,7 +78,7 @@
     return 202
 
 
-def without_pauses(node: OwnerNode) -> OwnerNode:
+def without_retry_delays(node: OwnerNode) -> OwnerNode:
     """Have a node repeat its transactions at once; its clock moves all the same."""
 
     async def pause(pause_ms: float) -> None:
@@ -92,7 +92,7 @@
     """Return the status of the answer to an end of the job "j"."""
     writes = JobWriteTracker()
     try:
-        await service_of(node).end("j", "", writes)
+        await create_service(node).end("j", "", writes)
     except JobError as error:
         return error_response(error, writes).status
     return 200
@@ -100,11 +100,11 @@
 
 def test_an_end_that_was_done_is_not_called_not_done_after_many_conflicts() -> None:
     async def main() -> None:
-        store = BusyStore()
+        store = InterferingStore()
         node = OwnerNode("n1", store, HandClock(0.0001))
         await node.submit(submission("j"), batch_route())
         conflicts = MAX_END_CONFLICTS - 1
-        store.meanwhile.extend([Meanwhile.ROWS_CHANGE] * conflicts)
+        store.interferences.extend([Interference.ROWS_CHANGE] * conflicts)
         store.commit_faults.extend([None] * conflicts + [CommitFault.LOST_ANSWER])
         status = await end_status(node)
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
@@ -134,19 +134,19 @@
 faults = st.sampled_from(
     [None, None, CommitFault.LOST_ANSWER, CommitFault.LATE, CommitFault.NOT_DONE]
 )
-moves = st.sampled_from([None, Meanwhile.ROWS_CHANGE, Meanwhile.LATE_WRITES])
-courses = st.lists(st.tuples(faults, moves), max_size=30)
-LONG = 300
+interferences = st.sampled_from([None, Interference.ROWS_CHANGE, Interference.LATE_WRITES])
+courses = st.lists(st.tuples(faults, interferences), max_size=30)
+MAX_COMMITS = 300
 """More commits than a call has time for."""
 
-Course = list[tuple[CommitFault | None, Meanwhile | None]]
+Course = list[tuple[CommitFault | None, Interference | None]]
 
 
-def follow(store: BusyStore, course: Course, at_last: CommitFault | None) -> None:
+def schedule(store: InterferingStore, course: Course, at_last: CommitFault | None) -> None:
     """Have the coming commits meet a course of events, and one and the same fault after it."""
     store.commit_faults.extend(fault for fault, _ in course)
-    store.commit_faults.extend([at_last] * LONG)
-    store.meanwhile.extend(move for _, move in course)
+    store.commit_faults.extend([at_last] * MAX_COMMITS)
+    store.interferences.extend(interference for _, interference in course)
 
 
 @pytest.mark.parametrize("max_queued_tokens", [0, 25, 1000])
@@ -157,10 +157,10 @@
     """Whatever is lost, late, refused or changed between the rounds of one hand-in."""
 
     async def main() -> None:
-        store = BusyStore()
-        follow(store, course, at_last)
-        node = without_pauses(OwnerNode("n1", store, HandClock(0.05)))
-        status = await hand_in_status(node, max_queued_tokens)
+        store = InterferingStore()
+        schedule(store, course, at_last)
+        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.05)))
+        status = await submit_status(node, max_queued_tokens)
         store.run_late()
         is_taken = "j" in store.values(JOB_TABLE)
         assert not (is_taken and status in NOT_RUN_STATUSES)
@@ -172,10 +172,10 @@
 @given(course=courses, at_last=faults)
 def test_a_refused_end_never_takes_effect(course: Course, at_last: CommitFault | None) -> None:
     async def main() -> None:
-        store = BusyStore()
-        node = without_pauses(OwnerNode("n1", store, HandClock(0.05)))
+        store = InterferingStore()
+        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.05)))
         await node.submit(submission("j"), batch_route())
-        follow(store, course, at_last)
+        schedule(store, course, at_last)
         status = await end_status(node)
         store.run_late()
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
@@ -189,11 +189,11 @@
     """The first round's transaction has no answer; the quota row has moved on; then no store."""
 
     async def main() -> None:
-        store = BusyStore()
-        store.meanwhile.extend([None, Meanwhile.ROWS_CHANGE])
+        store = InterferingStore()
+        store.interferences.extend([None, Interference.ROWS_CHANGE])
         store.commit_faults.extend([CommitFault.LATE, None, *[CommitFault.NOT_DONE] * 300])
-        node = without_pauses(OwnerNode("n1", store, HandClock(0.01)))
-        assert await hand_in_status(node, 1000) == 503
+        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.01)))
+        assert await submit_status(node, 1000) == 503
         assert store.late
         store.run_late()
         assert store.values(JOB_TABLE) == {}
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -39,7 +39,7 @@
 
 async def listed(node: OwnerNode, job_id: str) -> list[str]:
     page = await node.reader.read(job_id, 0, 0.0)
-    return [one.item_id for one in page.results]
+    return [result.item_id for result in page.results]
 
 
 def test_an_acknowledged_job_is_whole_in_the_store() -> None:
@@ -49,7 +49,7 @@
         other = OwnerNode("n2", store, HandClock())
         record = await other.reader.find("j")
         items = await other.reader.items(record)
-        assert [one.body for one in items] == [b"body 0", b"body 1", b"body 2"]
+        assert [item.body for item in items] == [b"body 0", b"body 1", b"body 2"]
 
     curio.run(main)
 
@@ -59,7 +59,7 @@
         store = MemoryStore()
         store.now_ms = 50_000.0
         node = OwnerNode("n1", store, HandClock())
-        node.told = lambda: exactly(store.now_ms) if store.reads else None
+        node.store_time = lambda: exactly(store.now_ms) if store.reads else None
         await node.submit(submission("j"), batch_route())
         record = await node.reader.find("j")
         assert record.accepted_ms == 50_000.0
@@ -72,7 +72,7 @@
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
-        node.told = lambda: None
+        node.store_time = lambda: None
         with pytest.raises(RefusedError) as refused:
             await node.submit(submission("j"), batch_route())
         assert refused.value.status == 503
@@ -84,13 +84,13 @@
 def test_a_job_with_long_items_comes_back_whole() -> None:
     async def main() -> None:
         store = MemoryStore()
-        one = submission("j")
-        for number, item in enumerate(one.items):
+        job = submission("j")
+        for number, item in enumerate(job.items):
             item.body = bytes([number]) * 700_000
-        await OwnerNode("n1", store, HandClock()).submit(one, batch_route())
+        await OwnerNode("n1", store, HandClock()).submit(job, batch_route())
         other = OwnerNode("n2", store, HandClock())
         items = await other.reader.items(await other.reader.find("j"))
-        assert [item.body for item in items] == [item.body for item in one.items]
+        assert [item.body for item in items] == [item.body for item in job.items]
 
     curio.run(main)
 
@@ -125,9 +125,9 @@
         taken_over = replace_record(job.record, owner="n2", epoch=2)
         put = Put(job_key("j"), encode(taken_over))
         await store.commit(Transaction([Expectation(job_key("j"), job.version)], [put]), 1.0)
-        heir = OwnerNode("n2", store, HandClock())
-        await heir.submit(submission("j"), batch_route())
-        assert heir.jobs == {}
+        new_owner = OwnerNode("n2", store, HandClock())
+        await new_owner.submit(submission("j"), batch_route())
+        assert new_owner.jobs == {}
 
     curio.run(main)
 
@@ -161,15 +161,15 @@
         with pytest.raises(RefusedError) as refused:
             await node.submit(submission("j"), batch_route())
         assert refused.value.status == 503
-        tries = 200 - len(store.commit_faults)
-        assert tries <= 3 if is_elsewhere else tries >= 4
+        attempts = 200 - len(store.commit_faults)
+        assert attempts <= 3 if is_elsewhere else attempts >= 4
         assert (refused.value.retry_after_s or 1.0) <= (0.05 if is_elsewhere else 0.3)
         await node.health.record_failure()
-        left = len(store.commit_faults)
+        faults_left = len(store.commit_faults)
         with pytest.raises(RefusedError) as again:
             await node.submit(submission("k"), batch_route())
         assert again.value.status == 503
-        assert (len(store.commit_faults) == left) == is_elsewhere
+        assert (len(store.commit_faults) == faults_left) == is_elsewhere
 
     curio.run(main)
 
@@ -248,13 +248,13 @@
         faults = list(store.commit_faults)
         store.commit_faults.clear()
         node = OwnerNode("n2", store, HandClock())
-        await node.see_store()
-        known = node.view.find("j")
-        assert known is not None
-        record = replace_record(known.record, owner="n2", epoch=epoch + 1)
+        await node.sync_view()
+        cached = node.view.find("j")
+        assert cached is not None
+        record = replace_record(cached.record, owner="n2", epoch=epoch + 1)
         key = job_key("j")
         outcome = store.apply(
-            Transaction([Expectation(key, known.version)], [Put(key, encode(record))])
+            Transaction([Expectation(key, cached.version)], [Put(key, encode(record))])
         )
         job = JobRun(record, outcome.version, await node.reader.items(record))
         job.restore(set(await listed(node, "j")), [])
@@ -290,8 +290,8 @@
         with pytest.raises(RefusedError):
             await node.submit(submission("k", 3, 100), batch_route(400))
         job = node.jobs["j"]
-        for one in job.items[:2]:
-            finish(job, one, "text")
+        for item_run in job.items[:2]:
+            finish(job, item_run, "text")
         await node.lister.list_finished(job)
         await node.submit(submission("k", 3, 100), batch_route(400))
 
@@ -314,7 +314,8 @@
         with pytest.raises(JobError) as down_unseen:
             await node.reader.read("other", 0, 0.0)
         statuses = [
-            error_response(one.value, NOTHING_SENT).status for one in (sure, down, down_unseen)
+            error_response(raised.value, NOTHING_SENT).status
+            for raised in (sure, down, down_unseen)
         ]
         assert statuses == [404, 503, 503]
 
@@ -387,8 +388,8 @@
         await node.submit(submission("old"), batch_route())
         await node.submit(submission("open"), batch_route())
         job = node.jobs["old"]
-        for one in job.items:
-            finish(job, one, "a b")
+        for item_run in job.items:
+            finish(job, item_run, "a b")
         await node.lister.list_finished(job)
         log = ServingLog("n1", node.clock, os.open(os.devnull, os.O_WRONLY))
         now = exactly(0.0)
