--- a/src/cloverwalk/jobs/__init__.py
+++ b/src/cloverwalk/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: taken, owned by one node at a time, run beside online work, and listed once."""
+"""Batch jobs: accepted, owned by one node at a time, run beside online work, and listed once."""
--- a/src/cloverwalk/jobs/assigner.py
+++ b/src/cloverwalk/jobs/assigner.py
@@ -1,4 +1,4 @@
-"""The coordinator finds jobs without an owner and gives each to a node."""
+"""Lets the coordinator find jobs without an owner and assign each to a node."""
 
 from collections.abc import Callable
 
@@ -16,26 +16,27 @@
 
 CHECK_INTERVAL_S = 0.25
 MAX_RECORD_AGE_S = 3.5
-"""Records confirmed within this time are good enough: a takeover holds only at their versions."""
+"""Records confirmed within this time are recent enough: a takeover succeeds only at their
+versions."""
 
 ORDER_RETRY_DELAY_S = 0.8
-"""A job that still has no owner is given to a node again after this time."""
+"""Time after which a job that still has no owner is assigned again."""
 
 STALL_TIMEOUT_S = 2.5
-"""The owner of a job without a new result for so long is told to run it: it may not know that the
-job is its own, when the store's answer to a hand-in or takeover was lost."""
+"""Time without a new result after which the owner of a job is ordered to run it: it may not know
+that it owns the job, when the store's answer to its submission or takeover was lost."""
 
 
 @attrs.frozen
 class _VersionSince:
-    """Since when a record has a version."""
+    """The version of a record, and since when it has been seen (seconds)."""
 
     version: int
     since: float
 
 
 class JobAssigner:
-    """Looks for orphans while this node coordinates."""
+    """Assigns jobs without an owner while this node coordinates."""
 
     def __init__(
         self,
@@ -61,7 +62,10 @@
             self.assign()
 
     def assign(self) -> None:
-        """Give each orphan to a live node, the same one while it lives and has room."""
+        """Assign each job without an owner to a live node.
+
+        It is the same node each time, while that lives and is not overloaded.
+        """
         now = self._clock()
         if not self._follower.is_fresh(now, MAX_RECORD_AGE_S):
             return
@@ -78,7 +82,10 @@
             self._coordinator.send_takeover(new_owner, job_ids)
 
     def _heirs(self) -> list[str]:
-        """Return the processes that may run jobs; those on full machines only if all are full."""
+        """Return the processes that may run jobs.
+
+        Those on overloaded machines are left out unless all are overloaded.
+        """
         live = [
             node.report for node in self._coordinator.registry.live() if not node.report.is_leaving
         ]
@@ -96,7 +103,7 @@
     def _choose_owner(
         self, versioned: VersionedRecord, candidates: list[str], now: float
     ) -> str | None:
-        """Return the process that should run a job and may not do so, None where all is well."""
+        """Return the process to order to run a job, None if no order is needed."""
         record = versioned.record
         unchanged_s = self._unchanged_s(versioned, now)
         if now - self._ordered_at.get(record.job_id, float("-inf")) < ORDER_RETRY_DELAY_S:
@@ -114,7 +121,7 @@
         return record.owner if unchanged_s > STALL_TIMEOUT_S else None
 
     def _unchanged_s(self, versioned: VersionedRecord, now: float) -> float:
-        """Return for how long the record has been as it is."""
+        """Return how long the record has had its version."""
         unchanged = self._unchanged.get(versioned.record.job_id)
         if unchanged is None or unchanged.version != versioned.version:
             unchanged = self._unchanged[versioned.record.job_id] = _VersionSince(
@@ -128,6 +135,6 @@
             return True
         if registry.is_reporting(record.owner):
             return False
-        # Whoever coordinates has to hear all nodes once before it can miss one.
+        # A new coordinator has to receive reports of all nodes before it can miss one.
         since = self._coordinator.active_since
         return since is not None and now - since > NODE_TIMEOUT_S
--- a/src/cloverwalk/jobs/checkpoint.py
+++ b/src/cloverwalk/jobs/checkpoint.py
@@ -1,7 +1,7 @@
-"""Saves the output of running items now and then, so that a lost node loses little work.
+"""Saves the output of running items periodically, so that a lost node loses little work.
 
-Each job's output is saved under the version of its record. So a node learns within a second that
-another one has ended the job or runs it now.
+Each job's output is saved under the version of its record, so a node learns from its next save that
+another node has ended the job or runs it now.
 """
 
 from collections.abc import Awaitable, Callable
@@ -33,7 +33,7 @@
 
 
 class Checkpointer:
-    """Writes unsaved output of this node's jobs."""
+    """Saves the unsaved output of this node's jobs."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         self._on_conflict = on_conflict
 
     async def run(self) -> None:
-        """Save until cancelled; at once when the store is back after an outage."""
+        """Save periodically until cancelled, and at once when the store is back after an outage."""
         while True:
             await self._runner.until_jobs()
             await self._health.backoff(SAVE_EVERY_MS)
             await self.save()
 
     async def save(self) -> None:
-        """Save what is new, a transaction a job; what does not fit waits for the next time."""
+        """Save new output, one transaction per job; what does not fit is saved the next time."""
         for job in list(self._runner.jobs.values()):
             segments = fitting_segments(job.unsaved())
             if segments and not job.is_dropped:
--- a/src/cloverwalk/jobs/commit.py
+++ b/src/cloverwalk/jobs/commit.py
@@ -12,7 +12,7 @@
 
 
 class Committer:
-    """Commits with timeouts that follow the store's pace."""
+    """Commits transactions with timeouts that follow the store's latency."""
 
     def __init__(self, store: Store, health: StoreHealth, clock: Callable[[], float]) -> None:
         self._store = store
@@ -38,11 +38,11 @@
     async def settle(
         self, transaction: Transaction, deadline: float, refuse_at: float = float("inf")
     ) -> CommitOutcome:
-        """Repeat a transaction until it is committed or in conflict, or time is up.
+        """Repeat a transaction until it is committed or in conflict, or until ``deadline``.
 
-        After a lost answer, a conflict may be the transaction's own effect: the caller looks at
-        the conflicting rows. With time up the status is UNKNOWN if any answer was lost, else
-        NOT_DONE. While no answer was lost, time is up at ``refuse_at`` already.
+        After a lost answer, a conflict may be the transaction's own effect: the caller checks the
+        conflicting rows. At the deadline, the status is UNKNOWN if any answer was lost, otherwise
+        NOT_DONE. As long as no answer was lost, the deadline is ``refuse_at`` if that is earlier.
         """
         retry_delay_s = FIRST_PAUSE_S
         has_lost_response = False
--- a/src/cloverwalk/jobs/errors.py
+++ b/src/cloverwalk/jobs/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the batch side."""
+"""Errors of calls on batch jobs."""
 
 from cloverwalk.core.error_response import CallError, Reason
 from cloverwalk.store.types import CommitStatus
 
 
 class JobError(CallError):
-    """A call on a job ends with an answer that is not a success."""
+    """A call on a job ends with an error response."""
 
     default_code = "job_refused"
 
@@ -15,5 +15,5 @@
     if status is CommitStatus.UNKNOWN:
         message = "the store did not answer in time"
         return JobError(Reason.OUT_OF_TIME, "store_unsure", message, retry_after_s)
-    message = "the store takes no writes now"
+    message = "the store accepts no writes now"
     return JobError(Reason.UNAVAILABLE, "store_unavailable", message, retry_after_s)
--- a/src/cloverwalk/jobs/evidence.py
+++ b/src/cloverwalk/jobs/evidence.py
@@ -1,9 +1,9 @@
-"""What may end work for good, and the evidence that each reason needs.
+"""Reasons that end work for good, and the evidence that each of them needs.
 
-An item that is listed as dead is lost for its caller, and so is a record that is removed. So
-nothing else ends them: `JobRun` takes no item's end without one of the types below, the sweeper
-removes no record without one, and their values are logged. Evidence is never made from a time or a
-version that is not known, nor from one that may lie on the wrong side of the limit.
+The caller loses an item that is listed as dead and a record that is removed, so nothing else ends
+them: ``JobRun`` ends no item without one of the types below, the sweeper removes no record without
+one, and their values are logged. An unknown time or version is never evidence, nor is one whose
+uncertainty reaches across the limit.
 """
 
 from typing import ClassVar
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Impossible:
-    """A replica answered this item's run, whole and signed, that it can never be done."""
+    """A replica's complete, signed answer to the item's run says that it can never be done."""
 
     reason: ClassVar[str] = "impossible"
     replica: str
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class AttemptsUsed:
-    """As many replicas as the route allows answered that the item failed."""
+    """The item has failed as often as its route allows."""
 
     reason: ClassVar[str] = "attempts_used"
     replica: str
-    """The last of them."""
+    """Replica of the last failure."""
 
     failures: int
     max_attempts: int
@@ -37,29 +37,29 @@
 
 @attrs.frozen
 class PastRetention:
-    """The time for which the route keeps items is over. All times are of the store's clock, ms."""
+    """The time for which the route keeps items is over. Times are in ms of the store's clock."""
 
     reason: ClassVar[str] = "past_retention"
     accepted_ms: float
     give_up_ms: float
     store_ms: float
     unsure_ms: float
-    """How much more the store's time may be than ``store_ms``."""
+    """How much later than ``store_ms`` the store's time may be."""
 
 
 @attrs.frozen
 class RouteEnded:
-    """The store has told a configuration without the job's route, some time after it was missed."""
+    """The store has confirmed that the route is missing, some time after it was first missed."""
 
     reason: ClassVar[str] = "route_ended"
     accepted_configuration: int
-    """Version whose route took the job."""
+    """Version whose route accepted the job."""
 
     configuration: int
-    """Version that lacks the route."""
+    """Version without the route."""
 
     confirmed_ms: float
-    """From the first look without the route to the call by which the store confirmed that."""
+    """Time from the first check without the route to the start of the call that confirmed it."""
 
 
 ItemEnd = Impossible | AttemptsUsed | PastRetention | RouteEnded
@@ -68,9 +68,10 @@
 def past_retention(
     record: JobRecord, route: Route | None, time: StoreTime | None
 ) -> PastRetention | None:
-    """Return the evidence that a job's items may be given up; none while the time is unknown.
+    """Return the evidence that a job's items are past their retention, None if there is none.
 
-    The longer of two retentions counts: of the version that took the job, and of ``route`` now.
+    The longer of two retentions counts: that of the version that accepted the job, and that of
+    ``route`` now. While the store's time is unknown there is no evidence.
     """
     if time is None:
         return None
@@ -87,7 +88,7 @@
 def attempts_used(
     replica: str, failures: int, record: JobRecord, route: Route | None
 ) -> AttemptsUsed | None:
-    """Return the evidence that an item has failed as often as it may, by either version."""
+    """Return the evidence that an item has used its attempts; the larger of two limits counts."""
     max_attempts = record.max_attempts
     if route is not None:
         max_attempts = max(max_attempts, route.max_attempts)
@@ -98,7 +99,7 @@
 
 @attrs.frozen
 class StatusExpired:
-    """Nobody may ask for the job any more. All times are of the store's clock, ms."""
+    """The time for which a job can be read is over. Times are in ms of the store's clock."""
 
     accepted_ms: float
     kept_ms: float
@@ -108,38 +109,42 @@
 def status_expired(
     record: JobRecord, time: StoreTime | None, kept_ms: float
 ) -> StatusExpired | None:
-    """Return the evidence that a job's rows may go; none while it is open or the time unknown."""
+    """Return the evidence that a job's rows may be removed, None if there is none.
+
+    There is none while the job is open or the store's time is unknown.
+    """
     if record.is_open or time is None or time.earliest_ms <= record.accepted_ms + kept_ms:
         return None
     return StatusExpired(record.accepted_ms, kept_ms, time.earliest_ms)
 
 
 class RouteMonitor:
-    """Notices that the routes of jobs are gone for good.
+    """Detects that the routes of jobs were removed for good.
 
-    Time alone tells nothing, nor does the configuration that a node has: one that is cut off, stood
-    still or has just taken a job over may lack a route that is there, and would list the job's
-    items as dead. So the store must have been asked again ``CONFIRMATION_DELAY_MS`` after the first look.
+    Neither elapsed time nor the configuration of this node proves it: a node that was disconnected,
+    was suspended or has just taken the job over may lack a route that exists, and would list the
+    job's items as dead. So the store has to confirm the missing route by a call that begins more
+    than ``CONFIRMATION_DELAY_MS`` after the first check without it.
     """
 
     CONFIRMATION_DELAY_MS = 4000.0
-    """A route that is moved may be missing for one version; the next comes within some seconds
-    (platform's settings: 2 to 4 s until a change is in force)."""
+    """A route that is being moved may be missing for one version; the next follows in some
+    seconds."""
 
     def __init__(self) -> None:
         self._missing_since_ms: dict[str, float] = {}
 
     def record_present(self, job_id: str) -> None:
-        """A route takes the job's items."""
+        """Record that a route takes the job's items."""
         self._missing_since_ms.pop(job_id, None)
 
     def record_missing(
         self, record: JobRecord, configuration: int, now_ms: float, confirmed_at_ms: float
     ) -> RouteEnded | None:
-        """No route takes the job's items at ``now_ms`` (steady clock).
+        """Record that no route takes the job's items; return the evidence once there is any.
 
-        ``confirmed_at_ms`` is when the last call began by which the store told the configuration.
-        Return the evidence once there is any.
+        ``now_ms`` and ``confirmed_at_ms`` are times of the monotonic clock. ``confirmed_at_ms`` is
+        when the last call began by which the store confirmed the configuration.
         """
         since_ms = self._missing_since_ms.setdefault(record.job_id, now_ms)
         confirmed_ms = confirmed_at_ms - since_ms
@@ -148,5 +153,5 @@
         return RouteEnded(record.configuration, configuration, confirmed_ms)
 
     def remove(self, job_id: str) -> None:
-        """The job is not run here any more."""
+        """Stop monitoring a job that no longer runs here."""
         self._missing_since_ms.pop(job_id, None)
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -1,4 +1,4 @@
-"""Taking a job: everything that an acceptance promises is in the store before it is told."""
+"""Accepts jobs: all that an acceptance promises is in the store before the response is sent."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -41,46 +41,47 @@
 from cloverwalk.telemetry.log import ServingLog
 
 MAX_OLD_JOBS_READ = 3
-"""Jobs of the quota row whose records are read at each admission: more than come in besides, so
-that the row stays short."""
+"""Old jobs of the quota row whose records are read at each admission: more than the one job that it
+adds, so that the row stays short."""
 
 MIN_OLD_JOB_AGE_MS = 3000.0
-"""A job is hardly ever over sooner."""
+"""Younger jobs are rarely closed, so their records are not read."""
 
 QUOTA_RETRY_AFTER_S = 0.7
 STORE_RETRY_AFTER_S = 0.3
 REFUSE_TIMEOUT_S = 0.6
-"""A store that takes nothing for so long: the client is told, and comes back sooner."""
+"""A submission is refused when the store accepts no write for this long: the client retries
+sooner."""
 
 REFUSE_TIMEOUT_SERVED_ELSEWHERE_S = 0.1
-"""The same while the store serves other nodes: there the client has its answer in time."""
+"""The same while the store serves other nodes: there the client gets its response in time."""
 
 ELSEWHERE_RETRY_AFTER_S = 0.02
-"""A client that comes back reaches another node; one that the store serves need not wait."""
+"""A retry reaches another node, and one that the store serves need not wait."""
 
 MAX_CONFLICTS = 40
 MAX_PAYLOAD_ROWS = 12
-"""Rows of items that go into one transaction."""
+"""Rows of items in one transaction."""
 
 OnAccepted = Callable[[JobRun], Awaitable[None]]
 
 
 class Submission(Struct):
-    """A job as a client hands it in."""
+    """A job as a client submits it."""
 
     job_id: str
     host: str
     path: str
     items: list[JobItem]
     tenant: str = ""
-    """Who hands it in; empty for callers without a key."""
+    """Tenant that submits it; empty for callers without a key."""
 
     configuration: int = -1
-    """Version of the configuration that has the route it came by."""
+    """Version of the configuration whose route received it."""
 
 
 class JobIntake:
-    """Takes jobs into the store."""
+    """Accepts jobs into the store."""
 
     def __init__(
         self,
@@ -111,14 +112,14 @@
         self._random = random
         self._quotas: dict[RowKey, tuple[QuotaRow, int]] = {}
         self.submitting_ids: set[str] = set()
-        """Jobs that are being taken: their records may be there before their runs."""
+        """Jobs that are being submitted: their records may exist before their runs."""
 
     async def submit(
         self, submission: Submission, route: Route, deadline: float, writes: JobWriteTracker
     ) -> None:
-        """Take a job, or find that it was taken; raise JobError otherwise.
+        """Accept a job, or find that it was accepted before; raise JobError otherwise.
 
-        ``writes`` learns what is known of the job's transactions.
+        ``writes`` tracks whether the job's transactions may have taken effect.
         """
         cached = self._view.find(submission.job_id)
         if cached is not None:
@@ -156,19 +157,19 @@
             if existing is not None:
                 await self._on_existing_record(submission, existing)
                 return
-            # Whatever was sent before can't take effect any more: its expectations are void.
+            # What was sent before can't take effect any more: the rows have newer versions.
             writes.mark_void()
             self._update_quota(quota_key(route.name, submission.tenant), outcome)
-        message = "too many jobs at once"
+        message = "too many jobs are submitted at once"
         raise JobError(Reason.UNAVAILABLE, "quota_contended", message, STORE_RETRY_AFTER_S)
 
     # --- steps ---
 
     async def _read_store_time(self, submission: Submission) -> StoreTime:
-        """Return the store's time; a process that has just started reads something to learn it.
+        """Return the store's time; a process that has just started reads a record to learn it.
 
-        The configuration may have come from a peer. Times that were guessed would have the items
-        given up too early.
+        The configuration may have come from a peer, so the store need not have answered yet. With a
+        guessed time, the items would end too early.
         """
         if self._store_time() is None:
             await self._reader.read_record(submission.job_id)
@@ -179,8 +180,8 @@
 
     def _new_record(self, submission: Submission, route: Route, time: StoreTime) -> JobRecord:
         tokens = sum(item.tokens for item in submission.items)
-        # Items are kept for the whole retention however late the store's time was read: by the
-        # other bound they died sooner by as much (4 s where a first answer lay unread).
+        # The latest bound keeps items for their whole retention, however late the store's answer
+        # was read. By the earliest bound they would end too early by that delay.
         accepted_ms = time.latest_ms
         return JobRecord(
             submission.job_id,
@@ -202,7 +203,10 @@
     async def _write_payload_ahead(
         self, submission: Submission, payload: list[Put], deadline: float
     ) -> list[Put]:
-        """Write what does not fit beside the record; nothing refers to it before the record."""
+        """Write the rows that do not fit beside the record; return the remaining ones.
+
+        Nothing refers to the written rows before the record exists.
+        """
         while len(payload) > MAX_PAYLOAD_ROWS:
             batch, payload = payload[:MAX_PAYLOAD_ROWS], payload[MAX_PAYLOAD_ROWS:]
             outcome = await self._committer.settle(Transaction(puts=batch), deadline)
@@ -240,7 +244,7 @@
         return self._quotas[key]
 
     async def _closed_jobs(self, quota: QuotaRow, record: JobRecord) -> set[str]:
-        """Return jobs of the quota row that hold nothing any more: known ones and a few read."""
+        """Return closed jobs of the quota row: those of cached records, and a few that are read."""
         closed_ids = {job_id for job_id in quota.jobs if self._is_cached_job_closed(job_id)}
         old_ids = [
             job_id
@@ -257,14 +261,17 @@
         return cached is not None and not cached.record.is_open
 
     async def _is_stored_job_closed(self, job_id: str) -> bool:
-        """Whether a job is over; its record was written with the quota row, so it was there."""
+        """Return whether a job is closed, by its record in the store.
+
+        Its record was written together with the quota row, so a missing record was removed since.
+        """
         record = await self._reader.read_record(job_id)
         return record is None or not record.is_open
 
     async def _check_quota(
         self, quota: QuotaRow, closed_ids: set[str], record: JobRecord, route: Route
     ) -> None:
-        """Raise JobError 429 where a job does not fit beside what still waits."""
+        """Raise JobError 429 where a job does not fit beside the tokens that still wait."""
         other_jobs = {
             key: entry
             for key, entry in quota.jobs.items()
@@ -273,7 +280,7 @@
         max_other_tokens = route.max_queued_tokens - record.tokens
         if waiting_tokens(QuotaRow(other_jobs), self._view) <= max_other_tokens:
             return
-        # Jobs of other nodes count whole until their records are read.
+        # Jobs of other nodes count in full until their records are read.
         for job_id in sorted(other_jobs):
             if await self._is_stored_job_closed(job_id):
                 closed_ids.add(job_id)
@@ -282,7 +289,7 @@
         if waiting <= max_other_tokens:
             return
         if record.job_id in quota.jobs and await self._reader.read_record(record.job_id):
-            # It was taken before: the transaction finds its record.
+            # The job was accepted before: the transaction will find its record.
             return
         self._log.write(
             catalogue.JOB_REFUSED,
@@ -293,7 +300,7 @@
             tokens=record.tokens,
             limit=route.max_queued_tokens,
         )
-        message = f"{waiting} tokens wait, {route.max_queued_tokens} may"
+        message = f"{waiting} tokens are waiting, {route.max_queued_tokens} are allowed"
         raise JobError(Reason.OVER_QUOTA, "quota", message, QUOTA_RETRY_AFTER_S)
 
     def _update_quota(self, key: RowKey, outcome: CommitOutcome) -> None:
@@ -329,8 +336,9 @@
         self._log_accepted(submission, "found", record)
         is_new = record.epoch == 1 and record.listed == 0
         if record.owner == self._owner and record.is_open and is_new:
-            # The answer to an own transaction was lost. A job that was taken over is begun by the
-            # takeover, which reads what is listed: begun here, its items were listed once more.
+            # The answer to a transaction of this node was lost. A job that was taken over is
+            # started by the takeover, which reads what is listed: started here, its items would be
+            # listed twice.
             await self._on_accepted(JobRun(record, row.version, submission.items))
 
     def _unresolved_error(self, submission: Submission, outcome: CommitOutcome) -> JobError:
@@ -359,7 +367,7 @@
 
 
 def _check_owner(record: JobRecord, submission: Submission) -> None:
-    """Raise JobError where a job that is there belongs to another tenant."""
+    """Raise JobError where the existing job belongs to another tenant."""
     if record.tenant != submission.tenant:
         message = "a job can't be handed in with this id"
         raise JobError(Reason.ID_TAKEN, "job_id_taken", message)
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -1,4 +1,4 @@
-"""One run of an item at a replica."""
+"""Sends an item to a replica and reads the events of its answer."""
 
 from collections.abc import Callable
 
@@ -22,30 +22,30 @@
 from cloverwalk.jobs.run import ItemRun, JobRun, RunTiming
 
 READ_EVERY_S = 0.1
-"""Nobody waits for single events of an item: what has come in this time is taken at once. A slot is
-given back so much later at the most, 2 in 100 of an item's time."""
+"""Events of an item are read in batches at this interval, since no client waits for single ones. A
+slot is freed later by at most this time."""
 
 REPLACEMENT_CHARACTER = "\ufffd"
-"""Stands in an event's data for bytes that are no UTF-8."""
+"""Stands for bytes in an event's data that are not UTF-8."""
 
 ANSWER_SILENCE_S = 3.0
 EVENT_SILENCE_S = 1.5
 
 
 class ItemFailedError(Exception):
-    """The replica ran the item and it failed by its own fault."""
+    """The replica ran the item, and it failed by its own fault."""
 
 
 class ItemImpossibleError(Exception):
-    """The replica says that the item can never be done."""
+    """The replica reports that the item can never be done."""
 
 
 ERRORS_BY_STATUS: dict[int, type[Exception]] = {422: ItemImpossibleError, 500: ItemFailedError}
-"""What a replica's whole and signed answer with this status says of an item."""
+"""Error of an item for the status of a replica's complete, signed answer."""
 
 
 class ItemCaller(Struct):
-    """What a run of an item needs."""
+    """Runs items at replicas."""
 
     codec: GatewayCodec
     pool: ReplicaPool
@@ -53,11 +53,11 @@
     clock: Callable[[], float]
 
     def prompt(self, item_run: ItemRun) -> tuple[PromptPart, ...]:
-        """Return the parts of an item's prompt, as far as its headers tell them."""
+        """Return the parts of an item's prompt, as far as its headers describe them."""
         return self.codec.request_fields(_raw_headers(item_run)).prompt
 
     def content_hash(self, job: JobRun, item_run: ItemRun) -> str:
-        """Return the name of an item's content."""
+        """Return the hash of an item's content."""
         if not item_run.content_hash:
             item_run.content_hash = hash_request(self._request(job, item_run))
         return item_run.content_hash
@@ -70,10 +70,10 @@
         on_output: Callable[[], None],
         must_be_new: bool = False,
     ) -> None:
-        """Run an item to its end; events are added to the run as they come.
+        """Run an item to its end; events are added to the run as they arrive.
 
-        ``must_be_new`` has it sent over a connection of its own.
-        Raises ReplicaError when the run broke off, ItemFailedError or ItemImpossibleError.
+        With ``must_be_new`` it is sent over a new connection. Raises ReplicaError when the run was
+        interrupted, ItemFailedError or ItemImpossibleError when the replica says so.
         """
         address = (replica.host, replica.port)
         item_run.delivery = item_run.timing = None
@@ -81,7 +81,7 @@
         is_released = False
         try:
             if self.directory.find(replica.replica_id) is None:
-                raise ReplicaError("the replica began to leave", False, "draining")
+                raise ReplicaError("the replica is draining", False, "draining")
             keep_alive_s = await self._exchange(job, item_run, replica, connection, on_output)
             is_released = True
             await self.pool.release(connection, keep_alive_s)
@@ -113,7 +113,7 @@
         except OSError as error:
             raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
-            raise ReplicaError("no answer in time", True, TIMED_OUT) from error
+            raise ReplicaError("no answer head in time", True, TIMED_OUT) from error
         if head.fields.was_not_run:
             raise ReplicaError(f"the replica answered {head.status}", False, "not_run")
         if head.status in ERRORS_BY_STATUS and head.fields.is_signed:
@@ -126,13 +126,15 @@
         return head.fields.keep_alive_s
 
     async def _read_failure(self, connection: ReplicaConnection) -> None:
-        """Read the body of a failure to its end: one that was cut says nothing of the item."""
+        """Read a failure's body to its end: a truncated answer proves nothing about the item."""
         try:
             async with curio.timeout_after(ANSWER_SILENCE_S):
                 while await connection.read_body() is not None:
                     pass
         except curio.TaskTimeout as error:
-            raise ReplicaError("the failure did not end in time", True, TIMED_OUT) from error
+            raise ReplicaError(
+                "the body of the failure did not end in time", True, TIMED_OUT
+            ) from error
 
     def _request(self, job: JobRun, item_run: ItemRun) -> ClientRequest:
         headers = _raw_headers(item_run)
@@ -181,15 +183,15 @@
             async with curio.timeout_after(EVENT_SILENCE_S):
                 return await connection.read_body()
         except curio.TaskTimeout as error:
-            raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
+            raise ReplicaError("no event in time", True, TIMED_OUT) from error
 
 
 def _handle_event(job: JobRun, item_run: ItemRun, order: EventOrder, event: StreamEvent) -> None:
-    """Add an event to a run. Raises ValueError when it does not belong there."""
+    """Add an event to a run; raise ValueError when it does not belong there."""
     if event.event_id is None:
         raise ValueError("an event has no id")
     if REPLACEMENT_CHARACTER in event.data:
-        # It is the replica's own character, or stands for bytes that are no text.
+        # The replica sent this character, or bytes that are not UTF-8: those raise ValueError.
         event.raw.decode("utf-8")
     order.take(event.event_id)
     if not job.take_event(item_run, event.event_id, event.data):
--- a/src/cloverwalk/jobs/lister.py
+++ b/src/cloverwalk/jobs/lister.py
@@ -1,4 +1,4 @@
-"""Gives finished items their positions: each group in one transaction under the job's version."""
+"""Assigns positions to finished items: each group in one transaction under the job's version."""
 
 from collections.abc import Awaitable, Callable
 
@@ -50,7 +50,7 @@
         self._wake = curio.Event()
 
     async def notify_finished(self, job: JobRun) -> None:
-        """A job has finished items."""
+        """Wake the lister: a job has finished items."""
         self._finished_jobs[job.job_id] = job
         await self._wake.set()
 
@@ -83,8 +83,8 @@
             await self._drop_job(job.job_id)
 
     async def _list_group(self, job: JobRun, group: list[ItemRun]) -> None:
-        # One and the same transaction until its outcome is known: an unanswered one may have
-        # been done, and another group in its place would list its results again.
+        # The same transaction is repeated until its outcome is known: one without an answer may
+        # have been committed, and another group in its place would list its results again.
         record = job.record_after(group)
         transaction = self._transaction(job, group, record)
         while not job.is_dropped:
@@ -125,7 +125,7 @@
     async def _reconcile(
         self, job: JobRun, group: list[ItemRun], record: JobRecord, outcome: CommitOutcome
     ) -> None:
-        """Somebody changed the record: this node with a lost answer, an end, or a new owner."""
+        """Handle a changed record: by this node (its answer was lost), an end or a new owner."""
         row = outcome.conflict(job_key(job.job_id))
         if row is None or row.value is None:
             await self._drop_job(job.job_id)
--- a/src/cloverwalk/jobs/quota.py
+++ b/src/cloverwalk/jobs/quota.py
@@ -1,8 +1,8 @@
-"""The tokens that a tenant's jobs on a route hold waiting, counted without a counter.
+"""Computes the waiting tokens of a tenant's jobs on a route, without a shared counter.
 
-The quota row names every admitted job of the tenant on the route; it is changed only in the
-transaction that admits a job, under its version, so admissions are in line. What a job still holds
-is taken from its record: a record seen late only makes the count too high.
+The quota row names every admitted job of the tenant on the route. It is changed only in the
+transaction that admits a job, under its version, so admissions are serialized. The tokens that a
+job still holds are read from its record: an outdated record only makes the sum too high.
 """
 
 from cloverwalk.jobs.records import QuotaRow
@@ -10,7 +10,7 @@
 
 
 def waiting_tokens(quota: QuotaRow, view: JobView) -> int:
-    """Return the tokens that the admitted jobs still hold, as far as the view tells."""
+    """Return the tokens that the admitted jobs still hold, by the cached records."""
     return sum(
         _waiting_tokens_of(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items()
     )
@@ -26,7 +26,7 @@
 def admit(
     quota: QuotaRow, closed_ids: set[str], job_id: str, tokens: int, now_ms: float
 ) -> QuotaRow:
-    """Return the quota row with a job added, and without jobs that are ``over``."""
+    """Return the quota row with a job added, and without the jobs in ``closed_ids``."""
     jobs = {
         admitted_id: entry
         for admitted_id, entry in quota.jobs.items()
--- a/src/cloverwalk/jobs/reader.py
+++ b/src/cloverwalk/jobs/reader.py
@@ -1,4 +1,4 @@
-"""Reading jobs at any node: the record says how far, the results come from memory or the store."""
+"""Reads jobs at any node: records from the store, results from the cache or the store."""
 
 from collections.abc import Callable
 
@@ -30,7 +30,7 @@
 MAX_RESULTS = 100
 RETRY_AFTER_S = 0.3
 POLL_INTERVAL_S = 0.3
-"""How often the record of another node's job is read while a caller waits for a result."""
+"""Interval at which the record of another node's job is read while a caller waits for a result."""
 
 
 class ResultPage(Struct):
@@ -42,7 +42,7 @@
 
 
 class JobReader:
-    """Answers reads."""
+    """Reads the records, results and items of jobs."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
             await curio.sleep(min(POLL_INTERVAL_S, remaining_s))
 
     async def find(self, job_id: str) -> JobRecord:
-        """Return a job's record; raise JobError 404 only when the store says that it has none."""
+        """Return a job's record; raise JobError 404 only if the store confirms that it has none."""
         cached = self._view.find(job_id)
         if cached is not None and self._is_run_here(job_id):
             return cached.record
@@ -86,7 +86,7 @@
         return record
 
     async def read_record(self, job_id: str) -> JobRecord | None:
-        """Return a job's record from the store, None when it has none; raise JobError."""
+        """Return a job's record from the store, None if it has none; raise JobError."""
         key = job_key(job_id)
         page = await self._page(key.table, key.part, key.key, key.key + "\x01")
         for row in page.rows:
@@ -121,7 +121,7 @@
         return results
 
     async def _cache_results(self, record: JobRecord, position: int, end: int) -> bool:
-        """Bring results into the cache; return whether ``position`` is there now."""
+        """Load results into the cache; return whether the one at ``position`` is among them."""
         job_id = record.job_id
         page = await self._page(
             RESULT_TABLE, part_of(job_id), result_start(job_id, position), result_start(job_id, end)
@@ -129,7 +129,7 @@
         pieces = [(row.row_key.key, row.value) for row in page.rows if row.value is not None]
         values_by_position = join_pieces(pieces)
         if page.has_more and values_by_position:
-            # The last position may not be whole in this page.
+            # The last position may be incomplete in this page.
             values_by_position.pop(max(values_by_position))
         for name, value in values_by_position.items():
             self._cache.put(job_id, int(name), decode_result(value))
--- a/src/cloverwalk/jobs/records.py
+++ b/src/cloverwalk/jobs/records.py
@@ -1,7 +1,7 @@
-"""What the store holds of a job, and how rows are named.
+"""Rows of a job in the store: their types, keys and encoding.
 
-A job's record is one row that its owner changes under its version: a write that the owner makes
-after somebody else changed the record fails. So owners may overlap, and positions still have one
+A job's record is one row, which its owner changes only at the version that it knows: a write after
+somebody else's change fails. So the terms of two owners may overlap, and positions still have one
 writer.
 """
 
@@ -19,23 +19,23 @@
 PARTIAL_TABLE = "partial"
 QUOTA_TABLE = "quota"
 PART_COUNT = 16
-"""Jobs are spread over this many parts of each table."""
+"""Parts of each table over which jobs are spread."""
 
 MAX_ROW_BYTES = 48_000
-"""Largest value that is put into one row."""
+"""Largest value of one row."""
 
 MAX_ITEMS = 200
 
 
 class ItemState(Enum):
-    """How an item ended."""
+    """Final state of an item."""
 
     SUCCEEDED = "succeeded"
     DEAD = "dead"
 
 
 class JobItem(Struct):
-    """One item as it was handed in."""
+    """An item as it was submitted."""
 
     item_id: str
     path: str
@@ -45,7 +45,7 @@
 
 
 class ItemResult(Struct):
-    """A listed result."""
+    """The listed result of an item."""
 
     item_id: str
     state: ItemState
@@ -53,10 +53,10 @@
 
 
 class PartialOutput(Struct):
-    """A segment of an unfinished item's output: the events from the ``start``th on.
+    """A segment of an unfinished item's output: the events from index ``start`` on.
 
-    Two runs of an item may put out different text, so segments of different owners never join:
-    each owner, named by its epoch, saves from the first event on.
+    Two runs of an item may produce different text, so segments of different owners are never
+    joined: each owner, identified by its epoch, saves its output from the first event on.
     """
 
     index: int
@@ -68,7 +68,7 @@
 
 
 class JobRecord(Struct):
-    """A job's row. Times are in ms of the store's clock."""
+    """A job's record. Times are in ms of the store's clock."""
 
     job_id: str
     host: str
@@ -90,10 +90,10 @@
 
     is_ended: bool = False
     tenant: str = ""
-    """Who handed it in, and may read and end it; empty for callers without a key."""
+    """Tenant that submitted the job and may read and end it; empty for callers without a key."""
 
     configuration: int = -1
-    """Version of the configuration whose route took it; -1 where that is not known."""
+    """Version of the configuration whose route accepted the job; -1 if unknown."""
 
     @property
     def is_open(self) -> bool:
@@ -102,9 +102,9 @@
 
 
 class QuotaRow(Struct):
-    """Jobs of a tenant on a route that were admitted and may not be done.
+    """Jobs of a tenant on a route that were admitted and may still be open.
 
-    ``jobs`` holds their tokens and times by job id.
+    ``jobs`` maps job ids to their tokens and admission times (ms of the store's clock).
     """
 
     jobs: dict[str, tuple[int, float]] = {}
@@ -119,7 +119,7 @@
 
 
 def part_of(job_id: str) -> str:
-    """Return the part in which all rows of a job lie.
+    """Return the part of each table that holds the rows of a job.
 
     >>> part_of("job-1") == part_of("job-1")
     True
@@ -151,7 +151,7 @@
 
 
 def keys_end(job_id: str) -> str:
-    """Return a key behind all rows of a job."""
+    """Return a key that sorts after all rows of a job."""
     return f"{job_id}/~"
 
 
@@ -184,7 +184,7 @@
 
 
 def join_pieces(rows: list[tuple[str, bytes]]) -> dict[str, bytes]:
-    """Return the data by name of rows that ``_split`` made.
+    """Return the data by name from rows that ``_split`` made.
 
     >>> join_pieces([("j/000001.000", b"a"), ("j/000001.001", b"b"), ("j/000002.000", b"c")])
     {'000001': b'ab', '000002': b'c'}
--- a/src/cloverwalk/jobs/result_cache.py
+++ b/src/cloverwalk/jobs/result_cache.py
@@ -1,4 +1,4 @@
-"""Listed results in memory. They never change, so a copy is as good as the store's."""
+"""Cache of listed results. They never change, so a cached copy is always valid."""
 
 from collections import OrderedDict
 
@@ -8,7 +8,7 @@
 
 
 class ResultCache:
-    """Results by job and position; the jobs longest unused go first.
+    """Results by job and position; the least recently used jobs are evicted first.
 
     >>> from cloverwalk.jobs.records import ItemState
     >>> cache = ResultCache(max_bytes=8)
@@ -24,7 +24,7 @@
         self._bytes = 0
 
     def put(self, job_id: str, position: int, result: ItemResult) -> None:
-        """Keep a result that the store holds."""
+        """Cache a result that the store holds."""
         results = self._jobs.setdefault(job_id, {})
         if position not in results:
             results[position] = result
@@ -35,7 +35,7 @@
             self._bytes -= sum(len(cached.text) for cached in evicted.values())
 
     def get(self, job_id: str, position: int) -> ItemResult | None:
-        """Return a result if it is kept."""
+        """Return a result if it is cached."""
         results = self._jobs.get(job_id)
         if results is None:
             return None
--- a/src/cloverwalk/jobs/run.py
+++ b/src/cloverwalk/jobs/run.py
@@ -1,7 +1,7 @@
 """The items of one job at its owner, as a state machine without I/O.
 
-pending > running > finished (not listed yet) > listed. A run that breaks off goes back to
-pending with what it has put out, and goes on behind its last event.
+States: pending > running > finished (not listed yet) > listed. An interrupted run returns its item
+to pending with the output so far; the next run continues after the last event.
 """
 
 from enum import Enum
@@ -17,15 +17,15 @@
 MAX_GROUP_ITEMS = 24
 MAX_GROUP_BYTES = 400_000
 SEGMENT_CHARACTERS = 20_000
-"""Characters of output in one saved segment, about."""
+"""Approximate output characters in one saved segment."""
 
 
 TEXT_OVERHEAD_BYTES = 57
-"""What a short text takes in memory beside its characters: the object, and its place in a list."""
+"""Memory that a short text uses beside its characters: the object and its list entry."""
 
 
 class Phase(Enum):
-    """Where an item is at its owner."""
+    """State of an item at its owner."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -34,17 +34,18 @@
 
 
 class RunTiming(Struct):
-    """How a run of an item went at its replica."""
+    """Timing of an item's run at its replica."""
 
     reported_slowdown_percent: int
-    """What the replica told of its pace as the answer began, 100 for its usual one; 0: nothing."""
+    """Slowdown that the replica reported when its answer began: 100 is its baseline, 0 if not
+    reported."""
 
     events: int = 0
     first_at: float = 0.0
     last_at: float = 0.0
 
     def record_events(self, events: int, now: float) -> None:
-        """Events came."""
+        """Record that events have arrived."""
         if self.events == 0:
             self.first_at = now
         self.events += events
@@ -52,55 +53,58 @@
 
 
 class ItemRun(Struct):
-    """One item."""
+    """An item of a job with the state of its runs at this owner."""
 
     index: int
     item: JobItem
     phase: Phase = Phase.PENDING
     failures: int = 0
-    """Answers that say that the item failed."""
+    """Answers of replicas that report the item as failed."""
 
     last_event_id: int | None = None
     texts: list[str] = []
     result: ItemResult | None = None
     end: ItemEnd | None = None
-    """Why the item is dead; None for one that is not."""
+    """Evidence that ended the item; None if it is not dead."""
 
     not_before: float = 0.0
+    """The item does not start before this time (monotonic clock, seconds)."""
+
     replica_id: str = ""
-    """Where it runs, or ran last: its prompt may still be kept there."""
+    """Replica where it runs or ran last: its prompt may still be cached there."""
 
     replica_started_ms: int = 0
-    """Which start of that replica it was, see ``Replica``: the next one keeps no prompt."""
+    """Start time of that replica's process, see ``Replica``: a restarted one has no prompt
+    cached."""
 
     content_hash: str = ""
-    """Name of its content, once somebody has asked for it; see ``gateway.content_hash``."""
+    """Hash of its content, empty until it is needed; see ``gateway.content_hash``."""
 
     delivery: Delivery | None = None
-    """How its last run was sent, once it was."""
+    """How its latest run was sent; None until it is sent."""
 
     timing: RunTiming | None = None
-    """How that run went, once it was answered."""
+    """Timing of that run; None until the replica answers."""
 
     saved_events: int = 0
-    """Events of the output that the store holds."""
+    """Number of output events that the store holds."""
 
     first_started_at: float | None = None
-    """When it was first sent to a replica by this owner (steady clock, seconds)."""
+    """When this owner first sent it to a replica (monotonic clock, seconds)."""
 
     ran_s: float = 0.0
-    """Time at replicas in earlier runs of this owner."""
+    """Total time at replicas in earlier runs of this owner."""
 
     last_run_s: float = 0.0
     suspensions: int = 0
-    """Runs of this owner that gave way to online requests."""
+    """Runs of this owner that were suspended for online requests."""
 
     output_bytes: int = 0
-    """About what its output takes in memory."""
+    """Approximate memory of its output."""
 
 
 class JobRun:
-    """A job that this node owns."""
+    """A job that this node owns, with its items."""
 
     def __init__(self, record: JobRecord, version: int, items: list[JobItem]) -> None:
         self.record = record
@@ -117,14 +121,14 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """About what its bodies, and the outputs that are not listed, take in memory."""
+        """Approximate memory of its request bodies and of the outputs that are not listed."""
         outputs = sum(
             item_run.output_bytes for item_run in self.items if item_run.phase is not Phase.LISTED
         )
         return self._body_bytes + outputs
 
     def restore(self, listed_ids: set[str], partials: list[PartialOutput]) -> None:
-        """Take over what an earlier owner left."""
+        """Restore the results and outputs that earlier owners stored."""
         for item_run in self.items:
             if item_run.item.item_id in listed_ids:
                 item_run.phase = Phase.LISTED
@@ -132,7 +136,7 @@
             self._restore_output(self.items[index], segments)
 
     def _restore_output(self, item_run: ItemRun, segments: list[PartialOutput]) -> None:
-        """Take what one owner saved, up to the first gap, if it is more than is there."""
+        """Restore one owner's saved output up to its first gap, if it is the longest so far."""
         texts: list[str] = []
         last_event_id = None
         for segment in segments:
@@ -160,7 +164,7 @@
     def begin(
         self, item_run: ItemRun, replica_id: str, now: float, replica_started_ms: int = 0
     ) -> None:
-        """An item was sent to a replica."""
+        """Mark an item as running at a replica."""
         if item_run.first_started_at is None:
             item_run.first_started_at = now
         item_run.phase = Phase.RUNNING
@@ -189,16 +193,16 @@
         return True
 
     def suspend(self, item_run: ItemRun, not_before: float) -> None:
-        """A run broke off or gave way; it goes on later behind its last event."""
+        """Return an item to pending; its next run continues after the last event."""
         item_run.phase = Phase.PENDING
         item_run.not_before = not_before
 
     def succeed(self, item_run: ItemRun) -> None:
-        """A run came to its proper end."""
+        """Finish an item whose run was complete."""
         self._finish(item_run, ItemState.SUCCEEDED, "\n".join(item_run.texts))
 
     def fail(self, item_run: ItemRun, not_before: float, route: Route | None) -> None:
-        """A run failed by its own fault; ``route`` takes the job's items now."""
+        """Count a run that failed; ``route`` is the one that takes the job's items now."""
         item_run.failures += 1
         evidence = attempts_used(item_run.replica_id, item_run.failures, self.record, route)
         if evidence is None:
@@ -207,7 +211,7 @@
             self.end(item_run, evidence)
 
     def end(self, item_run: ItemRun, evidence: ItemEnd) -> None:
-        """An item is ended without a result, for a reason that is allowed."""
+        """Finish an item without a result, for one of the allowed reasons."""
         item_run.end = evidence
         self._finish(item_run, ItemState.DEAD, "")
 
@@ -218,7 +222,7 @@
         item_run.result = ItemResult(item_run.item.item_id, state, text)
 
     def next_group(self) -> list[ItemRun]:
-        """Return finished items to be listed in one transaction."""
+        """Return finished items to list in one transaction."""
         group: list[ItemRun] = []
         size = 0
         for item_run in self.items:
@@ -231,7 +235,7 @@
         return group
 
     def record_after(self, group: list[ItemRun]) -> JobRecord:
-        """Return the record once ``group`` is listed."""
+        """Return the job's record as it is once ``group`` is listed."""
         listed = {item_run.index for item_run in group}
         waiting = sum(
             item_run.item.tokens
@@ -242,7 +246,7 @@
         return replace_record(self.record, listed=listed_count, waiting_tokens=waiting)
 
     def mark_listed(self, group: list[ItemRun], record: JobRecord, version: int) -> None:
-        """The transaction of a group was committed."""
+        """Mark a group as listed: its transaction was committed."""
         for item_run in group:
             item_run.phase = Phase.LISTED
             item_run.result = None
@@ -269,7 +273,7 @@
         return segments
 
     def mark_saved(self, segments: list[PartialOutput]) -> None:
-        """The store holds these segments."""
+        """Mark segments as saved: the store holds them."""
         for segment in segments:
             item_run = self.items[segment.index]
             item_run.saved_events = max(item_run.saved_events, segment.start + len(segment.texts))
@@ -283,7 +287,7 @@
 
 
 def _segments(item_run: ItemRun, epoch: int) -> list[PartialOutput]:
-    """Return an item's unsaved output in segments that fit into a row each."""
+    """Return an item's unsaved output in segments that each fit into a row."""
     assert item_run.last_event_id is not None
     segments: list[PartialOutput] = []
     start = item_run.saved_events
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -27,13 +27,13 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 CHECK_INTERVAL_S = 0.5
-"""How often waiting items are looked at though nothing has happened: some become late."""
+"""Interval between checks of the waiting items when nothing else happens: some become late."""
 
 RETRY_S = 0.3
 
 
 class _RunningItem:
-    """An item at a replica."""
+    """An item that is running at a replica."""
 
     def __init__(
         self, job: JobRun, item_run: ItemRun, work: InFlightEntry, started_at: float
@@ -45,18 +45,18 @@
         self.started_at = started_at
         self.task: Any = None
         self.expected_ms = 0.0
-        """Slot time that it was expected to take when it was granted its slot."""
+        """Slot time that the item was expected to take when it got its slot."""
 
         self.is_preempted = False
-        """Whether it was told to give way: its work is not counted any more."""
+        """Whether it was told to free its slot: it no longer counts as work at the replica."""
 
     def record_output(self) -> None:
-        """The replica has put something out."""
+        """Record that the replica has produced output in this run."""
         self.work.has_output = True
 
 
 class BatchRunner(BatchOrderHandler):
-    """Starts, suspends and ends runs of items."""
+    """Starts, suspends and ends the runs of items."""
 
     def __init__(
         self,
@@ -94,10 +94,11 @@
         self._time_estimator = ItemTimeEstimator()
         self._route_monitor = RouteMonitor()
         self._reports_item_timings = False
-        """Whether a replica has told its pace here: then how long items still run matters."""
+        """Whether a replica has reported its slowdown here: only then are item timings and
+        remaining times reported."""
 
         self._has_ended_run = False
-        """Whether a run has ended since the last report was asked for."""
+        """Whether a run has ended since the last report was triggered."""
 
         self.is_stopping = False
 
@@ -111,7 +112,7 @@
         await self._wake.set()
 
     async def drop(self, job_id: str) -> None:
-        """Stop a job: it is done, ended, or owned by another node."""
+        """Stop running a job that is done, ended or owned by another node."""
         job = self.jobs.pop(job_id, None)
         self._route_monitor.remove(job_id)
         if job is None:
@@ -125,15 +126,15 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """About what own jobs take in memory."""
+        """Approximate memory that the jobs of this node use."""
         return sum(job.buffered_bytes for job in self.jobs.values())
 
     async def until_jobs(self) -> None:
-        """Return when this node runs any job."""
+        """Wait until this node runs at least one job."""
         await self._has_jobs.wait()
 
     async def stop_all(self) -> None:
-        """Cut every run; what was put out stays in the runs."""
+        """Cancel every run; the output so far stays in the runs."""
         self.is_stopping = True
         for running in list(self._running.values()):
             await running.task.cancel()
@@ -142,7 +143,7 @@
     # --- waiting items ---
 
     async def run(self) -> None:
-        """Tell the coordinator what waits, whenever that changes, until cancelled."""
+        """Report the waiting items to the coordinator whenever they change, until cancelled."""
         while True:
             if self.jobs:
                 async with curio.ignore_after(self._check_timeout_s()):
@@ -154,7 +155,7 @@
             await self._report_waiting()
 
     def _check_timeout_s(self) -> float:
-        """Return the time to the next look, or to the end of an item's pause."""
+        """Return the time until the next check, or until the retry delay of an item is over."""
         now = self._clock()
         retry_delays_s = [
             item_run.not_before - now
@@ -178,7 +179,7 @@
             await self._coordinator_client.trigger_report()
 
     def _pop_has_ended_run(self) -> bool:
-        """Return whether a run has ended since the last call; own loads have changed then."""
+        """Return whether a run has ended since the last call: this changes the node's loads."""
         has_ended, self._has_ended_run = self._has_ended_run, False
         return has_ended
 
@@ -188,8 +189,8 @@
     def _startable_items(self, job: JobRun) -> list[ItemRun]:
         """Return the items that may start now.
 
-        A contained one waits for the time of its next trial; it is listed as dead by what ends
-        other items only, and the rest of its job goes on.
+        An item whose content is contained waits until its next trial. Containment itself never ends
+        an item, and the other items of the job go on.
         """
         pending = job.pending(self._clock())
         if self._crash_detector.ledger.is_empty:
@@ -228,9 +229,10 @@
         )
 
     def _tokens(self, job: JobRun, item_run: ItemRun) -> int:
-        """Return the memory that an item may take at a replica, 0 where nobody counts it.
+        """Return the memory that an item may use at a replica, 0 where memory is not counted.
 
-        One that no replica holds counts as nothing: its replica refuses it, and others go on.
+        An item that no replica can hold counts as 0: its replica rejects it, and other items do not
+        wait.
         """
         current = self._configuration.current
         if not self._loads.counts_tokens or current is None:
@@ -243,13 +245,13 @@
         return max(0, item_run.item.tokens) if can_fit else 0
 
     def _priority(self, job: JobRun) -> int:
-        """Return the rank of a job: its tenant's, or its route's."""
+        """Return the priority of a job: that of its tenant, otherwise that of its route."""
         route = self._route(job)
         route_priority = 0 if route is None else route.priority
         return self._configuration.tenants.priority(job.record.tenant, route_priority)
 
     def _time_left_ms(self, job: JobRun) -> float:
-        """Return the time until a job is due; all the time while the store's is not known."""
+        """Return the time until a job is due, infinite while the store's time is unknown."""
         time = self._store_time()
         return float("inf") if time is None else job.record.due_ms - time.earliest_ms
 
@@ -258,7 +260,7 @@
         return prefill_ms(prompt[-1].tokens) if prompt else 0.0
 
     async def _end_expired_items(self) -> None:
-        """End waiting items past their retention, and those whose route is gone for good."""
+        """End waiting items that are past their retention or whose route was removed for good."""
         for job in list(self.jobs.values()):
             evidence = self._evidence_for_all_items(job)
             if evidence is None:
@@ -271,7 +273,7 @@
                 await self._on_finished(job)
 
     def _evidence_for_all_items(self, job: JobRun) -> ItemEnd | None:
-        """Return what ends every unfinished item of a job, if anything does."""
+        """Return the evidence that ends every unfinished item of a job, if there is any."""
         retention_evidence = past_retention(job.record, self._route(job), self._store_time())
         return retention_evidence or self._evidence_of_route_end(job)
 
@@ -284,7 +286,7 @@
         return self._route_monitor.record_missing(job.record, version, now_ms, confirmed_ms)
 
     def _log_dead_items(self, job: JobRun, dead_items: list[ItemRun], evidence: ItemEnd) -> None:
-        """Write one line for all items that end together, so that none is left out."""
+        """Write one log line for all items that end together, so that each is logged."""
         self._log.write(
             catalogue.ITEMS_DEAD,
             requests=[item_run.item.item_id for item_run in dead_items],
@@ -301,18 +303,18 @@
         return configuration.find_batch_route(job.record.host, job.record.path)
 
     def _services(self, job: JobRun) -> list[str]:
-        """Return the services that take a job's items, none when its route is gone."""
+        """Return the services that run a job's items, none when its route is missing."""
         route = self._route(job)
         return [] if route is None else route.services
 
     # --- orders ---
 
     async def take_over_jobs(self, job_ids: list[str]) -> None:
-        """Run jobs that have no owner."""
+        """Take over jobs that have no owner."""
         await self._on_orphans(job_ids)
 
     async def apply_grants(self, grants: dict[str, int]) -> None:
-        """Start as many items at each replica as there are slots for them."""
+        """Start as many items at each replica as slots were granted there."""
         await self.apply_tenant_grants(grants, {}, {})
 
     async def apply_tenant_grants(
@@ -321,9 +323,10 @@
         by_tenant: dict[str, dict[str, int]],
         tokens: dict[str, int],
     ) -> None:
-        """Start items at replicas: of the tenants that were granted slots, then any others.
+        """Start items at replicas: first of the tenants that were granted slots, then any others.
 
-        No more and no larger ones start than were found to fit into the replica's memory.
+        Where ``tokens`` limits the memory of a replica, the items that start there fit into it
+        together.
         """
         if self.is_stopping:
             return
@@ -345,7 +348,11 @@
         await self._wake.set()
 
     def _waiting_for(self, replica: Replica) -> list[tuple[JobRun, ItemRun]]:
-        """Return the items in their order, of those due together the ones of this replica first."""
+        """Return the waiting items that a replica can run, in the order in which they start.
+
+        Of items with the same sort key, those that ran last at another replica come later: their
+        prompt may still be cached there.
+        """
         ranked: list[tuple[tuple[int, bool, float], JobRun, ItemRun]] = []
         for job in self.jobs.values():
             if replica.service not in self._services(job):
@@ -358,7 +365,7 @@
         return [(job, item_run) for _, job, item_run in ranked]
 
     async def apply_revokes(self, revokes: dict[str, int]) -> None:
-        """Suspend items at replicas, where online requests need their slots."""
+        """Suspend items at replicas where online requests need the slots."""
         preempted = [
             running
             for replica_id, count in revokes.items()
@@ -412,7 +419,7 @@
         except ReplicaError as error:
             outcome = error.code
             if error.may_have_run and len(item_run.texts) == earlier_events:
-                # One that has put something out does not end its replica as it begins.
+                # An item whose run has produced output does not crash replicas as it starts.
                 content = self._caller.content_hash(job, item_run)
                 item_id, delivery = item_run.item.item_id, item_run.delivery
                 await self._crash_detector.record_failure(
@@ -463,7 +470,7 @@
         await self._wake.set()
 
     def _record_correction(self, running: _RunningItem) -> None:
-        """Tell what the run took beyond what its tenant was charged for it."""
+        """Report how far the run's slot time differs from what its tenant was charged."""
         if not self._configuration.has_tenants:
             return
         tenant, rank = running.job.record.tenant, self._priority(running.job)
@@ -476,7 +483,7 @@
             return
         self._reports_item_timings |= timing.reported_slowdown_percent > 0
         if not self._reports_item_timings:
-            # Nobody asks for it, and reports stay as small as they are without it.
+            # Without reported slowdowns, the timings are not used and would only enlarge reports.
             return
         took_ms = round((timing.last_at - timing.first_at) * 1000)
         item_timing = ItemTiming(
@@ -485,7 +492,7 @@
         self._coordinator_client.record_item_timing(item_timing)
 
     def _record_lateness(self, job: JobRun, item_run: ItemRun) -> str | None:
-        """Return why a finished item is late; None for one in time, or not finished."""
+        """Count a late item and return the cause; None for one in time, or not finished."""
         if item_run.phase is not Phase.FINISHED or item_run.end is not None:
             return None
         cause = item_cause(
@@ -505,11 +512,11 @@
         return cause.value
 
     def _preempt(self, replica_id: str, count: int) -> list[_RunningItem]:
-        """Return the items at a replica that give way; from now on they have no slot there.
+        """Return the items at a replica that free their slots; they no longer count as work there.
 
-        First those that have put out nothing in this run: they may still wait in the replica's
-        queue, before the online request. Then those that can't be in time, then those of the
-        lowest priority, and of these those with the most time to spare.
+        Items without output in this run come first: they may still be in the replica's queue, ahead
+        of the online request. Then follow items that can't be in time, then those of the lowest
+        priority, and among these the ones with the most time to spare.
         """
         candidates = [
             running_item
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -1,4 +1,4 @@
-"""The batch side of a node: hand in, read, end. Read ``JobService`` first."""
+"""Calls on batch jobs: submit, read and end. ``JobService`` is the entry point."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 from cloverwalk.telemetry.log import ServingLog
 
 SUBMIT_TIMEOUT_S = 3.2
-"""A hand-in is settled or given up within this time; callers wait a little longer."""
+"""A submission is accepted or refused within this time; callers wait a little longer."""
 
 END_TIMEOUT_S = 3.2
 MAX_END_CONFLICTS = 20
@@ -31,7 +31,7 @@
 
 
 class JobService:
-    """Calls on jobs. Every method raises JobError for an answer that is not a success."""
+    """Calls on jobs. Every method raises JobError for an error response."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         deadline_s: float | None,
         writes: JobWriteTracker,
     ) -> None:
-        """Take a job; returns once the store holds it."""
+        """Accept a job; return once the store holds it."""
         timeout_s = (
             SUBMIT_TIMEOUT_S if deadline_s is None else min(SUBMIT_TIMEOUT_S, 0.8 * deadline_s)
         )
@@ -70,9 +70,9 @@
         return await self._reader.read(job_id, position, wait_s)
 
     async def _find(self, job_id: str, tenant: str) -> JobRecord:
-        """Return the record of a tenant's job. A job of another tenant is not there for it."""
+        """Return the record of a tenant's job; for other tenants the job does not exist."""
         cached = self._view.find(job_id)
-        # Who handed a job in never changes, so any version of its record tells it.
+        # A job's tenant never changes, so any version of the record will do.
         record = await self._reader.find(job_id) if cached is None else cached.record
         if record.tenant != tenant:
             raise JobError(Reason.NOT_FOUND, "no_such_job", "no such job")
@@ -119,9 +119,9 @@
             if record.is_open:
                 writes.mark_void()
         if record.is_open:
-            message = "the job changes too fast"
+            message = "the record of the job changes too often"
             raise JobError(Reason.UNAVAILABLE, "job_contended", message, END_RETRY_AFTER_S)
-        # Ended before, or by a transaction of this call whose answer was lost.
+        # The job was closed before, or by a transaction of this call whose answer was lost.
         await self._runner.drop(job_id)
 
     async def _on_ended(self, record: JobRecord, version: int) -> None:
--- a/src/cloverwalk/jobs/sweeper.py
+++ b/src/cloverwalk/jobs/sweeper.py
@@ -1,4 +1,4 @@
-"""Removes jobs from the store once nobody may ask for them any more."""
+"""Removes jobs from the store once they can no longer be read."""
 
 from collections.abc import Callable
 
@@ -37,7 +37,7 @@
 
 
 class JobSweeper:
-    """Removes old jobs; each is looked after by one of the live members."""
+    """Removes old jobs; each job falls to one of the live members."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Look for old jobs until cancelled."""
+        """Sweep periodically until cancelled."""
         while True:
             await curio.sleep(SWEEP_INTERVAL_S)
             await self.sweep()
@@ -85,7 +85,7 @@
                 outcome = await self._committer.once(Transaction(removals=keys))
                 if outcome.status is not CommitStatus.COMMITTED:
                     return
-        # The record goes last: while it is there, the rest is found again.
+        # The record goes last: while it exists, the next sweep finds the remaining rows.
         key = job_key(job_id)
         transaction = Transaction([Expectation(key, versioned.version)], removals=[key])
         outcome = await self._committer.once(transaction)
--- a/src/cloverwalk/jobs/takeover.py
+++ b/src/cloverwalk/jobs/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over jobs that have no owner, and giving up this node's at a planned stop."""
+"""Takes over jobs that have no owner, and releases this node's jobs at a planned stop."""
 
 from collections.abc import Callable, Set
 
@@ -43,7 +43,7 @@
 
 
 class JobTakeover:
-    """Takes over jobs when the coordinator says so; gives up own ones at a stop."""
+    """Takes over jobs on orders of the coordinator; releases jobs at a planned stop."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._taking_over: set[str] = set()
 
     async def take_over(self, job_ids: list[str]) -> None:
-        """Begin to take jobs over that this node neither runs nor is taking."""
+        """Start to take over the jobs that this node does not run, submit or take over yet."""
         for job_id in job_ids:
             is_handled = job_id in self._runner.jobs or job_id in self._submitting_ids
             if self.is_leaving or is_handled or job_id in self._taking_over:
@@ -111,7 +111,7 @@
             await self._runner.add(job)
 
     async def _owned_version(self, record: JobRecord, outcome: CommitOutcome) -> int | None:
-        """Return the version of the row if this node owns the job now."""
+        """Return the version of the record if this node owns the job now, otherwise None."""
         if outcome.status is CommitStatus.COMMITTED:
             return outcome.version
         row = outcome.conflict(job_key(record.job_id))
@@ -129,7 +129,7 @@
         pieces = join_pieces(await self._rows(RESULT_TABLE, record.job_id))
         results = [decode_result(value) for value in pieces.values()]
         if len(results) < record.listed:
-            message = "listed results are not there yet"
+            message = "not all listed results could be read"
             raise JobError(Reason.UNAVAILABLE, "results_not_read", message)
         segments = await self._rows(PARTIAL_TABLE, record.job_id)
         partials = [decode_partial(value) for _, value in segments]
@@ -150,7 +150,7 @@
     # --- planned stop ---
 
     async def hand_over(self) -> None:
-        """Store the output so far of every own job, and leave it without an owner."""
+        """Save the output of every job of this node, and leave the jobs without an owner."""
         self.is_leaving = True
         jobs = list(self._runner.jobs.values())
         await self._runner.stop_all()
--- a/src/cloverwalk/jobs/verifier.py
+++ b/src/cloverwalk/jobs/verifier.py
@@ -1,4 +1,4 @@
-"""Checks that the jobs that run here are still this node's, and open."""
+"""Checks that the jobs that run here are still open and owned by this node."""
 
 import curio
 
@@ -11,12 +11,12 @@
 from cloverwalk.telemetry.log import ServingLog
 
 VERIFY_INTERVAL_S = 1.2
-"""An ended job starts nothing more after this time and that of two calls to the store; callers
-allow three seconds."""
+"""An ended job starts nothing after this time and that of two calls to the store; callers allow
+three seconds."""
 
 
 class JobVerifier:
-    """Reads the records of own jobs now and then."""
+    """Reads the records of this node's jobs periodically."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._log = log
 
     async def run(self) -> None:
-        """Verify until cancelled."""
+        """Verify periodically until cancelled."""
         while True:
             await self._runner.until_jobs()
             await curio.sleep(VERIFY_INTERVAL_S)
@@ -38,11 +38,11 @@
                     await self.verify(job)
 
     async def verify(self, job: JobRun) -> None:
-        """Drop a job whose record says that it ended or belongs to another node."""
+        """Drop a job whose record is ended, missing or owned by another node."""
         try:
             record = await self._reader.read_record(job.job_id)
         except JobError:
-            # The store's loss has its own line in the log; the next look comes soon.
+            # The store's failure is logged elsewhere; the next check follows soon.
             return
         if job.is_dropped or record is not None and self._is_owned_and_open(job, record):
             return
--- a/src/cloverwalk/jobs/view.py
+++ b/src/cloverwalk/jobs/view.py
@@ -1,6 +1,6 @@
 """Job records as this node last saw them, and waiting for a change of one.
 
-The coordinator sees all of them; another node those that it runs or was asked for.
+The coordinator sees all records; another node sees those of jobs that it runs or was asked for.
 """
 
 import curio
@@ -13,7 +13,7 @@
 """Removed jobs that are remembered, the latest ones."""
 
 MAX_RECORDS = 50_000
-"""Records that are kept, the latest ones: some 20 MB."""
+"""Cached records, the latest ones; bounds their memory."""
 
 
 class VersionedRecord(Struct):
@@ -24,7 +24,7 @@
 
 
 class JobView:
-    """Records by job id. Older versions never replace newer ones."""
+    """Cached records by job id. Older versions never replace newer ones."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, VersionedRecord] = {}
@@ -32,22 +32,22 @@
         self._waiters: dict[str, list[curio.Event]] = {}
 
     def find(self, job_id: str) -> VersionedRecord | None:
-        """Return what is known of a job."""
+        """Return the cached record of a job."""
         return self._jobs.get(job_id)
 
     def all(self) -> list[VersionedRecord]:
-        """Return every known job, sorted by id."""
+        """Return every cached record, sorted by job id."""
         return [self._jobs[key] for key in sorted(self._jobs)]
 
     async def apply_page(self, page: RowPage) -> None:
-        """Take rows of the job table."""
+        """Apply rows of the job table."""
         for row in page.rows:
             if row.row_key.table != JOB_TABLE:
                 continue
             await self.apply_row(row)
 
     async def apply_row(self, row: Row) -> None:
-        """Take one row, or the news that it was removed."""
+        """Apply a row, or its removal."""
         job_id = row.row_key.key
         if row.value is None:
             self._remove(job_id, row.version)
@@ -55,7 +55,7 @@
         await self.put(decode_record(row.value), row.version)
 
     def _remove(self, job_id: str, version: int) -> None:
-        """Forget a job; a read that lags behind must not bring it back."""
+        """Remove a job; a read that lags behind must not bring it back."""
         cached = self._jobs.get(job_id)
         if cached is not None and cached.version < version:
             del self._jobs[job_id]
@@ -64,7 +64,7 @@
             del self._removed[next(iter(self._removed))]
 
     async def put(self, record: JobRecord, version: int) -> None:
-        """Take a record if it is newer, and wake those that wait for it."""
+        """Cache a record if it is newer, and wake those that wait for it."""
         cached = self._jobs.get(record.job_id)
         if cached is not None and cached.version >= version:
             return
--- a/src/cloverwalk/jobs/waiting_items.py
+++ b/src/cloverwalk/jobs/waiting_items.py
@@ -1,7 +1,7 @@
-"""What a node tells of its waiting items. A pure policy.
+"""Groups waiting items for a node's report, and picks those that start. Pure computation.
 
 The coordinator gives free slots to the items of the fleet that are due first, those of higher
-priority in front. Items that can't be in time any more come last.
+priority before others. Items that can't be in time any more come last.
 """
 
 from collections import Counter
@@ -14,15 +14,16 @@
 from cloverwalk.scheduling.item_sort_key import DUE_TIME_RESOLUTION_MS, LATE_OFFSET, PRIORITY_STRIDE
 
 REMAINING_TIME_STEP_MS = 100
-"""What items still run is told in steps of this length; an estimate that moves less is no news."""
+"""Remaining times are rounded to this step, so that small changes of an estimate cause no
+report."""
 
 MAX_GROUPS = 12
-"""Groups of one pool that are told; items that are due later join the last of their tenant."""
+"""Reported groups of one pool; items that are due later join the last group of their tenant."""
 
 
 @attrs.frozen
 class WaitingItem:
-    """What matters of an item for its place in the order."""
+    """The properties of an item that decide when it starts."""
 
     due_ms: float
     can_be_in_time: bool
@@ -31,20 +32,20 @@
     priority: int = 0
     tenant: str = ""
     remaining_ms: float = 0.0
-    """How long it still runs at a replica of the usual pace; 0: not told."""
+    """Expected time that it still runs at a replica at its baseline; 0 if not reported."""
 
     tokens: int = 0
-    """Memory that it may take at a replica; 0 where nobody asks."""
+    """Memory that it may use at a replica; 0 where memory is not counted."""
 
     @property
     def sort_key(self) -> int:
-        """The step that it is told in."""
+        """The due time in steps, with offsets for its priority and for being late."""
         rank = self.priority * PRIORITY_STRIDE + (0 if self.can_be_in_time else LATE_OFFSET)
         return int(self.due_ms // DUE_TIME_RESOLUTION_MS) + rank
 
 
 def summarise(items: Iterable[WaitingItem]) -> list[WaitingGroup]:
-    """Return waiting items as they are told, those due first in front.
+    """Return the groups of waiting items to report, those due first in front.
 
     >>> items = [WaitingItem(8_200.0, True, "", 5.0), WaitingItem(8_100.0, True, "", 7.0)]
     >>> summarise(items) == [WaitingGroup(32, 2, prefill_ms=6)]
@@ -60,7 +61,7 @@
 
 
 def _merge_by_tenant(groups: list[WaitingGroup]) -> list[WaitingGroup]:
-    """Return one group a tenant, due as its first; the largest item's memory stands for each."""
+    """Return one group per tenant, due as its first and with the memory of its largest item."""
     first_by_tenant: dict[str, WaitingGroup] = {}
     items_by_tenant: Counter[str] = Counter()
     tokens_by_tenant: Counter[str] = Counter()
@@ -77,7 +78,7 @@
 
 
 def _group(key: tuple[int, str, str], items: list[WaitingItem]) -> WaitingGroup:
-    """Return items of one key as they are told; the largest one's memory stands for each."""
+    """Return items of one key as a group, with the memory of its largest item."""
     step, replica_id, tenant = key
     mean_prefill_ms = round(sum(item.prefill_ms for item in items) / len(items))
     mean_remaining_ms = sum(item.remaining_ms for item in items) / len(items)
@@ -95,13 +96,13 @@
     tokens: Sequence[int] = (),
     max_tokens: int | None = None,
 ) -> list[int]:
-    """Return which of the waiting items start, by index; ``tenants`` are theirs, in their order.
+    """Return the indices of the waiting items that start; ``tenants`` has one entry per item.
 
-    Where ``max_tokens`` is told, together they take no more of the replica's memory than that:
-    the slot may have been granted for a smaller item than the first.
+    Each tenant's first items start in the slots that were granted for it. A slot whose tenant has
+    no more items goes to the first of the others, so that none stays free.
 
-    Each tenant's first items start in the slots that were granted for it. A slot that its tenant
-    has no item for any more goes to the first of the others, so none stays free.
+    With ``max_tokens``, the items together use no more of the replica's memory: the slot may have
+    been granted for a smaller item than the first.
 
     >>> pick(["a", "a", "b", "b"], 2, {"b": 1, "a": 1}), pick(["a", "a", "b"], 2, {"c": 1})
     ([0, 2], [0, 1])
@@ -120,7 +121,7 @@
 
 
 def _fitting(ordered: list[int], count: int, tokens: Sequence[int], max_tokens: int) -> list[int]:
-    """Return the first items that take no more memory together."""
+    """Return the first items that together use at most ``max_tokens``."""
     fitting: list[int] = []
     for index in ordered:
         if len(fitting) == count:
--- a/src/cloverwalk/jobs/writes.py
+++ b/src/cloverwalk/jobs/writes.py
@@ -1,4 +1,4 @@
-"""What is known of the writes of one call on a job."""
+"""Tracks whether the writes of one call on a job may have taken effect."""
 
 from collections.abc import Awaitable
 
@@ -7,10 +7,10 @@
 
 
 class JobWriteTracker:
-    """Knows whether any transaction of a call can have taken effect, or still can.
+    """Tracks whether any transaction of a call may have taken effect, or still can.
 
-    From the moment in which a transaction is sent it may be done, until its outcome or a proof
-    says that it is not: whoever forgets to look can't promise what is not true.
+    A transaction counts as possibly done from when it is sent until its outcome or a conflict
+    proves otherwise. So a caller that forgets to check makes no false promise.
     """
 
     def __init__(self) -> None:
@@ -18,11 +18,11 @@
 
     @property
     def state(self) -> WorkState:
-        """What is known now."""
+        """Whether the work of the call may have begun."""
         return WorkState.MAY_HAVE_BEGUN if self._may_be_done else WorkState.NOT_BEGUN
 
     async def track(self, committing: Awaitable[CommitOutcome]) -> CommitOutcome:
-        """Return the outcome of a transaction that makes the call's work real."""
+        """Return the outcome of a transaction that makes the call take effect."""
         may_be_done, self._may_be_done = self._may_be_done, True
         outcome = await committing
         if outcome.status is CommitStatus.NOT_DONE:
@@ -30,10 +30,10 @@
         return outcome
 
     def mark_void(self) -> None:
-        """A conflict proves that nothing sent so far was done or ever will be.
+        """Record that a conflict proves that nothing sent so far was done or ever will be.
 
-        The caller has seen that the conflicting rows are not its own effect. Versions of rows only
-        rise, and neither a job's record (before its retention is over) nor a quota row is removed:
-        a transaction that was too late for a version is too late for good.
+        The caller has checked that the conflicting rows are not its own effect. Versions of rows
+        only rise, and neither a job's record (during its retention) nor a quota row is removed, so
+        a transaction that is too late for a version can never take effect.
         """
         self._may_be_done = False
