--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -1,4 +1,4 @@
-"""Jobs of several owners over one store in memory, with time by hand."""
+"""Jobs of several owners over one store in memory, with a clock that the test controls."""
 
 import os
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class HandClock:
-    """A clock that moves a little with each look, so that loops with a limit end."""
+    """A clock that advances a little with each reading, so that loops with a time limit end."""
 
     def __init__(self, step_s: float = 0.01) -> None:
         self.now = 100.0
@@ -52,7 +52,7 @@
 
 
 def exactly(now_ms: float) -> StoreTime:
-    """Return a time of the store that is known to the millisecond."""
+    """Return a store time without uncertainty."""
     return StoreTime(now_ms, now_ms)
 
 
@@ -65,7 +65,7 @@
 
 
 class RefusedError(Exception):
-    """A call on a job got this answer."""
+    """A call on a job was answered with an error response."""
 
     def __init__(self, response: ErrorResponse) -> None:
         super().__init__(response)
@@ -74,7 +74,7 @@
 
 
 class OwnerNode:
-    """The batch side of one node, without replicas."""
+    """The batch part of one node, without replicas."""
 
     def __init__(
         self,
@@ -134,7 +134,7 @@
             raise RefusedError(error_response(error, writes)) from error
 
     async def sync_view(self) -> None:
-        """Catch up with the job table."""
+        """Apply the whole job table to the view."""
         await self.view.apply_page(await self.store.read_table(JOB_TABLE))
 
 
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -1,4 +1,4 @@
-"""Jobs at real sockets: taken once, run to the end, read anywhere, beside online requests."""
+"""Jobs over real sockets: accepted once, completed, readable anywhere, beside online requests."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
     return "\n".join(f"{item_id}:{number}" for number in range(1, events + 1))
 
 
-def test_a_job_is_run_and_read_at_another_node() -> None:
+def test_job_is_run_and_readable_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         assert (await world.hand_in("j")).status == 202
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("misdeed", [Misdeed.CUT, Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED])
-def test_items_go_on_behind_their_last_event(misdeed: Misdeed) -> None:
+def test_items_resume_after_their_last_event(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -53,7 +53,7 @@
     in_world(test)
 
 
-def test_items_that_can_not_be_done_are_dead_after_their_attempts() -> None:
+def test_failing_items_are_dead_after_allowed_attempts() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
@@ -70,7 +70,7 @@
     in_world(test)
 
 
-def test_items_have_the_attempts_of_the_route_in_force() -> None:
+def test_raised_attempt_limit_applies_to_accepted_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
@@ -87,7 +87,7 @@
     in_world(test)
 
 
-def test_an_ended_job_starts_nothing_more() -> None:
+def test_ended_job_starts_no_more_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
         assert (await world.hand_in("j", count=12)).status == 202
@@ -103,7 +103,7 @@
     in_world(test)
 
 
-def test_a_killed_owners_job_goes_on_at_another_node() -> None:
+def test_job_of_killed_owner_continues_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=3, events=60, event_s=0.02)
         assert (await world.hand_in("j", count=4)).status == 202
@@ -117,13 +117,13 @@
     in_world(test)
 
 
-def test_a_job_is_not_taken_over_while_it_is_handed_in() -> None:
+def test_job_is_not_taken_over_during_submission() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.05)
         world.store.write_delay_s = 0.5
         submitting = await curio.spawn(world.hand_in, "j")
         await world.until(lambda: "j" in world.store.rows.values("job"))
-        # The coordinator sees the record before this node has the answer.
+        # The coordinator sees the record before this node has the store's answer.
         await world.nodes[0]._batch.takeover.take_over(["j"])
         assert (await submitting.join()).status == 202
         world.store.write_delay_s = 0.0
@@ -135,20 +135,20 @@
     in_world(test)
 
 
-def test_a_job_whose_owner_does_not_know_that_it_is_its_own_is_run() -> None:
+def test_job_unknown_to_its_owner_is_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         runner = world.nodes[0]._batch.runner
         assert (await world.hand_in("j")).status == 202
-        # As after a hand-in whose answer was lost: the record is there, and nobody runs the job.
+        # As after a submission whose answer was lost: the record exists, and nobody runs the job.
         await runner.drop("j")
         await world.until_done("j", 3, node=1)
 
     in_world(test)
 
 
-def test_a_stopping_owner_hands_its_output_over() -> None:
+def test_stopping_owner_hands_over_output() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=100, event_s=0.02)
         assert (await world.hand_in("j", count=2)).status == 202
@@ -167,7 +167,7 @@
     in_world(test)
 
 
-def test_batch_gives_its_slots_to_online_requests() -> None:
+def test_online_requests_preempt_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=100, event_s=0.02)
         assert (await world.hand_in("j", count=12)).status == 202
@@ -182,7 +182,7 @@
     in_world(test)
 
 
-def test_items_due_sooner_go_first_whichever_node_has_them() -> None:
+def test_items_due_sooner_start_first_across_nodes() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=3, events=20, event_s=0.04)
         replica = world.replicas[0]
@@ -193,7 +193,7 @@
             urgent = f"urgent{round_number}"
             assert (await world.hand_in(urgent, 5, node=1, path="/soon/x")).status == 202
             seen = len(replica.arrivals)
-            # Items take all slots of the replica, none is kept free.
+            # Items use all slots of the replica: none is reserved.
             most = seen + replica.slots
             await world.until(lambda most=most: len(replica.arrivals) >= most)  # type: ignore[misc]
             first = [run.request_id for run in replica.arrivals[seen:most]]
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("reason", ["ended", "stopping"])
-def test_items_that_will_not_start_hold_nothing_back_at_peers(reason: str) -> None:
+def test_items_that_will_not_start_are_not_reported_as_waiting(reason: str) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=20, event_s=0.05)
         assert (await world.hand_in("j", count=40)).status == 202
@@ -218,7 +218,7 @@
     in_world(test)
 
 
-def test_bodies_of_items_come_back_from_any_node() -> None:
+def test_item_bodies_are_readable_at_any_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
         assert (await world.hand_in("j")).status == 202
@@ -232,7 +232,7 @@
     in_world(test)
 
 
-def test_lost_answers_of_the_store_change_nothing() -> None:
+def test_lost_store_answers_do_not_affect_jobs() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         for turn in range(3):
@@ -245,7 +245,7 @@
     in_world(test)
 
 
-def test_a_refusing_store_refuses_jobs_with_a_promise() -> None:
+def test_store_refusal_is_answered_as_not_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.store.is_busy = True
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"requests":[]}', b'{"requests":[{}]}'])
-def test_a_job_that_is_none_gets_a_clear_error(body: bytes) -> None:
+def test_invalid_job_is_answered_with_400(body: bytes) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [(names.REQUEST_ID.decode(), "j")]
@@ -270,7 +270,7 @@
     in_world(test)
 
 
-def test_items_end_with_their_route() -> None:
+def test_items_end_when_route_is_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=500, event_s=0.02)
         world.replicas[0].always = Misdeed.REFUSE
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -1,21 +1,7 @@
-"""Items are said to be dead only for an allowed reason.
+"""Items are listed as dead only for an allowed reason.
 
-What was seen: items of a job were listed as dead 24 s after they were handed in; they may be given
-up after 60 s. No replica had answered 422 or 500; each of their runs had been cut for online work.
-
-How it came about: a process started while the store was slow. It had its configuration from the
-coordinator within 10 ms, and was sent a job before the store had answered it once.
-
-Cause: a time of the store that was never read counted as zero. The job's record said that it was
-accepted at zero and could be given up 60 s after the store's clock began, whenever that was. As
-soon as the time was known the job was given up at that moment, and until then it was run last, as
-one that could not be in time any more.
-
-Proof: `test_a_job_is_kept_for_its_retention_whenever_its_process_first_heard_the_store`, on the
-code that took an unknown time as zero, ends its items at zero + 60 s.
-
-The class: a time or a version that is not known, or roughly known, decides for good. The other
-tests hold its other places.
+Guards against ending items by a store time or configuration version that is unknown or uncertain:
+an unknown store time once counted as zero, and items ended before their retention was over.
 """
 
 import os
@@ -55,7 +41,7 @@
 
 
 class WorldTime:
-    """Time by hand; the store's clock has a zero of its own."""
+    """A clock that the test advances; the store's clock has its own zero."""
 
     def __init__(self, store_zero_s: float) -> None:
         self.now = 1000.0
@@ -70,7 +56,7 @@
 
 
 class SlowStore(MemoryStore):
-    """A store that calls reach after ``call_s``, and whose answers take ``answer_s`` to be read."""
+    """A store that calls reach after ``call_s``, and whose answers are read after ``answer_s``."""
 
     def __init__(self, time: WorldTime) -> None:
         super().__init__()
@@ -96,16 +82,16 @@
 
 
 class CoordinatorClientStub:
-    """Stands for the way to the coordinator: nobody grants anything."""
+    """A coordinator client that is never granted a slot."""
 
     waiting: dict[str, object] = {}
 
     async def trigger_report(self) -> None:
-        """Nobody is told."""
+        """Send nothing."""
 
 
 class OwnerProcess(OwnerNode):
-    """A process that takes jobs, and gives them up; it has just started."""
+    """A process that has just started, accepts jobs and ends their items."""
 
     def __init__(
         self,
@@ -149,17 +135,17 @@
                 self.dead.setdefault(item_run.item.item_id, (self._time.now, item_run))
 
     async def _take_over(self, job_ids: list[str]) -> None:
-        """No job is given to it."""
+        """Ignore the order: no job is given to this process."""
 
     async def run_job(self, job_id: str) -> None:
         await self.runner.add(self.jobs[job_id])
 
     def use_routes(self, version: int, *routes: Route) -> None:
-        """Have a configuration that the store has not confirmed: a peer told it."""
+        """Apply a configuration from a peer, which the store has not confirmed."""
         self.configuration.update_if_newer(Configuration(version, routes, {}, ClientLimits()))
 
     async def run_checks(self, seconds: float, is_confirmed: bool = False) -> None:
-        """Let time pass, with looks of the runner; the store may confirm the configuration."""
+        """Let time pass with the runner's checks; the store may confirm the configuration."""
         until = self._time.now + seconds
         while self._time.now < until:
             self._time.now += CHECK_INTERVAL_S
@@ -174,10 +160,10 @@
     first_answer_s=st.sampled_from([0.004, 0.3, 1.0, 4.0]),
     later_answer_s=st.sampled_from([0.004, 0.3, 1.0]),
 )
-def test_a_job_is_kept_for_its_retention_whenever_its_process_first_heard_the_store(
+def test_items_are_kept_for_retention_when_store_time_is_learnt_late(
     has_asked: bool, store_zero_s: float, first_answer_s: float, later_answer_s: float
 ) -> None:
-    """The first answer may have been asked for before the job was sent, and read late."""
+    """The first answer of the store may be requested before the job is sent, and read late."""
 
     async def main() -> None:
         time = WorldTime(store_zero_s)
@@ -200,7 +186,7 @@
     curio.run(main)
 
 
-def test_a_new_owner_that_knows_the_time_roughly_gives_nothing_up_early() -> None:
+def test_uncertain_store_time_ends_no_item_early() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
@@ -219,8 +205,8 @@
     curio.run(main)
 
 
-def test_a_route_that_an_older_configuration_lacks_has_not_ended() -> None:
-    """A new owner may lag behind the node that took the job, for as long as it is cut off."""
+def test_route_missing_from_older_configuration_ends_no_item() -> None:
+    """A new owner may lag behind the node that accepted the job while it is disconnected."""
 
     async def main() -> None:
         time = WorldTime(12.0)
@@ -252,7 +238,7 @@
     curio.run(main)
 
 
-def test_a_frozen_owner_that_missed_the_version_with_the_route_gives_nothing_up() -> None:
+def test_suspended_owner_that_missed_a_version_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
@@ -270,7 +256,7 @@
     curio.run(main)
 
 
-def test_a_longer_prefix_of_another_kind_does_not_end_a_batch_route() -> None:
+def test_longer_prefix_of_another_route_kind_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
@@ -287,7 +273,7 @@
     curio.run(main)
 
 
-def test_a_retention_that_was_raised_holds_for_jobs_that_wait() -> None:
+def test_raised_retention_applies_to_waiting_jobs() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
@@ -302,7 +288,7 @@
     curio.run(main)
 
 
-def test_a_route_that_tells_no_retention_gives_nothing_up() -> None:
+def test_route_without_retention_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
@@ -316,7 +302,7 @@
     curio.run(main)
 
 
-def test_the_log_tells_for_each_dead_item_the_reason_and_from_what(tmp_path: Path) -> None:
+def test_log_has_reason_and_evidence_of_each_dead_item(tmp_path: Path) -> None:
     async def main() -> None:
         log_path = tmp_path / "log"
         log_path.touch()
@@ -336,7 +322,7 @@
     curio.run(main)
 
 
-def test_nothing_is_given_up_while_the_time_of_the_store_is_unknown() -> None:
+def test_unknown_store_time_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -1,4 +1,4 @@
-"""Slots of items at their node: what is reported while orders are carried out. No sockets."""
+"""Slots of items at their node: what is reported while orders are applied. No sockets."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -35,7 +35,7 @@
 
 
 class SlowlyClosingCaller:
-    """Runs items for ever; of those that give way, only ``may_close`` end at once."""
+    """Runs items forever; only ``may_close`` of the preempted ones end at once."""
 
     def __init__(self) -> None:
         self.may_close = 0
@@ -62,7 +62,7 @@
 
 
 class OwnerWorld:
-    """A fleet of two nodes; the one that does not coordinate owns a job and follows orders."""
+    """A fleet of two nodes; the one that does not coordinate owns a job and applies orders."""
 
     def __init__(self, world: CoordinationWorld) -> None:
         self.world = world
@@ -73,9 +73,10 @@
         self._number = self.coordinator.scheduler.last_decision_number(self.node.name) + 1
 
     async def order(self, change: int, tokens: int = 0) -> int:
-        """Have the node start or suspend items, as its coordinator would; return the number.
+        """Order the node to start or suspend items as its coordinator would; return the number.
 
-        What starts may take ``tokens`` of the replica's memory, where the coordinator counts it.
+        The started items may use ``tokens`` of the replica's memory, where the coordinator counts
+        it.
         """
         leadership = self.coordinator.leader.current
         assert leadership is not None
@@ -97,7 +98,7 @@
         return self._number
 
     async def report(self) -> tuple[int, int]:
-        """Have the node report; return up to which order, and how many items it counts."""
+        """Have the node report; return its last applied order and how many items it counts."""
         self.world.wire.waiting.clear()
         await self.node.link._report()
         reports = [
@@ -110,7 +111,7 @@
 def create_runner(
     node: FleetNode, caller: SlowlyClosingCaller, world: CoordinationWorld
 ) -> BatchRunner:
-    """Give a node a runner of items, and a configuration that has their route."""
+    """Give a node a runner of items and a configuration with their route."""
     parts = (RoutePart("model", 1.0),)
     route = Route("jobs", "h", "/jobs/", RouteKind.BATCH, parts, 30.0, 0.4, 3)
     current = node.configuration.current
@@ -154,7 +155,7 @@
 
 
 def with_running_items(test: Callable[[OwnerWorld], Awaitable[None]]) -> None:
-    """Run a test with a node whose items have all slots of a replica."""
+    """Run a test with a node whose items occupy all slots of a replica."""
 
     async def main() -> None:
         world = CoordinationWorld(2)
@@ -162,7 +163,7 @@
         owner = OwnerWorld(world)
         await owner.runner.add(create_job(owner.node))
         await owner.order(SLOTS)
-        # The runs begin.
+        # Let the runs start.
         await curio.sleep(0)
         try:
             await test(owner)
@@ -174,8 +175,8 @@
 
 
 @pytest.mark.parametrize("closed", [0, 1, 2, 3])
-def test_a_report_counts_an_order_wholly_or_not_at_all(closed: int) -> None:
-    """However many of the items that give way have closed their connections."""
+def test_report_counts_an_order_completely_or_not_at_all(closed: int) -> None:
+    """However many of the preempted items have closed their connections."""
 
     async def test(owner: OwnerWorld) -> None:
         owner.caller.may_close = closed
@@ -193,8 +194,8 @@
     with_running_items(test)
 
 
-def test_orders_settle_in_their_order_while_items_give_way() -> None:
-    """An order that comes while items still give way to an earlier one is counted on top of it."""
+def test_orders_are_applied_in_sequence_during_preemption() -> None:
+    """An order that arrives while an earlier one still preempts items counts in addition to it."""
 
     async def test(owner: OwnerWorld) -> None:
         before, _ = await owner.report()
@@ -220,7 +221,7 @@
     with_running_items(test)
 
 
-def test_a_run_that_gives_way_leaves_the_loads_once() -> None:
+def test_preempted_run_is_removed_from_load_once() -> None:
     async def test(owner: OwnerWorld) -> None:
         preempting = await curio.spawn(owner.order, -SLOTS, daemon=True)
         await curio.sleep(0)
@@ -235,8 +236,8 @@
     with_running_items(test)
 
 
-def test_orders_do_not_wait_until_items_have_given_way() -> None:
-    """A coordinator that owns jobs itself has orders of other nodes to send as well."""
+def test_orders_do_not_wait_for_preempted_items() -> None:
+    """A coordinator that owns jobs itself also has to send orders to other nodes."""
 
     async def test(owner: OwnerWorld) -> None:
         preempting = await curio.spawn(owner.order, -3, daemon=True)
@@ -248,7 +249,7 @@
     with_running_items(test)
 
 
-def test_a_granted_slot_goes_to_no_larger_item_than_its_memory_holds() -> None:
+def test_granted_slot_goes_to_item_that_fits_granted_memory() -> None:
     async def test(owner: OwnerWorld) -> None:
         owner.node.loads.counts_tokens = True
         items = owner.runner.jobs["j"].items
@@ -269,9 +270,9 @@
     with_running_items(test)
 
 
-@pytest.mark.parametrize("odd", [9_900, 10**15, -5])
-def test_an_item_that_no_replica_holds_keeps_no_other_one_waiting(odd: int) -> None:
-    """It is its replica's to refuse, as one of which nothing is told."""
+@pytest.mark.parametrize("item_tokens", [9_900, 10**15, -5])
+def test_oversized_item_does_not_block_other_items(item_tokens: int) -> None:
+    """Its replica rejects it, like an item whose memory is not known."""
 
     async def test(owner: OwnerWorld) -> None:
         configuration = owner.node.configuration
@@ -284,7 +285,7 @@
         first, *remaining = [
             item_run for item_run in owner.runner.jobs["j"].items if not item_run.replica_id
         ]
-        first.item.tokens = odd
+        first.item.tokens = item_tokens
         for item_run in remaining:
             item_run.item.tokens = 100
         await owner.runner._report_waiting()
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -1,4 +1,4 @@
-"""A call on a job that is answered with a promise has done nothing, and never will."""
+"""A call on a job that is answered as not run has had no effect, and never will have one."""
 
 from collections import deque
 from enum import Enum
@@ -37,7 +37,7 @@
 
 
 class InterferingStore(MemoryStore):
-    """Things happen between the commits of a call."""
+    """A store that other writers change between the commits of a call."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -70,7 +70,7 @@
 
 
 async def submit_status(node: OwnerNode, max_queued_tokens: int) -> int:
-    """Return the status of the answer to a hand-in of the job "j"."""
+    """Return the status of the response to a submission of the job "j"."""
     try:
         await node.submit(submission("j"), batch_route(max_queued_tokens))
     except RefusedError as refused:
@@ -79,7 +79,7 @@
 
 
 def without_retry_delays(node: OwnerNode) -> OwnerNode:
-    """Have a node repeat its transactions at once; its clock moves all the same."""
+    """Let a node retry its transactions without delays; its clock advances all the same."""
 
     async def pause(pause_ms: float) -> None:
         await curio.sleep(0)
@@ -89,7 +89,7 @@
 
 
 async def end_status(node: OwnerNode) -> int:
-    """Return the status of the answer to an end of the job "j"."""
+    """Return the status of the response to an end of the job "j"."""
     writes = JobWriteTracker()
     try:
         await create_service(node).end("j", "", writes)
@@ -98,7 +98,7 @@
     return 200
 
 
-def test_an_end_that_was_done_is_not_called_not_done_after_many_conflicts() -> None:
+def test_committed_end_is_not_answered_as_not_run_after_conflicts() -> None:
     async def main() -> None:
         store = InterferingStore()
         node = OwnerNode("n1", store, HandClock(0.0001))
@@ -114,8 +114,8 @@
     curio.run(main)
 
 
-def test_a_failure_of_the_store_does_not_say_that_nothing_was_done() -> None:
-    """Of the store's failures only some say that nothing was done."""
+def test_store_error_is_not_answered_as_not_run() -> None:
+    """Only some failures of the store prove that nothing was done."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
@@ -143,7 +143,7 @@
 
 
 def schedule(store: InterferingStore, course: Course, at_last: CommitFault | None) -> None:
-    """Have the coming commits meet a course of events, and one and the same fault after it."""
+    """Have the coming commits meet a course of events, and then always the last fault."""
     store.commit_faults.extend(fault for fault, _ in course)
     store.commit_faults.extend([at_last] * MAX_COMMITS)
     store.interferences.extend(interference for _, interference in course)
@@ -151,10 +151,10 @@
 
 @pytest.mark.parametrize("max_queued_tokens", [0, 25, 1000])
 @given(course=courses, at_last=faults)
-def test_a_refused_hand_in_is_never_in_the_store(
+def test_refused_submission_is_never_stored(
     max_queued_tokens: int, course: Course, at_last: CommitFault | None
 ) -> None:
-    """Whatever is lost, late, refused or changed between the rounds of one hand-in."""
+    """Whatever is lost, late, refused or changed between the attempts of one submission."""
 
     async def main() -> None:
         store = InterferingStore()
@@ -170,7 +170,7 @@
 
 
 @given(course=courses, at_last=faults)
-def test_a_refused_end_never_takes_effect(course: Course, at_last: CommitFault | None) -> None:
+def test_refused_end_never_takes_effect(course: Course, at_last: CommitFault | None) -> None:
     async def main() -> None:
         store = InterferingStore()
         node = without_retry_delays(OwnerNode("n1", store, HandClock(0.05)))
@@ -185,8 +185,8 @@
     curio.run(main)
 
 
-def test_a_lost_hand_in_that_conflicts_is_void_and_its_refusal_true() -> None:
-    """The first round's transaction has no answer; the quota row has moved on; then no store."""
+def test_conflict_proves_unanswered_submission_void() -> None:
+    """The first transaction has no answer, then the quota row has changed, then the store fails."""
 
     async def main() -> None:
         store = InterferingStore()
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -1,4 +1,4 @@
-"""A job is taken once, and each of its items stands at one position, whatever the store loses."""
+"""Jobs are accepted once and each item is listed at one position, whatever answers are lost."""
 
 import os
 
@@ -42,7 +42,7 @@
     return [result.item_id for result in page.results]
 
 
-def test_an_acknowledged_job_is_whole_in_the_store() -> None:
+def test_accepted_job_is_complete_in_store() -> None:
     async def main() -> None:
         store = MemoryStore()
         await OwnerNode("n1", store, HandClock()).submit(submission("j"), batch_route())
@@ -54,7 +54,7 @@
     curio.run(main)
 
 
-def test_a_process_that_knows_no_time_of_the_store_reads_it_before_it_takes_a_job() -> None:
+def test_submission_reads_unknown_store_time_first() -> None:
     async def main() -> None:
         store = MemoryStore()
         store.now_ms = 50_000.0
@@ -68,7 +68,7 @@
     curio.run(main)
 
 
-def test_no_job_is_taken_while_the_time_of_the_store_is_unknown() -> None:
+def test_submission_is_refused_while_store_time_is_unknown() -> None:
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
@@ -81,7 +81,7 @@
     curio.run(main)
 
 
-def test_a_job_with_long_items_comes_back_whole() -> None:
+def test_job_with_large_items_is_read_back_complete() -> None:
     async def main() -> None:
         store = MemoryStore()
         job = submission("j")
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("faults", [[LOST], [REFUSED], [LOST, LOST], [LATE], [REFUSED, LOST]])
-def test_a_job_sent_twice_is_taken_once(faults: list[CommitFault]) -> None:
+def test_job_submitted_twice_is_accepted_once(faults: list[CommitFault]) -> None:
     async def main() -> None:
         store = MemoryStore()
         store.commit_faults.extend(faults)
@@ -112,8 +112,8 @@
     curio.run(main)
 
 
-def test_a_resent_job_that_its_node_has_taken_over_is_not_begun_anew() -> None:
-    """The takeover restores what an earlier owner listed; the hand-in knows nothing of that."""
+def test_resubmitted_job_is_not_restarted_after_takeover() -> None:
+    """The takeover restores what an earlier owner listed; a submission knows nothing of that."""
 
     async def main() -> None:
         store = MemoryStore()
@@ -132,7 +132,7 @@
     curio.run(main)
 
 
-def test_an_unsure_hand_in_does_not_promise_that_nothing_runs() -> None:
+def test_unresolved_submission_is_not_answered_as_not_run() -> None:
     async def main() -> None:
         store = MemoryStore()
         store.commit_faults.extend([LATE] * 200)
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("is_elsewhere", [True, False])
-def test_a_client_is_sent_on_at_once_while_the_store_serves_other_nodes(
+def test_submission_is_refused_early_while_store_serves_other_nodes(
     is_elsewhere: bool,
 ) -> None:
     async def main() -> None:
@@ -174,8 +174,8 @@
     curio.run(main)
 
 
-def test_a_lost_answer_does_not_list_results_twice() -> None:
-    """Found on trouble-3 of the parish: the group grew while its outcome was not known."""
+def test_lost_commit_answer_does_not_list_results_twice() -> None:
+    """The group must not grow while the outcome of its transaction is unknown."""
 
     async def main() -> None:
         store = MemoryStore()
@@ -183,7 +183,7 @@
         await node.submit(submission("j"), batch_route())
         job = node.jobs["j"]
         finish(job, job.items[0], "a b")
-        # Every answer is lost until the time for one settling is over.
+        # No answer arrives until the time limit of one commit is over.
         store.commit_faults.extend([LOST] + [REFUSED] * 30)
         listing = await curio.spawn(node.lister.list_finished, job)
         while len(store.commit_faults) > 5:
@@ -196,7 +196,7 @@
     curio.run(main)
 
 
-def test_a_deposed_owner_lists_nothing() -> None:
+def test_former_owner_lists_no_results() -> None:
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
@@ -218,10 +218,10 @@
     st.lists(st.integers(0, 4), min_size=5, max_size=5, unique=True),
     st.integers(0, 5),
 )
-def test_positions_hold_each_item_once(
+def test_each_item_is_listed_at_one_position(
     faults: list[CommitFault | None], order: list[int], takeover_after: int
 ) -> None:
-    """Whatever is lost, late or taken over: a position never changes, and no item has two."""
+    """Lost answers, late commits and a takeover change no position and list no item twice."""
 
     async def main() -> None:
         store = MemoryStore()
@@ -264,7 +264,7 @@
     curio.run(main)
 
 
-def test_the_quota_holds_for_racing_nodes() -> None:
+def test_quota_holds_for_concurrent_submissions() -> None:
     async def main() -> None:
         store = MemoryStore()
         nodes = [OwnerNode(f"n{number}", store, HandClock()) for number in range(6)]
@@ -282,7 +282,7 @@
     curio.run(main)
 
 
-def test_done_work_frees_the_quota() -> None:
+def test_listed_items_free_quota() -> None:
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
@@ -298,8 +298,8 @@
     curio.run(main)
 
 
-def test_a_missing_job_is_denied_only_when_the_store_surely_has_none() -> None:
-    """The store's answers are linearizable: one that names no row is sure, and only that."""
+def test_missing_job_is_404_only_when_store_confirms_it() -> None:
+    """The store is linearizable: only an answered read without the row proves a missing job."""
 
     async def main() -> None:
         store = MemoryStore()
@@ -323,11 +323,11 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 12), st.integers(1, 6)), max_size=14))
-def test_saved_output_comes_back_as_one_owners_prefix(cuts: list[tuple[int, int, int]]) -> None:
-    """Found by an incident of the parish: text of two owners' runs was joined.
+def test_restored_output_is_a_prefix_saved_by_one_owner(cuts: list[tuple[int, int, int]]) -> None:
+    """Output of two owners' runs must not be joined.
 
-    Segments may overlap, miss and come from owners that overlapped; what comes back is the
-    longest output that one of them saved without a gap.
+    Segments may overlap, be missing and come from owners that overlapped in time: the longest
+    output that one owner saved without a gap is restored.
     """
     texts = {epoch: [f"{epoch}:{number}" for number in range(18)] for epoch in (1, 2, 3)}
     segments = [
@@ -348,7 +348,7 @@
     assert len(job.unsaved()) == (1 if longest else 0)
 
 
-def test_unsaved_output_is_saved_once_and_continues() -> None:
+def test_each_output_segment_is_saved_once() -> None:
     record = JobRecord("j", "h", "/", 0.0, 0.0, 0.0, 3, 1, 10, 1, "n1")
     job = JobRun(record, 1, submission("j", count=1).items)
     item = job.items[0]
@@ -367,7 +367,7 @@
     assert fresh.items[0].last_event_id == 9
 
 
-def test_a_read_that_lags_behind_does_not_bring_a_removed_job_back() -> None:
+def test_outdated_read_does_not_restore_removed_job() -> None:
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
@@ -381,7 +381,7 @@
     curio.run(main)
 
 
-def test_old_jobs_leave_nothing_in_the_store_and_open_ones_stay() -> None:
+def test_sweep_removes_old_jobs_and_keeps_open_ones() -> None:
     async def main() -> None:
         store = MemoryStore()
         node = OwnerNode("n1", store, HandClock())
--- a/tests/unit/test_item_order.py
+++ b/tests/unit/test_item_order.py
@@ -1,4 +1,4 @@
-"""What nodes tell of their waiting items, and how fast items get done."""
+"""The order of waiting items, and the estimates of how long items take."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 
 
 @given(ITEMS)
-def test_every_waiting_item_is_told_those_due_first_in_front(
+def test_every_waiting_item_is_reported_earliest_due_first(
     items: list[tuple[float, bool, str, float]],
 ) -> None:
     groups = summarise(WaitingItem(*item) for item in items)
@@ -30,7 +30,7 @@
 
 
 @given(ITEMS, st.floats(0.0, 60_000.0))
-def test_what_can_not_be_in_time_comes_behind_all_that_can(
+def test_late_items_sort_after_items_in_time(
     items: list[tuple[float, bool, str, float]], due_ms: float
 ) -> None:
     late = WaitingItem(due_ms, False, "", 0.0)
@@ -45,7 +45,7 @@
 
 
 def estimator_with_pauses() -> ItemTimeEstimator:
-    """Items take 5 s at replicas, and 15 s from begin to end."""
+    """Return an estimator of items that take 5 s at replicas and 15 s from start to end."""
     estimator = ItemTimeEstimator()
     for _ in range(100):
         estimator.record_run(events=200, earlier_events=100, run_s=2.5)
@@ -55,7 +55,7 @@
     return estimator
 
 
-def test_an_item_that_was_begun_comes_before_one_that_is_due_somewhat_sooner() -> None:
+def test_started_item_sorts_before_item_due_slightly_sooner() -> None:
     estimator = estimator_with_pauses()
     assert estimator.effective_due_ms(item_run_with(50), 40_000.0) < estimator.effective_due_ms(
         item_run_with(0), 30_000.0
@@ -65,7 +65,7 @@
     )
 
 
-def test_what_could_only_come_in_time_without_a_pause_is_not_begun_before_others() -> None:
+def test_unstarted_item_needs_time_for_usual_pauses() -> None:
     estimator = estimator_with_pauses()
     assert not estimator.can_be_in_time(item_run_with(0), time_left_ms=12_000.0)
     assert estimator.can_be_in_time(item_run_with(0), time_left_ms=16_000.0)
