--- a/src/cloverwalk/jobs/commit.py
+++ b/src/cloverwalk/jobs/commit.py
@@ -24,7 +24,7 @@
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, 8 * self._latency_s))
 
     async def once(self, transaction: Transaction, timeout_s: float | None = None) -> CommitOutcome:
-        """Try once to commit."""
+        """Try once to commit, and adapt the timeout to the time that it took."""
         chosen_timeout_s = self._timeout_s() if timeout_s is None else timeout_s
         started_at = self._clock()
         outcome = await self._store.commit(transaction, chosen_timeout_s)
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -263,7 +263,7 @@
     async def _is_stored_job_closed(self, job_id: str) -> bool:
         """Return whether a job is closed, by its record in the store.
 
-        Its record was written together with the quota row, so a missing record was removed since.
+        The record was written together with the quota row, so a missing one was removed since.
         """
         record = await self._reader.read_record(job_id)
         return record is None or not record.is_open
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -210,10 +210,10 @@
             if last_replica and last_replica.may_be_incarnation(item_run.replica_started_ms)
             else ""
         )
-        order_ms = self._time_estimator.effective_due_ms(item_run, due_ms)
+        effective_due_ms = self._time_estimator.effective_due_ms(item_run, due_ms)
         priority = self._priority(job)
         waiting = WaitingItem(
-            order_ms,
+            effective_due_ms,
             can_be_in_time,
             replica_id,
             self._prefill_ms(item_run),
@@ -419,7 +419,7 @@
         except ReplicaError as error:
             outcome = error.code
             if error.may_have_run and len(item_run.texts) == earlier_events:
-                # An item whose run has produced output does not crash replicas as it starts.
+                # An item with output in this run did not crash its replica at the start.
                 content = self._caller.content_hash(job, item_run)
                 item_id, delivery = item_run.item.item_id, item_run.delivery
                 await self._crash_detector.record_failure(
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -23,7 +23,7 @@
 from cloverwalk.telemetry.log import ServingLog
 
 SUBMIT_TIMEOUT_S = 3.2
-"""A submission is accepted or refused within this time; callers wait a little longer."""
+"""A submission is resolved or given up within this time; callers wait a little longer."""
 
 END_TIMEOUT_S = 3.2
 MAX_END_CONFLICTS = 20
