--- a/src/cloverwalk/jobs/checkpoint.py
+++ b/src/cloverwalk/jobs/checkpoint.py
@@ -1,7 +1,7 @@
-"""Saves the output of running items now and then, so that a lost node loses little work.
+"""Saves the output of running items periodically, so that a lost node loses little work.
 
-Each job's output is saved under the version of its record. So a node learns within a second that
-another one has ended the job or runs it now.
+Each job's output is saved under the version of its record, so a node learns from its next save that
+another node has ended the job or runs it now.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,20 +20,20 @@
 OnConflict = Callable[[JobRun], Awaitable[None]]
 
 
-def take_within(segments: list[PartialOutput]) -> list[PartialOutput]:
+def fitting_segments(segments: list[PartialOutput]) -> list[PartialOutput]:
     """Return the first segments that fit into one transaction."""
-    taken: list[PartialOutput] = []
+    fitting: list[PartialOutput] = []
     size = 0
     for segment in segments:
         size += sum(len(text) for text in segment.texts)
-        if len(taken) >= MAX_SEGMENTS or size > MAX_CHARACTERS:
+        if len(fitting) >= MAX_SEGMENTS or size > MAX_CHARACTERS:
             break
-        taken.append(segment)
-    return taken
+        fitting.append(segment)
+    return fitting
 
 
 class Checkpointer:
-    """Writes unsaved output of this node's jobs."""
+    """Saves the unsaved output of this node's jobs."""
 
     def __init__(
         self,
@@ -48,16 +48,16 @@
         self._on_conflict = on_conflict
 
     async def run(self) -> None:
-        """Save until cancelled; at once when the store is back after an outage."""
+        """Save periodically until cancelled, and at once when the store is back after an outage."""
         while True:
             await self._runner.until_jobs()
             await self._health.backoff(SAVE_EVERY_MS)
             await self.save()
 
     async def save(self) -> None:
-        """Save what is new, a transaction a job; what does not fit waits for the next time."""
+        """Save new output, one transaction per job; what does not fit is saved the next time."""
         for job in list(self._runner.jobs.values()):
-            segments = take_within(job.unsaved())
+            segments = fitting_segments(job.unsaved())
             if segments and not job.is_dropped:
                 await self._save(job, segments)
 
--- a/src/cloverwalk/jobs/quota.py
+++ b/src/cloverwalk/jobs/quota.py
@@ -1,8 +1,8 @@
-"""The tokens that a tenant's jobs on a route hold waiting, counted without a counter.
+"""Computes the waiting tokens of a tenant's jobs on a route, without a shared counter.
 
-The quota row names every admitted job of the tenant on the route; it is changed only in the
-transaction that admits a job, under its version, so admissions are in line. What a job still holds
-is taken from its record: a record seen late only makes the count too high.
+The quota row names every admitted job of the tenant on the route. It is changed only in the
+transaction that admits a job, under its version, so admissions are serialized. The tokens that a
+job still holds are read from its record: an outdated record only makes the sum too high.
 """
 
 from cloverwalk.jobs.records import QuotaRow
@@ -10,19 +10,27 @@
 
 
 def waiting_tokens(quota: QuotaRow, view: JobView) -> int:
-    """Return the tokens that the admitted jobs still hold, as far as the view tells."""
-    return sum(_waiting(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items())
+    """Return the tokens that the admitted jobs still hold, by the cached records."""
+    return sum(
+        _waiting_tokens_of(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items()
+    )
 
 
-def _waiting(job_id: str, tokens: int, view: JobView) -> int:
-    known = view.find(job_id)
-    if known is None:
+def _waiting_tokens_of(job_id: str, tokens: int, view: JobView) -> int:
+    cached = view.find(job_id)
+    if cached is None:
         return tokens
-    return known.record.waiting_tokens if known.record.is_open else 0
-
-
-def admit(quota: QuotaRow, over: set[str], job_id: str, tokens: int, now_ms: float) -> QuotaRow:
-    """Return the quota row with a job added, and without jobs that are ``over``."""
-    kept = {known_id: entry for known_id, entry in quota.jobs.items() if known_id not in over}
-    kept[job_id] = (tokens, now_ms)
-    return QuotaRow(kept)
+    return cached.record.waiting_tokens if cached.record.is_open else 0
+
+
+def admit(
+    quota: QuotaRow, closed_ids: set[str], job_id: str, tokens: int, now_ms: float
+) -> QuotaRow:
+    """Return the quota row with a job added, and without the jobs in ``closed_ids``."""
+    jobs = {
+        admitted_id: entry
+        for admitted_id, entry in quota.jobs.items()
+        if admitted_id not in closed_ids
+    }
+    jobs[job_id] = (tokens, now_ms)
+    return QuotaRow(jobs)
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -1,4 +1,4 @@
-"""Jobs at real sockets: taken once, run to the end, read anywhere, beside online requests."""
+"""Jobs over real sockets: accepted once, completed, readable anywhere, beside online requests."""
 
 from typing import Any
 
@@ -11,10 +11,10 @@
 
 
 def texts(results: list[dict[str, str]]) -> dict[str, str]:
-    return {one["id"]: one["message"] for one in results}
+    return {result["id"]: result["message"] for result in results}
 
 
-def waiting(world: FleetWorld) -> dict[str, Any]:
+def waiting_groups(world: FleetWorld) -> dict[str, Any]:
     """Return the items that wait, as the coordinator counts them."""
     node = world.coordinator()
     return {} if node is None else node._fleet.scheduler.waiting
@@ -24,24 +24,24 @@
     return "\n".join(f"{item_id}:{number}" for number in range(1, events + 1))
 
 
-def test_a_job_is_run_and_read_at_another_node() -> None:
+def test_job_is_run_and_readable_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         assert (await world.hand_in("j")).status == 202
         assert (await world.hand_in("j", node=1)).status == 202
         results = await world.until_done("j", 3, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}") for n in range(3)}
-        assert {one["state"] for one in results} == {"succeeded"}
+        assert {result["state"] for result in results} == {"succeeded"}
         page = await world.read_job("j", 2)
         assert (page["total"], page["next_token"], len(page["results"])) == (3, 3, 1)
-        runs = [one.request_id for replica in world.replicas for one in replica.arrivals]
+        runs = [run.request_id for replica in world.replicas for run in replica.arrivals]
         assert sorted(runs) == ["j-0", "j-1", "j-2"]
 
     in_world(test)
 
 
 @pytest.mark.parametrize("misdeed", [Misdeed.CUT, Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED])
-def test_items_go_on_behind_their_last_event(misdeed: Misdeed) -> None:
+def test_items_resume_after_their_last_event(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -53,7 +53,7 @@
     in_world(test)
 
 
-def test_items_that_can_not_be_done_are_dead_after_their_attempts() -> None:
+def test_failing_items_are_dead_after_allowed_attempts() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
@@ -70,7 +70,7 @@
     in_world(test)
 
 
-def test_items_have_the_attempts_of_the_route_in_force() -> None:
+def test_raised_attempt_limit_applies_to_accepted_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
@@ -87,7 +87,7 @@
     in_world(test)
 
 
-def test_an_ended_job_starts_nothing_more() -> None:
+def test_ended_job_starts_no_more_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
         assert (await world.hand_in("j", count=12)).status == 202
@@ -103,11 +103,11 @@
     in_world(test)
 
 
-def test_a_killed_owners_job_goes_on_at_another_node() -> None:
+def test_job_of_killed_owner_continues_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=3, events=60, event_s=0.02)
         assert (await world.hand_in("j", count=4)).status == 202
-        await world.until(lambda: any(one.running for one in world.replicas))
+        await world.until(lambda: any(replica.running for replica in world.replicas))
         await world.kill_node(0)
         results = await world.until_done("j", 4, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 60) for n in range(4)}
@@ -117,49 +117,49 @@
     in_world(test)
 
 
-def test_a_job_is_not_taken_over_while_it_is_handed_in() -> None:
+def test_job_is_not_taken_over_during_submission() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.05)
         world.store.write_delay_s = 0.5
-        handing_in = await curio.spawn(world.hand_in, "j")
+        submitting = await curio.spawn(world.hand_in, "j")
         await world.until(lambda: "j" in world.store.rows.values("job"))
-        # The coordinator sees the record before this node has the answer.
+        # The coordinator sees the record before this node has the store's answer.
         await world.nodes[0]._batch.takeover.take_over(["j"])
-        assert (await handing_in.join()).status == 202
+        assert (await submitting.join()).status == 202
         world.store.write_delay_s = 0.0
         await world.until_done("j", 3)
-        known = world.nodes[0]._batch.view.find("j")
-        assert known is not None
-        assert known.record.epoch == 1
+        cached = world.nodes[0]._batch.view.find("j")
+        assert cached is not None
+        assert cached.record.epoch == 1
 
     in_world(test)
 
 
-def test_a_job_whose_owner_does_not_know_that_it_is_its_own_is_run() -> None:
+def test_job_unknown_to_its_owner_is_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         runner = world.nodes[0]._batch.runner
         assert (await world.hand_in("j")).status == 202
-        # As after a hand-in whose answer was lost: the record is there, and nobody runs the job.
+        # As after a submission whose answer was lost: the record exists, and nobody runs the job.
         await runner.drop("j")
         await world.until_done("j", 3, node=1)
 
     in_world(test)
 
 
-def test_a_stopping_owner_hands_its_output_over() -> None:
+def test_stopping_owner_hands_over_output() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=100, event_s=0.02)
         assert (await world.hand_in("j", count=2)).status == 202
         job = world.nodes[0]._batch.runner.jobs["j"]
-        await world.until(lambda: all(len(one.texts) > 20 for one in job.items))
+        await world.until(lambda: all(len(item_run.texts) > 20 for item_run in job.items))
         world.nodes[0].request_stop()
         results = await world.until_done("j", 2, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 100) for n in range(2)}
         resumed = [
-            int(one.headers.get(names.LAST_EVENT_ID.decode().lower(), "0"))
-            for one in world.replicas[0].arrivals
+            int(run.headers.get(names.LAST_EVENT_ID.decode().lower(), "0"))
+            for run in world.replicas[0].arrivals
         ]
         assert sorted(resumed)[:2] == [0, 0]
         assert min(sorted(resumed)[2:]) > 10
@@ -167,7 +167,7 @@
     in_world(test)
 
 
-def test_batch_gives_its_slots_to_online_requests() -> None:
+def test_online_requests_preempt_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=100, event_s=0.02)
         assert (await world.hand_in("j", count=12)).status == 202
@@ -182,7 +182,7 @@
     in_world(test)
 
 
-def test_items_due_sooner_go_first_whichever_node_has_them() -> None:
+def test_items_due_sooner_start_first_across_nodes() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=3, events=20, event_s=0.04)
         replica = world.replicas[0]
@@ -193,32 +193,32 @@
             urgent = f"urgent{round_number}"
             assert (await world.hand_in(urgent, 5, node=1, path="/soon/x")).status == 202
             seen = len(replica.arrivals)
-            # Items take all slots of the replica, none is kept free.
+            # Items use all slots of the replica: none is reserved.
             most = seen + replica.slots
             await world.until(lambda most=most: len(replica.arrivals) >= most)  # type: ignore[misc]
-            first = [one.request_id for one in replica.arrivals[seen:most]]
-            assert len([one for one in first if one.startswith(urgent)]) == 5
+            first = [run.request_id for run in replica.arrivals[seen:most]]
+            assert len([request_id for request_id in first if request_id.startswith(urgent)]) == 5
 
     in_world(test)
 
 
 @pytest.mark.parametrize("reason", ["ended", "stopping"])
-def test_items_that_will_not_start_hold_nothing_back_at_peers(reason: str) -> None:
+def test_items_that_will_not_start_are_not_reported_as_waiting(reason: str) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=20, event_s=0.05)
         assert (await world.hand_in("j", count=40)).status == 202
-        await world.until(lambda: bool(waiting(world)))
+        await world.until(lambda: bool(waiting_groups(world)))
         if reason == "ended":
             assert (await world.call("DELETE", f"{names.JOB_PREFIX}j")).status == 200
         else:
             world.nodes[0].request_stop()
-        await world.until(lambda: not waiting(world))
+        await world.until(lambda: not waiting_groups(world))
         assert world.coordinator() is not None
 
     in_world(test)
 
 
-def test_bodies_of_items_come_back_from_any_node() -> None:
+def test_item_bodies_are_readable_at_any_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
         assert (await world.hand_in("j")).status == 202
@@ -232,7 +232,7 @@
     in_world(test)
 
 
-def test_lost_answers_of_the_store_change_nothing() -> None:
+def test_lost_store_answers_do_not_affect_jobs() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         for turn in range(3):
@@ -245,7 +245,7 @@
     in_world(test)
 
 
-def test_a_refusing_store_refuses_jobs_with_a_promise() -> None:
+def test_store_refusal_is_answered_as_not_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.store.is_busy = True
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"requests":[]}', b'{"requests":[{}]}'])
-def test_a_job_that_is_none_gets_a_clear_error(body: bytes) -> None:
+def test_invalid_job_is_answered_with_400(body: bytes) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [(names.REQUEST_ID.decode(), "j")]
@@ -270,7 +270,7 @@
     in_world(test)
 
 
-def test_items_end_with_their_route() -> None:
+def test_items_end_when_route_is_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=500, event_s=0.02)
         world.replicas[0].always = Misdeed.REFUSE
@@ -278,6 +278,6 @@
         routes = [route("chat", "/chat/", "streaming", resumable=True)]
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(9, routes))
         results = await world.until_done("j", 3)
-        assert {one["state"] for one in results} == {"dead_letter"}
+        assert {result["state"] for result in results} == {"dead_letter"}
 
     in_world(test)
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -1,21 +1,7 @@
-"""Items are said to be dead only for an allowed reason.
+"""Items are listed as dead only for an allowed reason.
 
-What was seen: items of a job were listed as dead 24 s after they were handed in; they may be given
-up after 60 s. No replica had answered 422 or 500; each of their runs had been cut for online work.
-
-How it came about: a process started while the store was slow. It had its configuration from the
-coordinator within 10 ms, and was sent a job before the store had answered it once.
-
-Cause: a time of the store that was never read counted as zero. The job's record said that it was
-accepted at zero and could be given up 60 s after the store's clock began, whenever that was. As
-soon as the time was known the job was given up at that moment, and until then it was run last, as
-one that could not be in time any more.
-
-Proof: `test_a_job_is_kept_for_its_retention_whenever_its_process_first_heard_the_store`, on the
-code that took an unknown time as zero, ends its items at zero + 60 s.
-
-The class: a time or a version that is not known, or roughly known, decides for good. The other
-tests hold its other places.
+Guards against ending items by a store time or configuration version that is unknown or uncertain:
+an unknown store time once counted as zero, and items ended before their retention was over.
 """
 
 import os
@@ -51,11 +37,11 @@
 from cloverwalk.telemetry.request_history import parse_line, request_history
 
 RETENTION_S = 60.0
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class WorldTime:
-    """Time by hand; the store's clock has a zero of its own."""
+    """A clock that the test advances; the store's clock has its own zero."""
 
     def __init__(self, store_zero_s: float) -> None:
         self.now = 1000.0
@@ -70,7 +56,7 @@
 
 
 class SlowStore(MemoryStore):
-    """A store that calls reach after ``call_s``, and whose answers take ``answer_s`` to be read."""
+    """A store that calls reach after ``call_s``, and whose answers are read after ``answer_s``."""
 
     def __init__(self, time: WorldTime) -> None:
         super().__init__()
@@ -95,17 +81,17 @@
         return outcome
 
 
-class Link:
-    """Stands for the way to the coordinator: nobody grants anything."""
+class CoordinatorClientStub:
+    """A coordinator client that is never granted a slot."""
 
     waiting: dict[str, object] = {}
 
-    async def note_change(self) -> None:
-        """Nobody is told."""
+    async def trigger_report(self) -> None:
+        """Send nothing."""
 
 
-class Owner(OwnerNode):
-    """A process that takes jobs, and gives them up; it has just started."""
+class OwnerProcess(OwnerNode):
+    """A process that has just started, accepts jobs and ends their items."""
 
     def __init__(
         self,
@@ -115,9 +101,9 @@
         configuration: int,
         log_path: str = os.devnull,
     ) -> None:
-        self.heard = StoreClock(Clock(time))
-        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.heard)
-        super().__init__(name, store, time, self.heard.now)
+        self.store_clock = StoreClock(Clock(time))
+        store = MonitoredStore(inner, StoreHealth(Clock(time)), self.store_clock)
+        super().__init__(name, store, time, self.store_clock.now)
         self.configuration = ConfigurationHolder()
         self.configuration.update_if_newer(
             Configuration(configuration, (batch_route(),), {}, ClientLimits())
@@ -126,46 +112,46 @@
         self.dead: dict[str, tuple[float, ItemRun]] = {}
         self._time = time
         none: Any = None
-        witness = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
+        crash_detector = CrashDetector(CrashLedger(), ReplicaDirectory(), none, none, none, time)
         self.runner = BatchRunner(
             self.configuration,
             ReplicaDirectory(),
             None,  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
-            witness,
-            Link(),  # type: ignore[arg-type]
-            self._note_finished,
+            crash_detector,
+            CoordinatorClientStub(),  # type: ignore[arg-type]
+            self._record_finished,
             self._take_over,
-            self.heard.now,
+            self.store_clock.now,
             lambda: self.confirmed_at,
             ServingLog(name, time, os.open(log_path, os.O_WRONLY | os.O_APPEND)),
             None,  # type: ignore[arg-type]
             time,
         )
 
-    async def _note_finished(self, job: JobRun) -> None:
-        for one in job.items:
-            if one.phase is Phase.FINISHED:
-                self.dead.setdefault(one.item.item_id, (self._time.now, one))
+    async def _record_finished(self, job: JobRun) -> None:
+        for item_run in job.items:
+            if item_run.phase is Phase.FINISHED:
+                self.dead.setdefault(item_run.item.item_id, (self._time.now, item_run))
 
     async def _take_over(self, job_ids: list[str]) -> None:
-        """No job is given to it."""
+        """Ignore the order: no job is given to this process."""
 
     async def run_job(self, job_id: str) -> None:
         await self.runner.add(self.jobs[job_id])
 
-    def know_routes(self, version: int, *routes: Route) -> None:
-        """Have a configuration that the store has not confirmed: a peer told it."""
+    def use_routes(self, version: int, *routes: Route) -> None:
+        """Apply a configuration from a peer, which the store has not confirmed."""
         self.configuration.update_if_newer(Configuration(version, routes, {}, ClientLimits()))
 
-    async def look_for(self, seconds: float, is_confirmed: bool = False) -> None:
-        """Let time pass, with looks of the runner; the store may confirm the configuration."""
+    async def run_checks(self, seconds: float, is_confirmed: bool = False) -> None:
+        """Let time pass with the runner's checks; the store may confirm the configuration."""
         until = self._time.now + seconds
         while self._time.now < until:
-            self._time.now += LOOK_S
+            self._time.now += CHECK_INTERVAL_S
             if is_confirmed:
                 self.confirmed_at = self._time.now
-            await self.runner._give_up_old()
+            await self.runner._end_expired_items()
 
 
 @given(
@@ -174,15 +160,15 @@
     first_answer_s=st.sampled_from([0.004, 0.3, 1.0, 4.0]),
     later_answer_s=st.sampled_from([0.004, 0.3, 1.0]),
 )
-def test_a_job_is_kept_for_its_retention_whenever_its_process_first_heard_the_store(
+def test_items_are_kept_for_retention_when_store_time_is_learnt_late(
     has_asked: bool, store_zero_s: float, first_answer_s: float, later_answer_s: float
 ) -> None:
-    """The first answer may have been asked for before the job was sent, and read late."""
+    """The first answer of the store may be requested before the job is sent, and read late."""
 
     async def main() -> None:
         time = WorldTime(store_zero_s)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         store.answer_s = first_answer_s
         if has_asked:
             await owner.reader.read_record("j")
@@ -191,159 +177,161 @@
         await owner.run_job("j")
         store.answer_s = later_answer_s
         await owner.reader.read_record("j")
-        await owner.look_for(RETENTION_S + 20.0)
+        await owner.run_checks(RETENTION_S + 20.0)
         assert len(owner.dead) == 3
-        for died_at, one in owner.dead.values():
-            assert isinstance(one.end, PastRetention)
+        for died_at, item_run in owner.dead.values():
+            assert isinstance(item_run.end, PastRetention)
             assert died_at - sent_at >= RETENTION_S
 
     curio.run(main)
 
 
-def test_a_new_owner_that_knows_the_time_roughly_gives_nothing_up_early() -> None:
+def test_uncertain_store_time_ends_no_item_early() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         sent_at = time.now
         await owner.submit(submission("j"), batch_route())
-        later = Owner("n2", store, time, configuration=1)
+        new_owner = OwnerProcess("n2", store, time, configuration=1)
         store.call_s = 4.0
-        await later.reader.read_record("j")
-        later.jobs["j"] = owner.jobs["j"]
-        await later.run_job("j")
-        await later.look_for(RETENTION_S + 10.0)
-        assert len(later.dead) == 3
-        assert all(died_at - sent_at >= RETENTION_S for died_at, _ in later.dead.values())
+        await new_owner.reader.read_record("j")
+        new_owner.jobs["j"] = owner.jobs["j"]
+        await new_owner.run_job("j")
+        await new_owner.run_checks(RETENTION_S + 10.0)
+        assert len(new_owner.dead) == 3
+        assert all(died_at - sent_at >= RETENTION_S for died_at, _ in new_owner.dead.values())
 
     curio.run(main)
 
 
-def test_a_route_that_an_older_configuration_lacks_has_not_ended() -> None:
-    """A new owner may lag behind the node that took the job, for as long as it is cut off."""
+def test_route_missing_from_older_configuration_ends_no_item() -> None:
+    """A new owner may lag behind the node that accepted the job while it is disconnected."""
 
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=7)
+        owner = OwnerProcess("n1", store, time, configuration=7)
         await owner.submit(replace(submission("j"), configuration=7), batch_route())
-        behind = Owner("n2", store, time, configuration=3)
-        behind.know_routes(5)
-        behind.jobs["j"] = owner.jobs["j"]
-        await behind.run_job("j")
-        await behind.look_for(30.0)
-        assert behind.dead == {}
-        behind.know_routes(7, batch_route())
-        await behind.look_for(10.0, is_confirmed=True)
-        assert behind.dead == {}
-        behind.know_routes(8)
-        await behind.look_for(3.5, is_confirmed=True)
-        assert behind.dead == {}
-        await behind.look_for(10.0)
-        assert behind.dead == {}
-        await behind.look_for(LOOK_S, is_confirmed=True)
-        assert {one.end.reason for _, one in behind.dead.values() if one.end} == {"route_ended"}
-        evidence = next(one.end for _, one in behind.dead.values())
+        lagging = OwnerProcess("n2", store, time, configuration=3)
+        lagging.use_routes(5)
+        lagging.jobs["j"] = owner.jobs["j"]
+        await lagging.run_job("j")
+        await lagging.run_checks(30.0)
+        assert lagging.dead == {}
+        lagging.use_routes(7, batch_route())
+        await lagging.run_checks(10.0, is_confirmed=True)
+        assert lagging.dead == {}
+        lagging.use_routes(8)
+        await lagging.run_checks(3.5, is_confirmed=True)
+        assert lagging.dead == {}
+        await lagging.run_checks(10.0)
+        assert lagging.dead == {}
+        await lagging.run_checks(CHECK_INTERVAL_S, is_confirmed=True)
+        assert {item_run.end.reason for _, item_run in lagging.dead.values() if item_run.end} == {
+            "route_ended"
+        }
+        evidence = next(item_run.end for _, item_run in lagging.dead.values())
         assert isinstance(evidence, RouteEnded)
         assert (evidence.accepted_configuration, evidence.configuration) == (7, 8)
 
     curio.run(main)
 
 
-def test_a_frozen_owner_that_missed_the_version_with_the_route_gives_nothing_up() -> None:
+def test_suspended_owner_that_missed_a_version_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=7)
+        owner = OwnerProcess("n1", store, time, configuration=7)
         await owner.submit(replace(submission("j"), configuration=7), batch_route())
         await owner.run_job("j")
-        owner.know_routes(8)
-        await owner.look_for(LOOK_S, is_confirmed=True)
+        owner.use_routes(8)
+        await owner.run_checks(CHECK_INTERVAL_S, is_confirmed=True)
         time.now += 8.0
-        await owner.runner._give_up_old()
-        owner.know_routes(9, batch_route())
-        await owner.look_for(10.0, is_confirmed=True)
+        await owner.runner._end_expired_items()
+        owner.use_routes(9, batch_route())
+        await owner.run_checks(10.0, is_confirmed=True)
         assert owner.dead == {}
 
     curio.run(main)
 
 
-def test_a_longer_prefix_of_another_kind_does_not_end_a_batch_route() -> None:
+def test_longer_prefix_of_another_route_kind_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        nearer = Route(
+        longer = Route(
             "near", "h.example", "/jobs/x", RouteKind.SAFE, (RoutePart("other", 1.0),), 5.0, 0.4, 3
         )
-        owner.know_routes(2, batch_route(), nearer)
-        await owner.look_for(20.0, is_confirmed=True)
+        owner.use_routes(2, batch_route(), longer)
+        await owner.run_checks(20.0, is_confirmed=True)
         assert owner.dead == {}
         assert owner.runner._services(owner.jobs["j"]) == ["s"]
 
     curio.run(main)
 
 
-def test_a_retention_that_was_raised_holds_for_jobs_that_wait() -> None:
+def test_raised_retention_applies_to_waiting_jobs() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        owner.know_routes(2, replace(batch_route(), retention_s=2 * RETENTION_S))
-        await owner.look_for(2 * RETENTION_S - LOOK_S)
+        owner.use_routes(2, replace(batch_route(), retention_s=2 * RETENTION_S))
+        await owner.run_checks(2 * RETENTION_S - CHECK_INTERVAL_S)
         assert owner.dead == {}
-        await owner.look_for(3 * LOOK_S)
+        await owner.run_checks(3 * CHECK_INTERVAL_S)
         assert len(owner.dead) == 3
 
     curio.run(main)
 
 
-def test_a_route_that_tells_no_retention_gives_nothing_up() -> None:
+def test_route_without_retention_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, configuration=1)
-        untold = replace(batch_route(), retention_s=0.0)
-        owner.know_routes(2, untold)
-        await owner.submit(submission("j"), untold)
+        owner = OwnerProcess("n1", SlowStore(time), time, configuration=1)
+        route = replace(batch_route(), retention_s=0.0)
+        owner.use_routes(2, route)
+        await owner.submit(submission("j"), route)
         await owner.run_job("j")
-        await owner.look_for(2 * RETENTION_S)
+        await owner.run_checks(2 * RETENTION_S)
         assert owner.dead == {}
 
     curio.run(main)
 
 
-def test_the_log_tells_for_each_dead_item_the_reason_and_from_what(tmp_path: Path) -> None:
+def test_log_has_reason_and_evidence_of_each_dead_item(tmp_path: Path) -> None:
     async def main() -> None:
         log_path = tmp_path / "log"
         log_path.touch()
         time = WorldTime(12.0)
-        owner = Owner("n1", SlowStore(time), time, 1, str(log_path))
+        owner = OwnerProcess("n1", SlowStore(time), time, 1, str(log_path))
         await owner.submit(submission("j"), batch_route())
         await owner.run_job("j")
-        await owner.look_for(RETENTION_S + 2.0)
+        await owner.run_checks(RETENTION_S + 2.0)
         lines = [parse_line(text) for text in log_path.read_text().splitlines()]
-        dead = request_history([one for one in lines if one is not None], "j-1")
-        assert [one.event for one in dead] == ["items_dead"]
-        told = dead[0].fields
-        assert (told["reason"], told["job"]) == ("past_retention", "j")
-        assert told["store_ms"] > told["give_up_ms"] == told["accepted_ms"] + 60_000
-        assert told["unsure_ms"] < 100.0
+        dead = request_history([line for line in lines if line is not None], "j-1")
+        assert [line.event for line in dead] == ["items_dead"]
+        fields = dead[0].fields
+        assert (fields["reason"], fields["job"]) == ("past_retention", "j")
+        assert fields["store_ms"] > fields["give_up_ms"] == fields["accepted_ms"] + 60_000
+        assert fields["unsure_ms"] < 100.0
 
     curio.run(main)
 
 
-def test_nothing_is_given_up_while_the_time_of_the_store_is_unknown() -> None:
+def test_unknown_store_time_ends_no_item() -> None:
     async def main() -> None:
         time = WorldTime(12.0)
         store = SlowStore(time)
-        owner = Owner("n1", store, time, configuration=1)
+        owner = OwnerProcess("n1", store, time, configuration=1)
         await owner.submit(submission("j"), batch_route())
-        fresh = Owner("n2", store, time, configuration=1)
-        fresh.jobs["j"] = owner.jobs["j"]
-        await fresh.run_job("j")
-        await fresh.look_for(2 * RETENTION_S)
-        assert fresh.dead == {}
+        new_owner = OwnerProcess("n2", store, time, configuration=1)
+        new_owner.jobs["j"] = owner.jobs["j"]
+        await new_owner.run_job("j")
+        await new_owner.run_checks(2 * RETENTION_S)
+        assert new_owner.dead == {}
 
     curio.run(main)
