--- a/src/cloverwalk/fleet/__init__.py
+++ b/src/cloverwalk/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the nodes of a fleet know of each other and of the replicas they share."""
+"""Coordination of the nodes of a fleet, and the state they share about each other and replicas."""
--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator's side: takes reports, has the scheduler decide, and tells the nodes.
+"""The coordinator: handles reports, lets the scheduler decide, and sends orders to the nodes.
 
-Every node has one. It is active at the node that holds the role, see ``election``; at a standby it
-serves the nodes that the coordinator does not answer.
+Every node has a ``Coordinator``. It is active at the node that holds the role, see ``election``. At
+a standby it serves the nodes that don't get answers from the coordinator.
 """
 
 from collections.abc import Awaitable, Callable
@@ -22,9 +22,9 @@
     Report,
     StoreReturned,
 )
-from cloverwalk.fleet.node_registry import REMEMBERED_S, KnownNode, NodeRegistry
+from cloverwalk.fleet.node_registry import LOST_NODE_RETENTION_S, NodeEntry, NodeRegistry
 from cloverwalk.fleet.snapshots import SnapshotMaker
-from cloverwalk.fleet.state_sender import STORE_SERVES_MS, StateSender, directory_age_ms
+from cloverwalk.fleet.state_sender import MAX_SERVED_STORE_AGE_MS, StateSender, directory_age_ms
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.fleet.utilization import median_by_zone
 from cloverwalk.gateway.configuration import ConfigurationHolder
@@ -35,38 +35,35 @@
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 
-TICK_S = 0.05
-"""How often an active coordinator looks for what is due by time alone."""
+TICK_INTERVAL_S = 0.05
+"""Interval of work that is due by time alone."""
 
-ACK_EVERY_S = 0.4
-"""A node that reports is told at least this often that it was heard."""
+ACK_INTERVAL_S = 0.4
+"""A report is acknowledged if the last orders to its node are at least this old."""
 
-TOTALS_EVERY_S = 1.0
-TOTALS_ENTRIES_PER_S = 6500
-"""Entries of totals that the coordinator sends to all nodes together, about 100 KB/s: larger fleets
-are told less often. They serve a node only that decides alone for a moment, and without this bound
-they took 9.2 MB/s at 300 nodes and 3,000 replicas (counted on the stand-ins)."""
+TOTALS_INTERVAL_S = 1.0
+MAX_TOTALS_ENTRIES_PER_S = 6500
+"""Limit on the entries of replica totals sent to all nodes together, about 100 KB/s. Larger fleets
+get totals less often: only a node that decides by itself for a moment needs them."""
 
-SNAPSHOT_EVERY_S = 0.25
-COUNTED_SILENT_S = 1.5
-"""A node that was silent for so long may decide alone, and its part of the tenants' quotas is not
-given out here: one report of those that come each second is missing."""
+SNAPSHOT_INTERVAL_S = 0.25
+QUOTA_REPORT_TIMEOUT_S = 1.5
+"""A node whose last report is older may grant quota tokens by itself, so the coordinator doesn't
+grant that node's part of the quotas. Longer than the interval of one second between reports."""
 
-TELL_RETURNED_EVERY_S = 0.4
-"""The nodes are told at most this often that the store answers again, which is how often they ask
-themselves. Where it refuses some calls of some nodes, it returns all the time: with 7 in 10 calls
-of each third node refused, 200 nodes were sent 211,615 messages in 6 s without this bound
-(simulated time)."""
+MIN_STORE_RETURNED_INTERVAL_S = 0.4
+"""Minimum time between broadcasts that the store answers again, equal to the interval at which
+nodes probe it. A store that refuses some calls of some nodes would cause a broadcast per answer."""
 
-FULLNESS_EVERY_S = 0.5
-"""How often the fleet's fullness is looked at: reports of a quiet node come each second."""
+UTILIZATION_INTERVAL_S = 0.5
+"""Interval at which the median utilization is updated; idle nodes report once a second."""
 
-PING_LOST_EVERY_S = 1.0
+LOST_NODE_PING_INTERVAL_S = 1.0
 DeliverLocally = Callable[[Orders], Awaitable[None]]
 
 
 class Coordinator:
-    """Serves the nodes that report to this one."""
+    """Serves the nodes that report to this node."""
 
     def __init__(
         self,
@@ -77,11 +74,11 @@
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
         health: StoreHealth,
-        cases: CrashRecordSync,
+        crash_records: CrashRecordSync,
         log: ServingLog,
         clock: Callable[[], float],
     ) -> None:
-        self._cases = cases
+        self._crash_records = crash_records
         self._identity = identity
         self._leader = leader
         self._transport = transport
@@ -92,105 +89,105 @@
         self._log = log
         self._clock = clock
         self.registry = NodeRegistry()
-        self.deliver_locally: DeliverLocally = _nobody
+        self.deliver_locally: DeliverLocally = _ignore_orders
         self.on_tick: Callable[[float], None] = _ignore
-        """Called with the time at each tick of the coordinator, not of a standby."""
+        """Called with the time at each tick while this node is active, not at a standby."""
 
         self.active_since: float | None = None
-        """Since when this node holds the role; None while it does not."""
+        """When this node took the role; None while it doesn't hold it."""
 
-        self._copies = StateSender(transport, configuration, directory)
+        self._state_sender = StateSender(transport, configuration, directory)
         self._snapshots = SnapshotMaker(scheduler, health)
-        self._snapshot_at = float("-inf")
+        self._snapshot_sent_at = float("-inf")
         self._pinged_at = float("-inf")
-        self._told_returned_at = float("-inf")
-        self._must_tell_returned = False
+        self._store_returned_sent_at = float("-inf")
+        self._must_broadcast_store_returned = False
         self._has_work = curio.Event()
         self._is_active = curio.Event()
         self.is_leaving = False
         self._near_limit: list[str] = []
         self.must_hand_over: Callable[[], bool] = _never
-        """Whether this node's machine is too full to coordinate."""
+        """Returns whether this node's machine is too loaded to coordinate."""
 
         self._fullness_by_zone: dict[str, int] = {}
-        self._fullness_at = float("-inf")
+        self._utilization_updated_at = float("-inf")
         self._fleet_size = 0
-        """How many nodes the coordinator said that there are; 0 before it did."""
+        """Number of nodes as the coordinator reported it; 0 if unknown."""
 
         self._serves_zone = False
-        """Whether nodes report to this standby, since the coordinator does not answer them."""
+        """Whether nodes report to this standby because the coordinator does not answer them."""
 
-        self._serve_own_zone()
+        self._restrict_grants_to_local_zone()
 
     @property
-    def bears_zone_loss(self) -> bool:
-        """Whether a whole zone may be cut off or lost."""
+    def tolerates_zone_loss(self) -> bool:
+        """Whether the fleet is configured to tolerate the loss of a whole zone."""
         return self._scheduler.features.is_on(Feature.ZONE_LOSS)
 
-    def _serve_own_zone(self) -> None:
-        """Grant items slots of the own zone only, as a standby: others grant elsewhere."""
-        if self.bears_zone_loss:
+    def _restrict_grants_to_local_zone(self) -> None:
+        """As a standby, grant slots of this zone only; standbys elsewhere grant those of theirs."""
+        if self.tolerates_zone_loss:
             self._scheduler.restrict_grants_to(self._identity.zone)
 
     @property
     def is_active(self) -> bool:
-        """Whether this node coordinates."""
+        """Whether this node holds the role."""
         return self.active_since is not None
 
     # --- the role ---
 
     async def activate(self, nodes: list[Contact]) -> None:
-        """Take the role, and tell the nodes that are known from the coordinator before."""
+        """Take the role and announce it to ``nodes`` and to all nodes that report here."""
         now = self._clock()
         if self.active_since is None:
             self.active_since = now
             self._scheduler.quotas.become_coordinator(now)
             self._scheduler.restrict_grants_to("")
-            self._note_served_zone()
-            self._cases.ledger.grants_trials = True
-            self._copies.note_known()
+            self._log_served_zone()
+            self._crash_records.ledger.grants_trials = True
+            self._state_sender.mark_current_as_sent()
             await self._has_work.set()
             await self._is_active.set()
-        known = {one.contact.host for one in self.registry.live()}
-        hosts = known | {one.host for one in nodes}
+        live_hosts = {entry.contact.host for entry in self.registry.live()}
+        hosts = live_hosts | {contact.host for contact in nodes}
         for host in sorted(hosts - {self._identity.host}):
             self._transport.send(host, self._orders("", None, now))
 
     def deactivate(self) -> None:
-        """Another node holds the role."""
+        """Give up the role because another node holds it."""
         if self.is_active:
             self._scheduler.quotas.stop_coordinating(self._clock())
-            self._serve_own_zone()
-        self._cases.ledger.grants_trials = False
+            self._restrict_grants_to_local_zone()
+        self._crash_records.ledger.grants_trials = False
         self.active_since = None
         self._is_active.clear()
 
     async def wait_until_active(self) -> None:
-        """Return when this node coordinates."""
+        """Wait until this node holds the role."""
         await self._is_active.wait()
 
-    async def wait_until_active_or_timeout(self, longest_s: float) -> None:
-        """Return when this node coordinates, or after ``longest_s``."""
-        async with curio.ignore_after(longest_s):
+    async def wait_until_active_or_timeout(self, timeout_s: float) -> None:
+        """Wait until this node holds the role, or for ``timeout_s``."""
+        async with curio.ignore_after(timeout_s):
             await self._is_active.wait()
 
     # --- reports ---
 
     async def handle_report(self, report: Report, host: str) -> None:
-        """Serve a node, or tell it whom to turn to."""
+        """Serve a node, or introduce it to the coordinator."""
         if not self.is_active and not report.has_lost_coordinator:
             if self._leader.current is not None:
                 self._transport.send(host, Introduction(self._leader.current))
             return
         now = self._clock()
-        heard = self.registry.record_report(report, host, now)
-        if heard is None:
+        recorded = self.registry.record_report(report, host, now)
+        if recorded is None:
             return
-        known, is_new = heard
+        entry, is_new = recorded
         await self._has_work.set()
         if not self.is_active:
-            self._take_share()
-            self._note_served_zone()
+            self._update_fleet_fraction()
+            self._log_served_zone()
         elif report.node != self._identity.node:
             grants = report.local_grants
             self._scheduler.quotas.record_local_grants(report.node, report.run, grants, now)
@@ -198,76 +195,76 @@
             self._log.write(catalogue.PEER_HEARD, peer=report.node, host=host)
             self._scheduler.remove_node(report.node, now)
         if report.node != self._identity.node:
-            self._cases.handle_report(report, known)
+            self._crash_records.handle_report(report, entry)
         self._scheduler.handle_report(report, now)
-        await self.tell_decisions()
-        if now - known.told_at >= ACK_EVERY_S:
-            self._acknowledge(known, now)
-        self._copies.help(known, now)
+        await self.send_decisions()
+        if now - entry.orders_sent_at >= ACK_INTERVAL_S:
+            self._acknowledge(entry, now)
+        self._state_sender.send_missing_state(entry, now)
 
-    def _take_share(self) -> None:
-        """Count for the part of the fleet that reports here."""
-        heard = self.registry.heard_since(self._clock() - COUNTED_SILENT_S)
-        self._scheduler.quotas.set_fleet_fraction(heard, self._fleet_nodes())
+    def _update_fleet_fraction(self) -> None:
+        """Grant quotas for the part of the fleet that reports here."""
+        reporting = self.registry.count_seen_since(self._clock() - QUOTA_REPORT_TIMEOUT_S)
+        self._scheduler.quotas.set_fleet_fraction(reporting, self._fleet_nodes())
 
     def _fleet_nodes(self) -> int:
-        """Return how many nodes the whole fleet has, as far as this one knows; 0: it doesn't."""
+        """Return the number of nodes in the whole fleet; 0 if unknown."""
         nodes = len(self.registry.by_name) if self.is_active else self._fleet_size
-        if self.active_since is not None and self.bears_zone_loss:
-            # Nodes that have not turned here since may be served by a coordinator elsewhere.
-            is_recent = self._clock() - self.active_since < REMEMBERED_S
+        if self.active_since is not None and self.tolerates_zone_loss:
+            # Nodes that haven't reported here yet may be served by a coordinator elsewhere.
+            is_recent = self._clock() - self.active_since < LOST_NODE_RETENTION_S
             nodes = max(nodes, self._fleet_size) if is_recent else nodes
         return nodes
 
-    def _note_served_zone(self) -> None:
-        """Log when this standby begins and ends to serve nodes of its zone."""
-        if not self.bears_zone_loss:
+    def _log_served_zone(self) -> None:
+        """Log when this standby starts and stops serving nodes of its zone."""
+        if not self.tolerates_zone_loss:
             return
-        own = self._identity
+        identity = self._identity
         live = self.registry.live()
-        others = [one for one in live if one.contact.node != own.node]
-        serves = not self.is_active and bool(others) and self._leader.has_lost_coordinator
+        peers = [entry for entry in live if entry.contact.node != identity.node]
+        serves = not self.is_active and bool(peers) and self._leader.has_lost_coordinator
         if serves == self._serves_zone:
             return
         self._serves_zone = serves
         event = catalogue.ZONE_SERVED if serves else catalogue.ZONE_SERVED_NO_MORE
-        self._log.write(event, zone=own.zone, nodes=len(live), term=self._leader.term)
+        self._log.write(event, zone=identity.zone, nodes=len(live), term=self._leader.term)
 
-    async def tell_decisions(self) -> None:
-        """Send what the scheduler has decided."""
+    async def send_decisions(self) -> None:
+        """Send the scheduler's pending decisions to their nodes."""
         now = self._clock()
         for node, decisions in self._scheduler.pop_decisions().items():
             orders = self._orders(node, decisions, now)
             if node == self._identity.node:
                 await self.deliver_locally(orders)
                 continue
-            known = self.registry.by_name.get(node)
-            if known is None:
+            entry = self.registry.by_name.get(node)
+            if entry is None:
                 continue
-            self._add_totals(orders, known, now)
-            known.told_at = now
-            self._transport.send(known.contact.host, orders)
-
-    def _acknowledge(self, known: KnownNode, now: float) -> None:
-        orders = self._orders(known.contact.node, None, now)
-        orders.number = self._scheduler.last_decision_number(known.contact.node)
-        self._add_totals(orders, known, now)
-        known.told_at = now
-        self._transport.send(known.contact.host, orders)
-
-    def _add_totals(self, orders: Orders, known: KnownNode, now: float) -> None:
-        is_busy = bool(known.report.loads or known.report.placement_requests)
-        if is_busy and self._are_totals_due(known, now):
-            known.totals_at = now
+            self._add_totals(orders, entry, now)
+            entry.orders_sent_at = now
+            self._transport.send(entry.contact.host, orders)
+
+    def _acknowledge(self, entry: NodeEntry, now: float) -> None:
+        orders = self._orders(entry.contact.node, None, now)
+        orders.number = self._scheduler.last_decision_number(entry.contact.node)
+        self._add_totals(orders, entry, now)
+        entry.orders_sent_at = now
+        self._transport.send(entry.contact.host, orders)
+
+    def _add_totals(self, orders: Orders, entry: NodeEntry, now: float) -> None:
+        is_busy = bool(entry.report.loads or entry.report.placement_requests)
+        if is_busy and self._are_totals_due(entry, now):
+            entry.totals_sent_at = now
             orders.replica_loads = self._scheduler.replica_loads()
 
-    def _are_totals_due(self, known: KnownNode, now: float) -> bool:
-        entries = self._scheduler.load_tracker.busy_replica_count * len(self.registry.by_name)
-        if entries <= TOTALS_ENTRIES_PER_S * TOTALS_EVERY_S:
-            return now - known.totals_at >= TOTALS_EVERY_S
-        # Many nodes that are heard at the same time are not told at the same time.
-        told_at = max(known.totals_at, known.first_heard_at)
-        return now - told_at >= entries / TOTALS_ENTRIES_PER_S
+    def _are_totals_due(self, entry: NodeEntry, now: float) -> bool:
+        entry_count = self._scheduler.load_tracker.busy_replica_count * len(self.registry.by_name)
+        if entry_count <= MAX_TOTALS_ENTRIES_PER_S * TOTALS_INTERVAL_S:
+            return now - entry.totals_sent_at >= TOTALS_INTERVAL_S
+        # Nodes that first report at the same time must not all get their totals at once.
+        last_sent_at = max(entry.totals_sent_at, entry.first_seen_at)
+        return now - last_sent_at >= entry_count / MAX_TOTALS_ENTRIES_PER_S
 
     def _orders(self, node: str, decisions: Decisions | None, now: float) -> Orders:
         current = self._leader.current or Leadership(
@@ -281,13 +278,13 @@
             self._directory.fingerprint,
             self._directory.version,
             directory_age_ms(self._directory, now),
-            self._store_serves_another(node),
+            self._is_store_available_to_other_nodes(node),
         )
-        orders.crash_digest = self._cases.ledger.digest
+        orders.crash_digest = self._crash_records.ledger.digest
         if self.is_active:
             orders.nodes = self._fleet_nodes()
             orders.near_limit = self._near_limit
-            orders.zone_utilization_percent = self._zone_fullness(node)
+            orders.zone_utilization_percent = self._zone_utilization(node)
         if decisions is not None:
             orders.placements = decisions.placements
             orders.grants = decisions.grants
@@ -296,96 +293,98 @@
             orders.grant_tokens = decisions.grant_tokens
         return orders
 
-    def _zone_fullness(self, node: str) -> int:
-        known = self.registry.by_name.get(node)
-        return 0 if known is None else self._fullness_by_zone.get(known.report.zone, 0)
+    def _zone_utilization(self, node: str) -> int:
+        entry = self.registry.by_name.get(node)
+        return 0 if entry is None else self._fullness_by_zone.get(entry.report.zone, 0)
 
-    def _store_serves_another(self, node: str) -> bool:
-        """Whether the store has lately answered a node other than this one."""
-        own = self._identity.node
-        if node != own and not self._health.is_unavailable:
+    def _is_store_available_to_other_nodes(self, node: str) -> bool:
+        """Whether the store has recently answered a node other than ``node``."""
+        local_node = self._identity.node
+        if node != local_node and not self._health.is_unavailable:
             return True
         return any(
-            one.report.store_age_ms < STORE_SERVES_MS
-            for one in self.registry.live()
-            if one.contact.node not in (node, own)
+            entry.report.store_age_ms < MAX_SERVED_STORE_AGE_MS
+            for entry in self.registry.live()
+            if entry.contact.node not in (node, local_node)
         )
 
-    # --- by time ---
+    # --- periodic work ---
 
     async def run(self) -> None:
-        """Do what is due until cancelled."""
+        """Run ticks until cancelled, while this node is active or nodes report to it."""
         while True:
             await self._has_work.wait()
-            await curio.sleep(TICK_S)
+            await curio.sleep(TICK_INTERVAL_S)
             await self.tick()
             if not self.is_active and not self.registry.by_name:
                 self._has_work.clear()
 
     async def tick(self) -> None:
-        """Expire nodes and decisions, and tell the standbys and changes of the replicas."""
+        """Expire nodes and decisions; as coordinator also send snapshots and changes of state."""
         now = self._clock()
         self._expire_nodes(now)
         self._scheduler.tick(now)
-        await self.tell_decisions()
+        await self.send_decisions()
         if not self.is_active:
-            self._note_served_zone()
+            self._log_served_zone()
             return
-        if self.bears_zone_loss:
-            self._note_zones(now)
+        if self.tolerates_zone_loss:
+            self._update_reachability(now)
         self.on_tick(now)
-        self._take_share()
+        self._update_fleet_fraction()
         self._near_limit = self._scheduler.quotas.near_limit(now)
-        self._look_at_fullness(now)
-        self._copies.push_directory(self._others(), now)
-        self._cases.push(self._others)
-        if self._must_tell_returned:
+        self._update_utilization(now)
+        self._state_sender.push_directory(self._peers(), now)
+        self._crash_records.push(self._peers)
+        if self._must_broadcast_store_returned:
             self.broadcast_store_returned()
-        if now - self._snapshot_at >= SNAPSHOT_EVERY_S:
-            self._snapshot_at = now
-            self._tell_standbys(now)
-        self._ping_lost(now)
+        if now - self._snapshot_sent_at >= SNAPSHOT_INTERVAL_S:
+            self._snapshot_sent_at = now
+            self._send_snapshots(now)
+        self._ping_lost_nodes(now)
 
     def _expire_nodes(self, now: float) -> None:
-        """Forget the work of nodes that are silent for too long."""
-        remembered_s = REMEMBERED_S if self.is_active else 0.0
-        for known in self.registry.expire(now, remembered_s):
+        """Remove the work of nodes that have stopped reporting."""
+        retention_s = LOST_NODE_RETENTION_S if self.is_active else 0.0
+        for entry in self.registry.expire(now, retention_s):
             if self.is_active:
-                # Elsewhere a node that turned back to the coordinator is not lost.
-                silent_s = round(now - known.heard_at, 2)
-                self._log.write(catalogue.PEER_LOST, peer=known.contact.node, silent_s=silent_s)
-            self._scheduler.remove_node(known.contact.node, now)
-
-    def _look_at_fullness(self, now: float) -> None:
-        """Keep the median fullness of each zone's nodes up to date."""
-        if now - self._fullness_at < FULLNESS_EVERY_S:
+                # A standby does not log it: the node may report to the coordinator again.
+                silent_s = round(now - entry.last_seen_at, 2)
+                self._log.write(catalogue.PEER_LOST, peer=entry.contact.node, silent_s=silent_s)
+            self._scheduler.remove_node(entry.contact.node, now)
+
+    def _update_utilization(self, now: float) -> None:
+        """Update the median utilization of each zone's nodes."""
+        if now - self._utilization_updated_at < UTILIZATION_INTERVAL_S:
             return
-        self._fullness_at = now
-        self._fullness_by_zone = median_by_zone(one.report for one in self.registry.live())
+        self._utilization_updated_at = now
+        self._fullness_by_zone = median_by_zone(entry.report for entry in self.registry.live())
 
-    def _ping_lost(self, now: float) -> None:
-        """Tell lost nodes who coordinates: they may have started anew."""
-        if now - self._pinged_at < PING_LOST_EVERY_S:
+    def _ping_lost_nodes(self, now: float) -> None:
+        """Send lost nodes the current leadership, since they may have restarted."""
+        if now - self._pinged_at < LOST_NODE_PING_INTERVAL_S:
             return
         self._pinged_at = now
-        for known in self.registry.lost():
-            node = known.contact.node
-            self._transport.send(known.contact.host, self._orders(node, None, now))
-
-    def _note_zones(self, now: float) -> None:
-        """Tell which zones' nodes are heard, and which are silent as a whole."""
-        own_zone = self._identity.zone
-        heard = self.registry.heard_by_zone()
-        for zone in sorted(set(heard) - {own_zone}):
-            self._scheduler.reachability.record_last_seen(own_zone, zone, heard[zone], now)
-
-    def _others(self) -> list[KnownNode]:
-        """Return the live nodes but this one."""
-        own = self._identity.node
-        return [known for known in self.registry.live() if known.contact.node != own]
-
-    def _tell_standbys(self, now: float) -> None:
-        """Send the standbys what they need to take over."""
+        for entry in self.registry.lost():
+            node = entry.contact.node
+            self._transport.send(entry.contact.host, self._orders(node, None, now))
+
+    def _update_reachability(self, now: float) -> None:
+        """Record when the nodes of each other zone last reported."""
+        local_zone = self._identity.zone
+        last_seen_by_zone = self.registry.last_seen_by_zone()
+        for zone in sorted(set(last_seen_by_zone) - {local_zone}):
+            self._scheduler.reachability.record_last_seen(
+                local_zone, zone, last_seen_by_zone[zone], now
+            )
+
+    def _peers(self) -> list[NodeEntry]:
+        """Return the live nodes without this one."""
+        local_node = self._identity.node
+        return [entry for entry in self.registry.live() if entry.contact.node != local_node]
+
+    def _send_snapshots(self, now: float) -> None:
+        """Send the standbys the state that they need to take over."""
         current = self._leader.current
         if current is None:
             return
@@ -396,53 +395,59 @@
                 self._transport.send(standby.host, snapshot)
 
     def _should_hand_over(self, current: Leadership) -> bool:
-        """Whether the first standby should coordinate: it has room, and this node has none."""
+        """Whether this node is too loaded to coordinate and the first standby is not."""
         if not current.standbys or not self.must_hand_over():
             return False
-        first = self.registry.by_name.get(current.standbys[0].node)
-        return first is not None and not first.is_lost and not first.report.is_full
+        first_standby = self.registry.by_name.get(current.standbys[0].node)
+        return (
+            first_standby is not None
+            and not first_standby.is_lost
+            and not first_standby.report.is_full
+        )
 
-    # --- for other parts of the node ---
+    # --- interface for other parts of the node ---
 
-    def take_fleet(self, nodes: int, near_limit: list[str], now: float) -> None:
-        """Take what the coordinator tells for a node that has to decide in its stead."""
+    def apply_fleet_size(self, nodes: int, near_limit: list[str], now: float) -> None:
+        """Apply the fleet size and tenants near their quota, for local decisions of this node."""
         if nodes > 0 and not self.is_active:
             self._fleet_size = nodes
             self._scheduler.quotas.apply_near_limit(near_limit, now)
 
-    def deputy_grants(self, now: float) -> LocalGrants | None:
-        """Return the tokens that this node gave out itself lately, as reports tell them."""
+    def local_grants(self, now: float) -> LocalGrants | None:
+        """Return the quota tokens that this node recently granted by itself, for its reports."""
         return self._scheduler.quotas.local_grants(now)
 
-    def take_totals(self, totals: dict[str, NodeLoad], now: float) -> None:
-        """Take the fleet's work, for decisions of this node alone."""
+    def apply_totals(self, totals: dict[str, NodeLoad], now: float) -> None:
+        """Apply the fleet's work in flight, for local decisions of this node."""
         if not self.is_active:
             self._scheduler.load_tracker.apply_snapshot(totals, now, is_complete=False)
 
     def send_takeover(self, incarnation: str, job_ids: list[str]) -> None:
-        """Have a node run jobs that have no owner."""
-        known = self.registry.by_name.get(incarnation.rpartition(".")[0])
-        if known is None or known.report.incarnation != incarnation:
+        """Order a process to take over jobs without an owner; do nothing if it was replaced."""
+        entry = self.registry.by_name.get(incarnation.rpartition(".")[0])
+        if entry is None or entry.report.incarnation != incarnation:
             return
-        orders = self._orders(known.contact.node, None, self._clock())
-        orders.number = self._scheduler.last_decision_number(known.contact.node)
+        orders = self._orders(entry.contact.node, None, self._clock())
+        orders.number = self._scheduler.last_decision_number(entry.contact.node)
         orders.take_over = job_ids
-        self._transport.send(known.contact.host, orders)
+        self._transport.send(entry.contact.host, orders)
 
     def broadcast_store_returned(self) -> None:
-        """Tell the nodes that the store answers again; they need not find out themselves."""
+        """Send all nodes that the store answers again, so that they needn't probe it."""
         now = self._clock()
-        self._must_tell_returned = now - self._told_returned_at < TELL_RETURNED_EVERY_S
-        if self._must_tell_returned:
-            # The next tick after the pause tells it.
+        self._must_broadcast_store_returned = (
+            now - self._store_returned_sent_at < MIN_STORE_RETURNED_INTERVAL_S
+        )
+        if self._must_broadcast_store_returned:
+            # The first tick after the interval sends it.
             return
-        self._told_returned_at = now
+        self._store_returned_sent_at = now
         message = StoreReturned(self._identity.node)
-        for known in self._others():
-            self._transport.send(known.contact.host, message)
+        for entry in self._peers():
+            self._transport.send(entry.contact.host, message)
 
 
-async def _nobody(_orders: Orders) -> None:
+async def _ignore_orders(_orders: Orders) -> None:
     return
 
 
--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -1,7 +1,7 @@
-"""This node's side towards the coordinator: reports, asks, and what comes back.
+"""The node's client of the coordinator: sends reports and placement requests, handles orders.
 
-While the coordinator is silent the node turns to a standby, and decides alone, by what it knows,
-when nobody answers.
+While the coordinator is unresponsive the client uses a standby. If no node answers, this node
+decides by itself from its own state.
 """
 
 from collections import Counter, deque
@@ -11,7 +11,7 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.fleet.coordinator import ACK_EVERY_S, Coordinator
+from cloverwalk.fleet.coordinator import ACK_INTERVAL_S, Coordinator
 from cloverwalk.fleet.crash_record_sync import CrashRecordSync
 from cloverwalk.fleet.directory_sync import DirectorySync
 from cloverwalk.fleet.identity import Identity
@@ -40,44 +40,47 @@
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.telemetry.log import ServingLog
 
-MOST_TIMINGS = 16
-"""Timings of items in one report, some 600 bytes: enough for what ends between two reports, which
-follow each end; after a pause the newest say most."""
+MAX_ITEM_TIMINGS = 16
+"""Maximum number of item timings in one report, about 600 bytes; the newest are kept."""
 
-HEARTBEAT_S = 1.0
-"""Longest time between reports."""
+HEARTBEAT_INTERVAL_S = 1.0
+"""Maximum time between reports."""
 
-STANDBY_HEARTBEAT_S = 0.5
-"""The same while the coordinator is silent: its return must be seen."""
+STANDBY_HEARTBEAT_INTERVAL_S = 0.5
+"""Maximum time between reports while the coordinator is unresponsive, to notice its return soon."""
 
-REPORT_GAP_S = 0.01
-"""Changes within this time go into one report."""
+MIN_REPORT_INTERVAL_S = 0.01
+"""Minimum time between reports; changes within it go into one report."""
 
-HEARD_LATELY_S = 0.3
-"""A coordinator that was heard within this time is asked once more before a standby."""
+RECENT_CONTACT_S = 0.3
+"""If orders came within this time, one timed out placement request doesn't mark the coordinator
+unresponsive."""
 
-ASKED_AGAIN_S = ACK_EVERY_S + 0.05
-"""A report that got no word back is repeated so late that the coordinator answers it also where its
-answer to the first was lost; 0.05 s are left for reports that take longer on the way."""
+REPORT_RETRY_DELAY_S = ACK_INTERVAL_S + 0.05
+"""An unanswered report is repeated after this time. The coordinator acknowledges a node once per
+``ACK_INTERVAL_S``, so an earlier repetition would stay unanswered if the first answer was lost;
+0.05 s are a margin for transit times."""
 
-ANSWER_S = 0.15
-"""Without a word for so long after that the coordinator is silent. Items of a node without online
-requests are served by its zone's standby within 1.6 s of a cut by it, and never without it. Only
-reports count that must be acknowledged: those that are sent ``ACK_EVERY_S`` after the last word."""
+RESPONSE_TIMEOUT_S = 0.15
+"""If the repeated report gets no answer within this time, its receiver is unresponsive. Only
+reports sent at least ``ACK_INTERVAL_S`` after the receiver's last message count, since only they
+must be acknowledged. Without this timeout, nodes that have only batch items would never use a
+standby."""
 
-NEVER_MS = 1_000_000
-"""Told as the age of the store's last answer while the store is lost."""
+MAX_STORE_AGE_MS = 1_000_000
+"""Reported as the age of the store's last answer while the store is unavailable."""
 
 
 class BatchOrderHandler:
-    """What orders mean for the node's batch items; a node without any ignores them.
+    """Applies orders to the node's batch items; this base class ignores them.
 
-    The node's loads contain the whole effect of grants and revokes before anything is waited for:
-    a report that goes out meanwhile counts an order either in its loads or as not settled yet.
+    An implementation updates the node's loads with the whole effect of grants and revokes before it
+    awaits anything. A report sent meanwhile then has an order either in its loads or not yet in
+    ``last_applied_order``, never half applied.
     """
 
     async def apply_grants(self, grants: dict[str, int]) -> None:
-        """Start items at replicas."""
+        """Start batch items at replicas."""
 
     async def apply_tenant_grants(
         self,
@@ -85,37 +88,37 @@
         by_tenant: dict[str, dict[str, int]],
         tokens: dict[str, int],
     ) -> None:
-        """Start items at replicas, of the tenants that ``by_tenant`` names by replica.
+        """Start batch items at replicas, of the tenants that ``by_tenant`` names for each replica.
 
-        Together they may take the ``tokens`` of their replica; any, where these are empty.
+        The items at a replica may use its ``tokens`` together; empty ``tokens`` set no limit.
         """
         await self.apply_grants(grants)
 
     async def apply_revokes(self, revokes: dict[str, int]) -> None:
-        """Suspend items at replicas."""
+        """Suspend batch items at replicas."""
 
     async def take_over_jobs(self, job_ids: list[str]) -> None:
-        """Run jobs that have no owner."""
+        """Take over jobs that have no owner."""
 
 
 @attrs.define
-class _Unanswered:
-    """A node that has sent nothing since a report to it."""
+class _UnansweredReport:
+    """A report whose receiver has sent nothing since."""
 
     target: Contact
     since: float
-    asked_again_at: float | None = None
+    resent_at: float | None = None
 
     @property
     def due_at(self) -> float:
-        """When to report to it again, or else to judge it."""
-        if self.asked_again_at is None:
-            return self.since + ASKED_AGAIN_S
-        return self.asked_again_at + ANSWER_S
+        """When to repeat the report or, if that was done, to mark its receiver unresponsive."""
+        if self.resent_at is None:
+            return self.since + REPORT_RETRY_DELAY_S
+        return self.resent_at + RESPONSE_TIMEOUT_S
 
 
 class CoordinatorClient:
-    """Reports to the coordinator and acts on its orders."""
+    """Reports to the coordinator and applies its orders."""
 
     def __init__(
         self,
@@ -127,7 +130,7 @@
         configuration: ConfigurationHolder,
         directory: ReplicaDirectory,
         health: StoreHealth,
-        cases: CrashRecordSync,
+        crash_records: CrashRecordSync,
         seeds: list[str],
         log: ServingLog,
         clock: Callable[[], float],
@@ -140,311 +143,327 @@
         self._configuration = configuration
         self._directory = directory
         self._health = health
-        self._cases = cases
+        self._crash_records = crash_records
         self._seeds: list[str] = []
         self.use_seeds(seeds)
         self._log = log
         self._clock = clock
         self.batch_handler = BatchOrderHandler()
         self.on_placement: Callable[[], None] = _ignore
-        """Called when an online request has its place."""
+        """Called when the placement of an online request is known."""
 
-        self.on_leadership_change: Callable[[], Awaitable[None]] = _nothing
+        self.on_leadership_change: Callable[[], Awaitable[None]] = _ignore_leadership_change
         self.waiting: WaitingByPool = {}
-        """Own waiting items, as the next report tells them."""
+        """This node's waiting items, for the next report."""
 
         self.is_leaving = False
         self.utilization_percent = 0
-        """How full this node's machine is, as reports tell it; 0: nobody measures it."""
+        """Utilization of this node's machine, for reports; 0: not measured."""
 
-        self.on_zone_utilization: Callable[[int], None] = _ignore_figure
-        """Called with how full the nodes of this zone are."""
+        self.on_zone_utilization: Callable[[int], None] = _ignore_utilization
+        """Called with the median utilization of the nodes in this zone, in percent."""
 
-        self._served_at = float("-inf")
-        self._settled: dict[str, tuple[str, int]] = {}
-        self._places = PlacementClient(self, loads, clock)
-        self._replicas = DirectorySync(directory, log, clock)
-        self._served: list[RequestTiming] = []
+        self._store_available_elsewhere_at = float("-inf")
+        self._last_applied_orders: dict[str, tuple[str, int]] = {}
+        self._placement_client = PlacementClient(self, loads, clock)
+        self._directory_sync = DirectorySync(directory, log, clock)
+        self._request_timings: list[RequestTiming] = []
         self._corrections: Counter[tuple[str, int]] = Counter()
-        self._timings: deque[ItemTiming] = deque(maxlen=MOST_TIMINGS)
+        self._item_timings: deque[ItemTiming] = deque(maxlen=MAX_ITEM_TIMINGS)
         self._sequence = 0
-        self._sent_at = float("-inf")
-        self._heard_at = float("-inf")
-        self._wake = curio.Event()
-        self._unanswered: _Unanswered | None = None
-        self._target_heard = ("", float("-inf"))
-        """The node that is reported to, and when it last sent something."""
+        self._report_sent_at = float("-inf")
+        self._orders_received_at = float("-inf")
+        self._report_requested = curio.Event()
+        self._unanswered_report: _UnansweredReport | None = None
+        self._target_last_seen = ("", float("-inf"))
+        """Host of the node that is reported to, and when its last message arrived."""
 
     def use_seeds(self, seeds: list[str]) -> None:
-        """Take hosts of nodes that may know who coordinates."""
-        self._seeds = [one for one in seeds if one != self._identity.host]
+        """Set hosts of nodes that may know the coordinator."""
+        self._seeds = [seed for seed in seeds if seed != self._identity.host]
 
     # --- reports ---
 
     async def run(self) -> None:
-        """Report until cancelled: at each change, and now and then."""
+        """Send reports after changes and at least once per heartbeat interval, until cancelled."""
         while True:
-            is_lost = self._leader.has_lost_coordinator or self._leader.is_unheard
-            rest_s = self.report_due_at() - self._clock()
-            if rest_s > 0:
-                async with curio.ignore_after(rest_s):
-                    await self._wake.wait()
-            gap_s = self._sent_at + REPORT_GAP_S - self._clock()
+            is_lost = self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
+            remaining_s = self.report_due_at() - self._clock()
+            if remaining_s > 0:
+                async with curio.ignore_after(remaining_s):
+                    await self._report_requested.wait()
+            gap_s = self._report_sent_at + MIN_REPORT_INTERVAL_S - self._clock()
             if gap_s > 0:
                 await curio.sleep(gap_s)
-            self._wake.clear()
+            self._report_requested.clear()
             await self._report()
             if is_lost:
-                self._try_silent()
+                self._report_to_unresponsive_nodes()
 
     def report_due_at(self) -> float:
-        """Return when the next report goes out, if nothing changes before."""
-        is_lost = self._leader.has_lost_coordinator or self._leader.is_unheard
-        longest_s = STANDBY_HEARTBEAT_S if is_lost else HEARTBEAT_S
-        due_at = self._sent_at + longest_s
-        return due_at if self._unanswered is None else min(due_at, self._unanswered.due_at)
+        """Return when the next report is due if nothing changes before."""
+        is_lost = self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
+        interval_s = STANDBY_HEARTBEAT_INTERVAL_S if is_lost else HEARTBEAT_INTERVAL_S
+        due_at = self._report_sent_at + interval_s
+        return (
+            due_at
+            if self._unanswered_report is None
+            else min(due_at, self._unanswered_report.due_at)
+        )
 
     async def trigger_report(self) -> None:
-        """Loads, waiting items or the like have changed: the coordinator should know soon."""
-        if self._clock() - self._sent_at >= REPORT_GAP_S:
+        """Report a change, now or after the minimum interval since the last report."""
+        if self._clock() - self._report_sent_at >= MIN_REPORT_INTERVAL_S:
             await self._report()
         else:
-            await self._wake.set()
+            await self._report_requested.set()
 
-    def record_request_timing(self, served: RequestTiming) -> None:
-        """A request was answered; the next report tells its times."""
-        self._served.append(served)
+    def record_request_timing(self, timing: RequestTiming) -> None:
+        """Add the timing of an answered request to the next report."""
+        self._request_timings.append(timing)
 
-    def record_work_correction(self, tenant: str, rank: int, more_ms: int) -> None:
-        """An item of a tenant held a slot for so much longer than expected, or shorter."""
-        self._corrections[tenant, rank] += more_ms
+    def record_work_correction(self, tenant: str, rank: int, extra_ms: int) -> None:
+        """Add the difference between actual and expected slot time of an item."""
+        self._corrections[tenant, rank] += extra_ms
 
-    def _take_corrections(self) -> list[WorkCorrection]:
+    def _pop_corrections(self) -> list[WorkCorrection]:
         corrections, self._corrections = self._corrections, Counter()
-        return [WorkCorrection(*key, more_ms) for key, more_ms in corrections.items()]
+        return [WorkCorrection(*key, extra_ms) for key, extra_ms in corrections.items()]
 
     def record_item_timing(self, timing: ItemTiming) -> None:
-        """A run of an item ended; the next report tells how fast its replica was."""
-        self._timings.append(timing)
+        """Add the timing of an item's run to the next report."""
+        self._item_timings.append(timing)
 
     async def _report(self) -> None:
-        """Report to the coordinator, or to whoever stands in for it."""
-        self._judge_silence()
+        """Report to the coordinator, or to the standby that replaces it."""
+        self._check_response_timeout()
         target = self._leader.target()
         if target is None or target.node == self._identity.node:
-            await self._tell_self([])
+            await self._report_to_self([])
         else:
-            self._send(target, [])
+            self._send_report(target, [])
 
-    def _judge_silence(self) -> None:
-        """Turn away from a node that has answered no report lately."""
-        waits = self._unanswered
-        if waits is None:
+    def _check_response_timeout(self) -> None:
+        """Mark the receiver of reports unresponsive if its response has timed out."""
+        unanswered = self._unanswered_report
+        if unanswered is None:
             return
-        if waits.target != self._leader.target():
-            # Nothing is sent there any more.
-            self._unanswered = None
-        elif waits.asked_again_at is not None and self._clock() >= waits.due_at:
-            self._unanswered = None
-            self._note_silent(waits.target)
-
-    def _note_report(self, target: Contact) -> None:
-        """A report is sent; only where zones are cut off its answer is waited for."""
-        if not self._coordinator.bears_zone_loss:
+        if unanswered.target != self._leader.target():
+            # Reports go to another node now.
+            self._unanswered_report = None
+        elif unanswered.resent_at is not None and self._clock() >= unanswered.due_at:
+            self._unanswered_report = None
+            self._mark_unresponsive(unanswered.target)
+
+    def _track_response(self, target: Contact) -> None:
+        """Wait for the response to a report, if the fleet tolerates the loss of a zone."""
+        if not self._coordinator.tolerates_zone_loss:
             return
-        host, heard_at = self._target_heard
-        if host == target.host and self._clock() - heard_at < ACK_EVERY_S:
+        host, last_seen_at = self._target_last_seen
+        if host == target.host and self._clock() - last_seen_at < ACK_INTERVAL_S:
             return
-        waits = self._unanswered
-        if waits is None or waits.target != target:
-            self._unanswered = _Unanswered(target, self._clock())
-        elif waits.asked_again_at is None and self._clock() >= waits.due_at:
-            waits.asked_again_at = self._clock()
-
-    def _try_silent(self) -> None:
-        """Report to the nodes that did not answer, too: they may be back."""
-        hosts = {one.host for one in self._leader.silent_contacts()}
-        if self._leader.is_unheard:
-            # The nodes of the row may be gone, or be refused by the store as this one may be.
+        unanswered = self._unanswered_report
+        if unanswered is None or unanswered.target != target:
+            self._unanswered_report = _UnansweredReport(target, self._clock())
+        elif unanswered.resent_at is None and self._clock() >= unanswered.due_at:
+            unanswered.resent_at = self._clock()
+
+    def _report_to_unresponsive_nodes(self) -> None:
+        """Report to the unresponsive nodes as well, since they may be back."""
+        hosts = {contact.host for contact in self._leader.unresponsive_contacts()}
+        if self._leader.has_never_contacted_leader:
+            # The nodes in the role row may be gone, or the store may refuse them and this node.
             hosts.update(self._seeds)
         for host in sorted(hosts):
-            self._transport.send(host, self._new_report(host, [], False))
+            self._transport.send(host, self._make_report(host, [], False))
 
-    def _send(self, target: Contact, asks: list[PlacementRequest]) -> None:
-        self._note_report(target)
+    def _send_report(self, target: Contact, placement_requests: list[PlacementRequest]) -> None:
+        self._track_response(target)
         is_standby = self._leader.has_lost_coordinator
-        self._transport.send(target.host, self._new_report(target.host, asks, is_standby))
+        self._transport.send(
+            target.host, self._make_report(target.host, placement_requests, is_standby)
+        )
 
-    async def _tell_self(self, asks: list[PlacementRequest]) -> None:
-        """Have this node's own coordinator decide; alone, it grants no slots to items.
+    async def _report_to_self(self, placement_requests: list[PlacementRequest]) -> None:
+        """Let this node's own ``Coordinator`` handle the report.
 
-        Its zone's standby isn't alone: it grants slots within the zone, to its own items too.
+        An isolated node reports no waiting items, so that it is granted no slots. The standby that
+        serves its zone reports them: it grants slots of the zone to all nodes, itself included.
         """
         host = self._identity.host
-        report = self._new_report(host, asks, not self._coordinator.is_active)
+        report = self._make_report(host, placement_requests, not self._coordinator.is_active)
         if not self._coordinator.is_active and not self._leader.serves_zone:
             report.waiting = {}
         await self._coordinator.handle_report(report, host)
 
-    def _new_report(self, host: str, asks: list[PlacementRequest], has_lost: bool) -> Report:
+    def _make_report(
+        self, host: str, placement_requests: list[PlacementRequest], has_lost: bool
+    ) -> Report:
         self._sequence += 1
-        self._sent_at = now = self._clock()
+        self._report_sent_at = now = self._clock()
         loads = {
-            key: NodeLoad(one.online, one.batch, one.tokens, one.batch_tokens)
-            for key, one in self._loads.by_replica.items()
+            key: NodeLoad(
+                in_flight.online, in_flight.batch, in_flight.tokens, in_flight.batch_tokens
+            )
+            for key, in_flight in self._loads.by_replica.items()
         }
         report = Report(
             self._identity.node,
             self._identity.run,
             self._identity.zone,
             self._sequence,
-            self._settled.get(host, ("", 0))[1],
+            self._last_applied_orders.get(host, ("", 0))[1],
             self._configuration.version,
             self._directory.fingerprint,
-            NEVER_MS
+            MAX_STORE_AGE_MS
             if self._health.is_unavailable
-            else int(min(NEVER_MS, self._health.ms_since_answer())),
+            else int(min(MAX_STORE_AGE_MS, self._health.ms_since_answer())),
             self._identity.cores,
             loads,
             self.waiting,
             self._directory.suspects(now),
-            asks,
-            self._places.take_withdrawn(),
-            self._served,
+            placement_requests,
+            self._placement_client.pop_withdrawn(),
+            self._request_timings,
             self.is_leaving,
             has_lost,
-            self._coordinator.deputy_grants(now),
-            self._cases.for_report(),
-            self._cases.ledger.digest,
-            item_timings=list(self._timings),
-            corrections=self._take_corrections(),
+            self._coordinator.local_grants(now),
+            self._crash_records.for_report(),
+            self._crash_records.ledger.digest,
+            item_timings=list(self._item_timings),
+            corrections=self._pop_corrections(),
             utilization_percent=self.utilization_percent,
         )
-        self._served = []
-        self._timings.clear()
+        self._request_timings = []
+        self._item_timings.clear()
         return report
 
     @property
     def configuration_version(self) -> int:
-        """The version of the configuration by which this node decides."""
+        """Version of the configuration that this node uses."""
         return self._configuration.version
 
-    # --- places for online requests ---
+    # --- placement of online requests ---
 
     async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
-        """Return where a request goes, or why it goes nowhere, before ``until``."""
-        place = await self._places.place(ask, until)
+        """Return a replica for an online request, or why there is none, by ``until``."""
+        result = await self._placement_client.request_placement(ask, until)
         self.on_placement()
-        return place
+        return result
 
     async def send_ask(self, ask: PlacementRequest) -> Contact | None:
-        """Send an ask to the coordinator or its stand-in; None: this node has to decide."""
+        """Send a placement request to the coordinator or a standby.
+
+        Return the node it was sent to; None if this node has to decide.
+        """
         target = self._leader.target()
         if target is None or target.node == self._identity.node:
             return None
-        self._send(target, [ask])
+        self._send_report(target, [ask])
         return target
 
-    async def decide_alone(self, ask: PlacementRequest) -> None:
-        """Answer an ask by what this node knows."""
-        await self._tell_self([ask])
+    async def decide_locally(self, request: PlacementRequest) -> None:
+        """Answer a placement request from this node's own state."""
+        await self._report_to_self([request])
 
-    def note_no_answer(self, target: Contact, asked_at: float) -> None:
-        """An ask had no answer; one that was heard lately gets another chance."""
-        if asked_at - self._heard_at > HEARD_LATELY_S:
-            self._note_silent(target)
+    def on_request_timeout(self, target: Contact, sent_at: float) -> None:
+        """Mark the target unresponsive unless it sent orders shortly before the request."""
+        if sent_at - self._orders_received_at > RECENT_CONTACT_S:
+            self._mark_unresponsive(target)
 
-    def _note_silent(self, target: Contact) -> None:
+    def _mark_unresponsive(self, target: Contact) -> None:
         if self._leader.current is not None and target == self._leader.current.holder:
             self._log.write(
                 catalogue.COORDINATOR_SILENT,
                 coordinator=target.node,
                 term=self._leader.term,
-                silent_s=round(self._clock() - self._heard_at, 3),
+                silent_s=round(self._clock() - self._orders_received_at, 3),
             )
-        self._leader.note_silent(target.host)
+        self._leader.mark_unresponsive(target.host)
 
-    # --- what comes ---
+    # --- received messages ---
 
     async def handle_message(self, message: Datagram, host: str) -> None:
-        """Take a message of the coordinator or of another node."""
-        self._note_word(host)
+        """Handle a message of the coordinator or of another node."""
+        self._record_response(host)
         match message:
             case Orders():
                 await self.handle_orders(message, host)
             case Introduction():
-                await self.offer(message.leadership)
-                self._note_standby(host)
+                await self.update_leadership(message.leadership)
+                self._mark_standby_responsive(host)
             case CrashCases():
-                if self._cases.merge(message.crash_records, host):
+                if self._crash_records.merge(message.crash_records, host):
                     await self.trigger_report()
             case DirectoryUpdate():
-                if not self._replicas.apply(message):
-                    # Another change was lost on the way; the report asks for the whole list.
-                    await self._wake.set()
-
-    def _note_word(self, host: str) -> None:
-        """The node that is reported to, or was, has sent something."""
-        if self._unanswered is not None and self._unanswered.target.host == host:
-            self._unanswered = None
+                if not self._directory_sync.apply(message):
+                    # An earlier change was lost; the fingerprint in the report requests the list.
+                    await self._report_requested.set()
+
+    def _record_response(self, host: str) -> None:
+        """Note a message from the node that is or was reported to."""
+        if self._unanswered_report is not None and self._unanswered_report.target.host == host:
+            self._unanswered_report = None
         target = self._leader.target()
         if target is not None and target.host == host:
-            self._target_heard = (host, self._clock())
+            self._target_last_seen = (host, self._clock())
 
-    def _note_standby(self, host: str) -> None:
-        """A node that does not coordinate has answered: as a standby it can be turned to again.
+    def _mark_standby_responsive(self, host: str) -> None:
+        """Mark a standby responsive after a message other than orders.
 
-        A node that misses one answer of its zone's first standby must return to it: two standbys
-        that serve the zone would each grant all of its slots.
+        A node that missed one answer of its zone's standby must return to it, since two standbys
+        that serve one zone would each grant all of its slots.
         """
         current = self._leader.current
-        if not self._coordinator.bears_zone_loss or current is None:
+        if not self._coordinator.tolerates_zone_loss or current is None:
             return
         if host != current.holder.host:
-            self._leader.note_heard(host, self._clock())
+            self._leader.mark_responsive(host, self._clock())
 
-    async def offer(self, leadership: Leadership) -> None:
-        """Take news of who coordinates."""
-        if not self._leader.offer(leadership, self._clock()):
+    async def update_leadership(self, leadership: Leadership) -> None:
+        """Adopt a leadership if it is newer than the current one."""
+        if not self._leader.update_leadership(leadership, self._clock()):
             return
         self._log.write(
             catalogue.COORDINATOR_KNOWN,
             coordinator=leadership.holder.node,
             term=leadership.term,
-            standbys=[one.node for one in leadership.standbys],
+            standbys=[standby.node for standby in leadership.standbys],
         )
         await self.on_leadership_change()
-        await self._wake.set()
+        await self._report_requested.set()
 
     async def handle_orders(self, orders: Orders, host: str) -> None:
-        """Act on orders, once."""
+        """Apply orders; grants and revokes that were applied before are ignored."""
         now = self._clock()
-        await self.offer(orders.leadership)
+        await self.update_leadership(orders.leadership)
         for placement in orders.placements:
-            await self._places.handle_placement(placement)
+            await self._placement_client.handle_placement(placement)
         current = self._leader.current
         if current is not None and orders.leadership.term < current.term:
-            # Its sender has not heard that another node coordinates now.
+            # The sender doesn't know yet that another node coordinates.
             self._transport.send(host, Introduction(current))
             return
-        self._heard_at = now
-        self._leader.note_heard(host, now)
-        self._served_at = now if orders.is_store_served else self._served_at
-        self._replicas.confirm(orders)
-        self._cases.note_coordinator(orders.crash_digest)
+        self._orders_received_at = now
+        self._leader.mark_responsive(host, now)
+        self._store_available_elsewhere_at = (
+            now if orders.is_store_served else self._store_available_elsewhere_at
+        )
+        self._directory_sync.confirm(orders)
+        self._crash_records.record_coordinator_digest(orders.crash_digest)
         self.on_zone_utilization(orders.zone_utilization_percent)
         if orders.take_over:
             await self.batch_handler.take_over_jobs(orders.take_over)
-        self._coordinator.take_fleet(orders.nodes, orders.near_limit, now)
+        self._coordinator.apply_fleet_size(orders.nodes, orders.near_limit, now)
         if orders.replica_loads:
-            self._coordinator.take_totals(orders.replica_loads, now)
-        await self._take_batch_orders(orders, host)
+            self._coordinator.apply_totals(orders.replica_loads, now)
+        await self._apply_batch_orders(orders, host)
 
-    async def _take_batch_orders(self, orders: Orders, host: str) -> None:
-        run, settled = self._settled.get(host, ("", 0))
-        if run == orders.sender and orders.number <= settled:
+    async def _apply_batch_orders(self, orders: Orders, host: str) -> None:
+        run, last_applied = self._last_applied_orders.get(host, ("", 0))
+        if run == orders.sender and orders.number <= last_applied:
             return
-        self._settled[host] = (orders.sender, orders.number)
+        self._last_applied_orders[host] = (orders.sender, orders.number)
         target = self._leader.target()
         is_followed = target is not None and target.host == host
         if is_followed and orders.revokes:
@@ -459,11 +478,11 @@
             await self.trigger_report()
 
     def is_store_available_elsewhere(self) -> bool:
-        """Whether the coordinator said lately that the store answers some other node."""
-        return self._clock() - self._served_at < 2 * HEARTBEAT_S
+        """Whether recent orders said that the store answers some other node."""
+        return self._clock() - self._store_available_elsewhere_at < 2 * HEARTBEAT_INTERVAL_S
 
 
-async def _nothing() -> None:
+async def _ignore_leadership_change() -> None:
     return
 
 
@@ -471,5 +490,5 @@
     return
 
 
-def _ignore_figure(percent: int) -> None:
+def _ignore_utilization(percent: int) -> None:
     return
--- a/src/cloverwalk/fleet/crash_record_store.py
+++ b/src/cloverwalk/fleet/crash_record_store.py
@@ -1,8 +1,9 @@
-"""Keeps contained requests in the store: a fleet that was killed whole knows them again.
+"""Stores the crash records of contained requests, so that they survive a restart of all processes.
 
-Each process reads the table once as it starts. The coordinator writes a row when a request is
-contained, and when another replica ends under it, and removes it when it is free again: at most
-``MAX_SHARED_RECORDS`` rows of some 500 bytes, and no call on days without crashes.
+Each process reads the table once at its start. The coordinator writes a row when a request becomes
+contained and when another replica ends under it, and removes the row when the request is no longer
+contained. There are at most ``MAX_SHARED_RECORDS`` rows of about 500 bytes, and no calls without
+crashes.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,30 +21,30 @@
 from cloverwalk.telemetry.log import ServingLog
 
 CASE_TABLE = "crash"
-LOOK_EVERY_S = 0.1
-"""How often the coordinator looks whether a row is due; a look costs a comparison."""
+CHECK_INTERVAL_S = 0.1
+"""Interval at which the coordinator checks whether a row has to be written."""
 
 CALL_TIMEOUT_S = 1.5
-"""As long as other transactions of the product wait for the store at the most."""
+"""Maximum time that other transactions wait for the store, too."""
 
-RETRY_MS = 300.0
-MOST_WRITTEN = 50
-"""Rows of each kind in one transaction; the store takes 100 entries."""
+RETRY_DELAY_MS = 300.0
+MAX_ROWS_PER_KIND = 50
+"""Maximum number of puts, and of removals, in one transaction; the store accepts 100 entries."""
 
 
-class StoredCase(msgspec.Struct, array_like=True):
-    """A row: a case as it was at a time of the store."""
+class StoredCrashRecord(msgspec.Struct, array_like=True):
+    """Value of a row: a crash record as of a time of the store."""
 
     case: CrashRecord
     store_ms: float
 
 
 class CrashRecordStore:
-    """Reads and writes the rows."""
+    """Reads and writes the rows of contained requests."""
 
     def __init__(
         self,
-        cases: CrashRecordSync,
+        crash_records: CrashRecordSync,
         coordinator: Coordinator,
         store: Store,
         health: StoreHealth,
@@ -51,7 +52,7 @@
         log: ServingLog,
         clock: Callable[[], float],
     ) -> None:
-        self._cases = cases
+        self._crash_records = crash_records
         self._coordinator = coordinator
         self._store = store
         self._health = health
@@ -59,64 +60,64 @@
         self._log = log
         self._clock = clock
         self._stored: dict[str, int] = {}
-        """Replicas that ended, as the store's rows say, by content."""
+        """Number of replicas that ended, as stored in the rows, by content hash."""
 
         self.is_read = False
-        """Whether the rows were read, since this process started."""
+        """Whether this process has read the rows since its start."""
 
     async def run(self) -> None:
-        """Read the rows, and write them whenever this node coordinates, until cancelled."""
-        await self._repeat(self.read)
+        """Read the rows, and write them while this node coordinates, until cancelled."""
+        await self._retry_until_answered(self.read)
         while True:
             await self._coordinator.wait_until_active()
-            # Another coordinator may have written meanwhile.
-            await self._repeat(self.read)
+            # Another coordinator may have written rows meanwhile.
+            await self._retry_until_answered(self.read)
             while self._coordinator.is_active:
-                await curio.sleep(LOOK_EVERY_S)
-                await self._repeat(self.write_due)
+                await curio.sleep(CHECK_INTERVAL_S)
+                await self._retry_until_answered(self.write_due)
 
-    async def _repeat(self, call: Callable[[], Awaitable[bool]]) -> None:
-        """Repeat a call until the store has answered it, at least as long as the store is away."""
+    async def _retry_until_answered(self, call: Callable[[], Awaitable[bool]]) -> None:
+        """Repeat a call until it succeeds; the backoff ends early when the store is back."""
         while not await call():
-            await self._health.backoff(RETRY_MS)
+            await self._health.backoff(RETRY_DELAY_MS)
 
     # --- reading ---
 
     async def read(self) -> bool:
-        """Take the cases of all rows; return whether the store has told them."""
+        """Merge the crash records of all rows; return whether the store has answered."""
         try:
             page = await self._store.read_table(CASE_TABLE)
         except StoreError:
             return False
         self._stored = {}
-        copies = [copy for row in page.rows if (copy := self._decode(row)) is not None]
-        self._cases.merge(copies, "store")
+        records = [record for row in page.rows if (record := self._decode(row)) is not None]
+        self._crash_records.merge(records, "store")
         self.is_read = True
         return True
 
     def _decode(self, row: Row) -> CrashRecord | None:
-        """Return a row's case, its ages counted until now; None for a row that can't be read."""
+        """Return a row's crash record with ages as of now; None if the row is invalid."""
         if row.value is None:
             return None
         try:
-            stored = msgspec.json.decode(row.value, type=StoredCase)
+            stored = msgspec.json.decode(row.value, type=StoredCrashRecord)
         except msgspec.DecodeError as error:
             key = row.row_key.key
             self._log.write(catalogue.CASE_INVALID, key=key, error=str(error)[:200])
             return None
-        case = stored.case
-        self._stored[case.content_hash] = len(case.crash_ages_ms)
+        record = stored.case
+        self._stored[record.content_hash] = len(record.crash_ages_ms)
         now = self._store_clock.now()
-        # Without the store's time the case counts as new: it is forgotten later than it might be.
+        # If the store's time is unknown, the record counts as new and expires later than needed.
         elapsed_ms = 0 if now is None else max(0, round(now.earliest_ms - stored.store_ms))
-        ages = {key: age_ms + elapsed_ms for key, age_ms in case.crash_ages_ms.items()}
-        return CrashRecord(case.content_hash, ages)
+        ages = {key: age_ms + elapsed_ms for key, age_ms in record.crash_ages_ms.items()}
+        return CrashRecord(record.content_hash, ages)
 
     # --- writing ---
 
     async def write_due(self) -> bool:
-        """Have the rows say what this node knows; return whether they do."""
-        if self._stored == self._cases.ledger.contained():
+        """Write the rows that differ from the ledger; return whether they are up to date."""
+        if self._stored == self._crash_records.ledger.contained():
             return True
         return await self._write()
 
@@ -124,23 +125,24 @@
         now, store_time = self._clock(), self._store_clock.now()
         if store_time is None:
             return False
-        wanted = self._cases.ledger.contained()
+        wanted = self._crash_records.ledger.contained()
         puts = []
         for content in sorted(wanted):
             if self._stored.get(content) == wanted[content]:
                 continue
-            case = self._cases.ledger.record_of(content, now)
-            value = msgspec.json.encode(StoredCase(case, store_time.latest_ms))
+            record = self._crash_records.ledger.record_of(content, now)
+            value = msgspec.json.encode(StoredCrashRecord(record, store_time.latest_ms))
             puts.append(Put(_row_key(content), value))
         removals = [_row_key(content) for content in sorted(self._stored) if content not in wanted]
         outcome = await self._store.commit(
-            Transaction(puts=puts[:MOST_WRITTEN], removals=removals[:MOST_WRITTEN]), CALL_TIMEOUT_S
+            Transaction(puts=puts[:MAX_ROWS_PER_KIND], removals=removals[:MAX_ROWS_PER_KIND]),
+            CALL_TIMEOUT_S,
         )
         if outcome.status is not CommitStatus.COMMITTED:
             return False
-        for put in puts[:MOST_WRITTEN]:
+        for put in puts[:MAX_ROWS_PER_KIND]:
             self._stored[put.row_key.key] = wanted[put.row_key.key]
-        for key in removals[:MOST_WRITTEN]:
+        for key in removals[:MAX_ROWS_PER_KIND]:
             del self._stored[key.key]
         return True
 
--- a/src/cloverwalk/fleet/crash_record_sync.py
+++ b/src/cloverwalk/fleet/crash_record_sync.py
@@ -1,25 +1,26 @@
-"""Has all nodes know the requests under which replicas have ended.
+"""Distributes crash records, the requests under which replicas have ended, to all nodes.
 
-What a node sees goes to the coordinator with its reports, which adds it up and tells every node at
-once of cases that concern all. Digests in reports and orders find what was lost on the way: then
-both sides tell all they know, so a new coordinator learns it from the nodes.
+A node sends its own observations to the coordinator with its reports. The coordinator merges them
+and broadcasts the records that all nodes should have. Reports and orders contain digests; if these
+differ, both sides send all of their records. So lost messages are made up for, and a new
+coordinator gets the records from the nodes.
 """
 
 from collections.abc import Callable
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.messages import CrashCases, Report
-from cloverwalk.fleet.node_registry import KnownNode
+from cloverwalk.fleet.node_registry import NodeEntry
 from cloverwalk.fleet.transport import Sender
 from cloverwalk.gateway.crash_ledger import CrashLedger, CrashRecord, InvalidCrashRecordError
 from cloverwalk.telemetry.log import ServingLog
 
-REPEAT_EVERY_S = 0.5
-"""What differs is told again after this time at the soonest; a change goes out at once."""
+RESEND_INTERVAL_S = 0.5
+"""Minimum time before differing records are sent again; a change is sent at once."""
 
 
 class CrashRecordSync:
-    """Merges and tells cases, at a node and at the coordinator."""
+    """Merges and sends crash records, at a node and at the coordinator."""
 
     def __init__(
         self, ledger: CrashLedger, transport: Sender, log: ServingLog, clock: Callable[[], float]
@@ -29,66 +30,71 @@
         self._log = log
         self._clock = clock
         self.on_contained: Callable[[str, str], None] = _ignore
-        """Called with a content and the source, where what was told contains a request."""
+        """Called with content hash and source if a received record makes a request contained."""
 
-        self._told_changes = 0
+        self._sent_revision = 0
         self._coordinator_digest = 0
-        self._told_all_at = float("-inf")
+        self._all_sent_at = float("-inf")
 
-    def merge(self, cases: list[CrashRecord], source: str) -> bool:
-        """Merge what another node knows; what makes no sense is logged and left out.
+    def merge(self, records: list[CrashRecord], source: str) -> bool:
+        """Merge the records of another node; invalid records are logged and skipped.
 
-        Return whether this node knows better: it has seen an answer since.
+        Return whether a record was outdated, because this node has seen an answer since.
         """
-        now, disproved = self._clock(), self.ledger.stale_record_count
-        for copy in cases:
+        now, stale_count_before = self._clock(), self.ledger.stale_record_count
+        for record in records:
             try:
-                if self.ledger.merge(copy, now):
-                    self.on_contained(copy.content_hash, source)
+                if self.ledger.merge(record, now):
+                    self.on_contained(record.content_hash, source)
             except InvalidCrashRecordError as error:
                 self._log.write(catalogue.BAD_PEER_MESSAGE, problem=str(error), host=source)
-        return self.ledger.stale_record_count != disproved
+        return self.ledger.stale_record_count != stale_count_before
 
     # --- a node ---
 
-    def note_coordinator(self, digest: int) -> None:
-        """The coordinator knows these cases."""
+    def record_coordinator_digest(self, digest: int) -> None:
+        """Record the digest of the coordinator's crash records."""
         self._coordinator_digest = digest
 
     def for_report(self) -> list[CrashRecord]:
-        """Return what the coordinator may not know."""
+        """Return the crash records that the coordinator may not have yet."""
         if not self.ledger.needs_sync:
             return []
         now = self._clock()
         differs = self._coordinator_digest != self.ledger.digest
-        if differs and now - self._told_all_at >= REPEAT_EVERY_S:
-            self._told_all_at = now
-            told = {one.content_hash: one for one in self.ledger.shared_records(now)}
-            told.update((one.content_hash, one) for one in self.ledger.local_records(now))
-            return list(told.values())
+        if differs and now - self._all_sent_at >= RESEND_INTERVAL_S:
+            self._all_sent_at = now
+            records = {record.content_hash: record for record in self.ledger.shared_records(now)}
+            records.update(
+                (record.content_hash, record) for record in self.ledger.local_records(now)
+            )
+            return list(records.values())
         return self.ledger.local_records(now)
 
     # --- the coordinator ---
 
-    def handle_report(self, report: Report, known: KnownNode) -> None:
-        """Take what a node knows, and tell it what it lacks."""
+    def handle_report(self, report: Report, known: NodeEntry) -> None:
+        """Merge a node's crash records, and send it all records if its digest differs."""
         self.merge(report.crash_records, report.node)
         now = self._clock()
-        if report.crash_digest == self.ledger.digest or now - known.cases_at < REPEAT_EVERY_S:
+        if (
+            report.crash_digest == self.ledger.digest
+            or now - known.crash_records_sent_at < RESEND_INTERVAL_S
+        ):
             return
-        known.cases_at = now
+        known.crash_records_sent_at = now
         self._transport.send(known.contact.host, CrashCases(self.ledger.shared_records(now)))
 
-    def push(self, others: Callable[[], list[KnownNode]]) -> None:
-        """Tell all nodes what has changed since the last call; asked for with each tick."""
-        if self._told_changes == self.ledger.revision:
+    def push(self, others: Callable[[], list[NodeEntry]]) -> None:
+        """Send all nodes the records if they have changed since the last call, at each tick."""
+        if self._sent_revision == self.ledger.revision:
             return
-        self._told_changes = self.ledger.revision
+        self._sent_revision = self.ledger.revision
         now = self._clock()
         message = CrashCases(self.ledger.shared_records(now))
-        for known in others():
-            known.cases_at = now
-            self._transport.send(known.contact.host, message)
+        for entry in others():
+            entry.crash_records_sent_at = now
+            self._transport.send(entry.contact.host, message)
 
 
 def _ignore(_content: str, _source: str) -> None:
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -1,8 +1,8 @@
-"""Which node coordinates: a row of the store says so, and a standby follows one that is silent.
+"""Election of the coordinator through a row of the store; a standby replaces a lost coordinator.
 
-The row is changed only under its version, so two nodes never hold the same term. Nodes follow the
-coordinator that they hear with the highest term; decisions need no row, so a fleet without its
-store goes on with the standbys.
+A write of the row is conditional on its version, which is the term, so two nodes never hold the
+same term. Nodes follow the reachable coordinator with the highest term. Decisions don't need the
+row: while the store is unavailable, standbys replace the coordinator without a new term.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.leader import LeaderView
 from cloverwalk.fleet.messages import Contact, Leadership, Snapshot
-from cloverwalk.fleet.node_registry import FULL_CORE
+from cloverwalk.fleet.node_registry import MIN_COORDINATOR_CORES
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import (
@@ -35,45 +35,45 @@
 
 ROLE_TABLE = "role"
 ROLE_KEY = RowKey(ROLE_TABLE, "", "coordinator")
-LOOK_EVERY_S = 1.0
-ACTIVE_LOOK_EVERY_S = 0.25
-"""The same at the coordinator and its standbys."""
+CHECK_INTERVAL_S = 1.0
+ACTIVE_CHECK_INTERVAL_S = 0.25
+"""The same at the coordinator, its standbys, and processes that have not found a leader yet."""
 
-CLAIM_AFTER_S = 0.8
-"""A standby that got no snapshot for so long, of four a second, takes the role."""
+SNAPSHOT_TIMEOUT_S = 0.8
+"""The first standby claims the role if nothing came from the coordinator for this time; four
+snapshots are sent per second."""
 
-CLAIM_STEP_S = 0.5
-"""Later standbys wait so much longer each."""
+CLAIM_DELAY_PER_RANK_S = 0.5
+"""Each further standby waits for this additional time."""
 
-ORPHAN_AFTER_S = 3.0
-"""Any node takes the role after this time without a word of the coordinator and its standbys."""
+LEADER_TIMEOUT_S = 3.0
+"""Any node claims the role after this time without a message from the coordinator or a standby."""
 
-FIRST_ORPHAN_AFTER_S = 2.0
-"""The same for a process that has heard none of them since its start: all may have started anew,
-and the store may refuse them. The last standby claims after 1.8 s."""
+STARTUP_LEADER_TIMEOUT_S = 2.0
+"""The same for a process that has had no contact with them since its start. All processes may have
+restarted, with a store that refuses the coordinator and standbys. Longer than the 1.8 s after which
+the last standby claims."""
 
-FIRST_ORPHAN_SPREAD_S = 0.3
-"""Claims of such processes are spread over this time. With both, the last node of a fleet whose
-coordinator and standbys the store refuses is served 2.9 s after the first start instead of 5.1 s
-(60 nodes, simulated time)."""
+STARTUP_LEADER_JITTER_S = 0.3
+"""Claims of such processes are spread randomly over this time."""
 
-FIRST_CLAIM_S = 0.15
-"""Claims of a start are spread over this time."""
+FIRST_CLAIM_JITTER_S = 0.15
+"""Claims of starting processes that find no role row are spread randomly over this time."""
 
-WEAK_WAIT_S = 0.5
-"""Nodes without a whole core leave the role to others for so much longer."""
+SMALL_NODE_CLAIM_DELAY_S = 0.5
+"""Additional delay before nodes with less than ``MIN_COORDINATOR_CORES`` claim the role."""
 
-VERIFY_EVERY_S = 1.0
-STORE_LOST_MS = 2500
-"""A coordinator that the store did not answer for so long gives its role to a standby whom it
-answers."""
+VERIFY_INTERVAL_S = 1.0
+MAX_HOLDER_STORE_AGE_MS = 2500
+"""The first standby takes the role from a coordinator that the store has not answered for this
+time, if the store answers the standby."""
 
-STORE_FRESH_MS = 1200
+MAX_CLAIMANT_STORE_AGE_MS = 1200
 CLAIM_TIMEOUT_S = 0.8
 
 
 class RoleRow(Struct):
-    """What the row says; its version is the term."""
+    """Value of the role row; the version of the row is the term."""
 
     holder: Contact
     run: str
@@ -85,14 +85,14 @@
 
 
 class Election:
-    """Takes, keeps and leaves the role of the coordinator."""
+    """Claims, keeps and gives up the role of the coordinator."""
 
     def __init__(
         self,
         identity: Identity,
         leader: LeaderView,
         coordinator: Coordinator,
-        link: CoordinatorClient,
+        client: CoordinatorClient,
         scheduler: Scheduler,
         store: Store,
         health: StoreHealth,
@@ -103,7 +103,7 @@
         self._identity = identity
         self._leader = leader
         self._coordinator = coordinator
-        self._link = link
+        self._client = client
         self._scheduler = scheduler
         self._store = store
         self._health = health
@@ -112,22 +112,22 @@
         self._random = random
         self._snapshot: Snapshot | None = None
         self._nodes: list[Contact] = []
-        self._looked_at = clock()
+        self._checked_at = clock()
         self._verified_at = float("-inf")
-        self._usurped_since: float | None = None
-        self._patience_s = self._random.random()
+        self._superseded_since: float | None = None
+        self._claim_jitter = self._random.random()
         self.is_leaving = False
-        link.on_leadership_change = self._on_leadership
+        client.on_leadership_change = self._on_leadership_change
 
-    # --- what comes ---
+    # --- received messages ---
 
     async def handle_snapshot(self, snapshot: Snapshot, host: str) -> None:
-        """Take what the coordinator told its standbys."""
+        """Apply the state that the coordinator sends to its standbys."""
         now = self._clock()
-        await self._link.offer(snapshot.leadership)
+        await self._client.update_leadership(snapshot.leadership)
         if snapshot.leadership.term < self._leader.term or self._coordinator.is_active:
             return
-        self._leader.note_heard(host, now)
+        self._leader.mark_responsive(host, now)
         self._snapshot = snapshot
         self._nodes = snapshot.nodes or self._nodes
         self._scheduler.load_tracker.apply_snapshot(snapshot.replica_loads, now)
@@ -135,16 +135,16 @@
         self._scheduler.online_shares.apply_usage(snapshot.usage_by_tenant)
         self._scheduler.item_shares.apply_usage(snapshot.item_usage_by_tenant)
         self._scheduler.apply_slowdowns(snapshot.slowdowns, now)
-        for route, known in snapshot.route_estimates.items():
+        for route, estimate in snapshot.route_estimates.items():
             self._scheduler.times.apply_estimate(
-                route, known.first_event_ms, known.hold_ms, known.wait_factor
+                route, estimate.first_event_ms, estimate.hold_ms, estimate.wait_factor
             )
         if snapshot.is_leaving and self._leader.standby_rank == 0:
             await self._claim()
 
-    async def _on_leadership(self) -> None:
-        """A newer leadership is known: this node holds the role, or holds it no more."""
-        if self._leader.is_own or not self._coordinator.is_active:
+    async def _on_leadership_change(self) -> None:
+        """Deactivate this node's coordinator if a newer leadership names another process."""
+        if self._leader.is_holder or not self._coordinator.is_active:
             return
         self._coordinator.deactivate()
         self._log.write(
@@ -153,68 +153,75 @@
             coordinator=self._leader.current.holder.node if self._leader.current else "",
         )
 
-    # --- looking ---
+    # --- periodic checks ---
 
     async def run(self) -> None:
-        """Take the role when nobody has it, until cancelled."""
+        """Claim the role whenever no reachable node holds it, until cancelled."""
         await self._start()
         while True:
-            is_near = self._coordinator.is_active or self._leader.standby_rank is not None
-            is_near = is_near or self._leader.is_unheard
-            step_s = ACTIVE_LOOK_EVERY_S if is_near else LOOK_EVERY_S
+            checks_often = self._coordinator.is_active or self._leader.standby_rank is not None
+            checks_often = checks_often or self._leader.has_never_contacted_leader
+            step_s = ACTIVE_CHECK_INTERVAL_S if checks_often else CHECK_INTERVAL_S
             await curio.sleep(step_s)
             await self.check(step_s)
 
     async def _start(self) -> None:
-        """Read who coordinates; take the role where nobody does."""
-        weak_s = WEAK_WAIT_S if self._identity.cores < FULL_CORE else 0.0
+        """Read the role row; claim the role if no node holds it or the row can't be read."""
+        small_node_delay_s = (
+            SMALL_NODE_CLAIM_DELAY_S if self._identity.cores < MIN_COORDINATOR_CORES else 0.0
+        )
         if await self._read_role():
             if self._leader.current is not None:
                 return
-            await curio.sleep(weak_s + FIRST_CLAIM_S * self._random.random())
+            await curio.sleep(small_node_delay_s + FIRST_CLAIM_JITTER_S * self._random.random())
         if self._leader.current is None:
             await self._claim()
 
     async def check(self, step_s: float) -> None:
-        """Check whether the coordinator is there; ``step_s`` passed since the last look."""
+        """Claim the role if it is due, or verify it if held; the checks are ``step_s`` apart."""
         now = self._clock()
-        was_away = now - self._looked_at > 3 * step_s
-        self._looked_at = now
-        if was_away:
-            # This process stood still: others may have been heard all the time.
-            self._leader.heard_at = self._leader.holder_heard_at = now
+        was_suspended = now - self._checked_at > 3 * step_s
+        self._checked_at = now
+        if was_suspended:
+            # This process was suspended, so the missing messages don't show that a node is lost.
+            self._leader.last_seen_at = self._leader.holder_last_seen_at = now
             self._scheduler.quotas.reset_after_pause(now)
         if self._coordinator.is_active:
-            if now - self._verified_at >= VERIFY_EVERY_S:
+            if now - self._verified_at >= VERIFY_INTERVAL_S:
                 self._verified_at = now
                 await self._verify()
         elif not self.is_leaving and self._should_claim(now):
-            self._patience_s = self._random.random()
+            self._claim_jitter = self._random.random()
             await self._claim()
 
     def _should_claim(self, now: float) -> bool:
         rank = self._leader.standby_rank
         if rank is not None:
-            if now - self._leader.holder_heard_at > CLAIM_AFTER_S + rank * CLAIM_STEP_S:
+            if (
+                now - self._leader.holder_last_seen_at
+                > SNAPSHOT_TIMEOUT_S + rank * CLAIM_DELAY_PER_RANK_S
+            ):
                 return True
-            told = self._snapshot
+            snapshot = self._snapshot
             return (
                 rank == 0
-                and told is not None
-                and told.store_age_ms > STORE_LOST_MS
-                and self._health.ms_since_answer() < STORE_FRESH_MS
+                and snapshot is not None
+                and snapshot.store_age_ms > MAX_HOLDER_STORE_AGE_MS
+                and self._health.ms_since_answer() < MAX_CLAIMANT_STORE_AGE_MS
             )
-        weak_s = WEAK_WAIT_S if self._identity.cores < FULL_CORE else 0.0
-        if self._leader.is_unheard:
-            patience_s = FIRST_ORPHAN_AFTER_S + FIRST_ORPHAN_SPREAD_S * self._patience_s
+        small_node_delay_s = (
+            SMALL_NODE_CLAIM_DELAY_S if self._identity.cores < MIN_COORDINATOR_CORES else 0.0
+        )
+        if self._leader.has_never_contacted_leader:
+            timeout_s = STARTUP_LEADER_TIMEOUT_S + STARTUP_LEADER_JITTER_S * self._claim_jitter
         else:
-            patience_s = ORPHAN_AFTER_S + self._patience_s
-        return now - self._leader.heard_at > patience_s + weak_s
+            timeout_s = LEADER_TIMEOUT_S + self._claim_jitter
+        return now - self._leader.last_seen_at > timeout_s + small_node_delay_s
 
     # --- the row ---
 
-    async def _row(self) -> Row | None:
-        """Return the row, without a value where it is missing; None when it can't be read."""
+    async def _read_row(self) -> Row | None:
+        """Return the role row, without a value if it doesn't exist; None if it can't be read."""
         key = ROLE_KEY
         try:
             page = await self._store.read(key.table, key.part, key.key, key.key + "\x01", 1)
@@ -223,15 +230,15 @@
         return page.rows[0] if page.rows else Row(key, None, 0)
 
     async def _read_role(self) -> bool:
-        """Take the row's leadership; return whether the store told."""
-        row = await self._row()
+        """Adopt the leadership of the row; return whether the store has answered."""
+        row = await self._read_row()
         if row is None:
             return False
         found = self._decode(row)
         if found is None or found.holder.node == self._identity.node:
-            # Nobody, or an earlier process of this node.
+            # No node holds the role, or an earlier process of this node does.
             return True
-        await self._link.offer(found)
+        await self._client.update_leadership(found)
         return True
 
     def _decode(self, row: Row) -> Leadership | None:
@@ -245,36 +252,36 @@
         return Leadership(role.holder, role.run, row.version, role.standbys)
 
     async def _claim(self) -> None:
-        """Take the role, unless another node took it first."""
-        row = await self._row()
+        """Write this node into the row, unless another node has claimed the role meanwhile."""
+        row = await self._read_row()
         if row is None:
             return
         found = self._decode(row)
-        if found is not None and self._is_own(found):
-            await self._took(found.term, found.standbys)
+        if found is not None and self._is_written_by_this_process(found):
+            await self._adopt_role(found.term, found.standbys)
             return
         is_news = found is not None and found.term > self._leader.term
         if found is not None and is_news and found.holder.node != self._identity.node:
-            await self._link.offer(found)
+            await self._client.update_leadership(found)
             return
         await self._write(row.version, self._standbys())
 
-    def _is_own(self, found: Leadership) -> bool:
-        """Whether this process wrote the row; the answer to its write may have been lost."""
+    def _is_written_by_this_process(self, found: Leadership) -> bool:
+        """Whether this process wrote the row, possibly without getting the store's answer."""
         return (found.holder.node, found.run) == (self._identity.node, self._identity.run)
 
     def _standbys(self) -> tuple[Contact, ...]:
-        chosen = self._able_standbys()
-        if chosen or self._leader.current is None:
-            return chosen
-        present = self._leader.current
-        others = [*present.standbys, present.holder]
-        return tuple(one for one in others if one.node != self._identity.node)
-
-    def _able_standbys(self) -> tuple[Contact, ...]:
-        by_zone = self._coordinator.bears_zone_loss
-        own = self._identity
-        return self._coordinator.registry.choose_standbys(own.node, own.zone, by_zone)
+        standbys = self._choose_standbys()
+        if standbys or self._leader.current is None:
+            return standbys
+        current = self._leader.current
+        previous_nodes = [*current.standbys, current.holder]
+        return tuple(contact for contact in previous_nodes if contact.node != self._identity.node)
+
+    def _choose_standbys(self) -> tuple[Contact, ...]:
+        by_zone = self._coordinator.tolerates_zone_loss
+        identity = self._identity
+        return self._coordinator.registry.choose_standbys(identity.node, identity.zone, by_zone)
 
     async def _write(self, expected: int, standbys: tuple[Contact, ...]) -> None:
         role = RoleRow(self._identity.contact, self._identity.run, standbys)
@@ -283,78 +290,84 @@
         )
         outcome = await self._store.commit(transaction, CLAIM_TIMEOUT_S)
         if outcome.status is CommitStatus.COMMITTED:
-            await self._took(outcome.version, standbys)
+            await self._adopt_role(outcome.version, standbys)
         elif outcome.status is CommitStatus.CONFLICT:
             row = outcome.conflict(ROLE_KEY)
             found = None if row is None else self._decode(row)
             if found is not None:
-                await self._conflicting(found)
+                await self._resolve_conflict(found)
 
-    async def _conflicting(self, found: Leadership) -> None:
-        """Another node has written the row, or this one with an answer that was lost."""
-        if self._is_own(found):
-            await self._took(found.term, found.standbys)
+    async def _resolve_conflict(self, found: Leadership) -> None:
+        """Handle a row written by another node, or by an unanswered write of this process."""
+        if self._is_written_by_this_process(found):
+            await self._adopt_role(found.term, found.standbys)
         elif not self._coordinator.is_active:
-            await self._link.offer(found)
+            await self._client.update_leadership(found)
 
-    async def _took(self, term: int, standbys: tuple[Contact, ...]) -> None:
-        mine = Leadership(self._identity.contact, self._identity.run, term, standbys)
+    async def _adopt_role(self, term: int, standbys: tuple[Contact, ...]) -> None:
+        leadership = Leadership(self._identity.contact, self._identity.run, term, standbys)
         was_active = self._coordinator.is_active
-        await self._link.offer(mine)
-        self._usurped_since = None
+        await self._client.update_leadership(leadership)
+        self._superseded_since = None
         if not was_active:
             self._log.write(
                 catalogue.COORDINATOR_TAKEN,
                 term=term,
-                standbys=[one.node for one in standbys],
+                standbys=[standby.node for standby in standbys],
                 nodes=len(self._nodes),
             )
-        # Standbys of a first claim are the coordinator before and its standbys: nodes turn to them.
+        # The previous coordinator and its standbys are announced to as well, as nodes follow them.
         await self._coordinator.activate([] if was_active else [*self._nodes, *standbys])
 
     async def _verify(self) -> None:
-        """Check the row of the role that this node holds, and name able standbys in it.
+        """Check the row while this node holds the role, and update the standbys in it.
 
-        A node that is cut off from this one may have taken the role. Its claim counts when it is
-        heard; else the role is taken back.
+        A node that can't reach this one may have claimed the role. If its orders arrive, this node
+        follows it; if they don't and other nodes still report here, this node claims the role back.
         """
-        row = await self._row()
+        row = await self._read_row()
         if row is None:
             return
         now = self._clock()
         found = self._decode(row)
-        if found is not None and self._is_own(found) and row.version != self._leader.term:
-            await self._took(found.term, found.standbys)
+        if (
+            found is not None
+            and self._is_written_by_this_process(found)
+            and row.version != self._leader.term
+        ):
+            await self._adopt_role(found.term, found.standbys)
         elif row.version == self._leader.term:
-            self._usurped_since = None
-            standbys = self._able_standbys()
+            self._superseded_since = None
+            standbys = self._choose_standbys()
             if self._needs_standbys(standbys):
                 await self._write(row.version, standbys)
         elif self.is_leaving:
-            # A standby has taken the role over; its orders will say so.
+            # A standby has taken over; its orders will announce it.
             return
-        elif self._usurped_since is None:
-            self._usurped_since = now
-        elif now - self._usurped_since >= VERIFY_EVERY_S and self._is_heard():
+        elif self._superseded_since is None:
+            self._superseded_since = now
+        elif now - self._superseded_since >= VERIFY_INTERVAL_S and self._has_reporting_peers():
             await self._write(row.version, self._standbys())
 
-    def _is_heard(self) -> bool:
-        """Whether another node reports to this one: the fleet, or a part of it, follows it."""
+    def _has_reporting_peers(self) -> bool:
+        """Whether another node reports to this one, so that part of the fleet follows it."""
         live = self._coordinator.registry.live()
-        return any(one.contact.node != self._identity.node for one in live)
+        return any(entry.contact.node != self._identity.node for entry in live)
 
-    def _needs_standbys(self, able: tuple[Contact, ...]) -> bool:
-        """Whether a named standby is gone or leaving, there are too few, or a zone has none."""
+    def _needs_standbys(self, candidates: tuple[Contact, ...]) -> bool:
+        """Whether a standby is lost or leaving, standbys are missing, or a zone has none."""
         current = self._leader.current
         if current is None:
             return False
         live = {
-            (one.contact.node, one.contact.host)
-            for one in self._coordinator.registry.live()
-            if not one.report.is_leaving
+            (entry.contact.node, entry.contact.host)
+            for entry in self._coordinator.registry.live()
+            if not entry.report.is_leaving
         }
-        if len(current.standbys) < len(able):
+        if len(current.standbys) < len(candidates):
             return True
-        if {one.zone for one in able} - {one.zone for one in current.standbys}:
+        if {standby.zone for standby in candidates} - {
+            standby.zone for standby in current.standbys
+        }:
             return True
-        return any((one.node, one.host) not in live for one in current.standbys)
+        return any((standby.node, standby.host) not in live for standby in current.standbys)
--- a/src/cloverwalk/fleet/identity.py
+++ b/src/cloverwalk/fleet/identity.py
@@ -1,4 +1,4 @@
-"""What names a node's process."""
+"""Identity of a node's process."""
 
 import attrs
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen
 class Identity:
-    """This node's process."""
+    """Name, address and size of this node, and the run of its process."""
 
     node: str
     run: str
-    """Differs from start to start."""
+    """Identifies the process; each start has another one."""
 
     host: str
     zone: str
     cores: float = 1.0
-    """Processor that the machine has, in cores."""
+    """Number of processor cores of the machine."""
 
     @property
     def incarnation(self) -> str:
@@ -25,5 +25,5 @@
 
     @property
     def contact(self) -> Contact:
-        """Where the node is reached."""
+        """The node's name and address."""
         return Contact(self.node, self.host)
--- a/src/cloverwalk/fleet/leader.py
+++ b/src/cloverwalk/fleet/leader.py
@@ -1,126 +1,140 @@
-"""Who coordinates, as this node knows it, and whom it turns to while that one is silent."""
+"""This node's view of the leadership, and the node that it follows if the coordinator is lost."""
 
 from cloverwalk.fleet.identity import Identity
 from cloverwalk.fleet.messages import Contact, Leadership
 
 
 class LeaderView:
-    """The newest leadership that was heard of, and which of its nodes are silent.
+    """The newest known leadership, and which of its nodes are unresponsive.
 
     >>> me = Identity("n3", "0a", "h3", "z1")
     >>> view = LeaderView(me, now=0.0)
     >>> first, second = Contact("n1", "h1"), Contact("n2", "h2")
-    >>> view.offer(Leadership(first, "0b", 7, (second,)), now=1.0)
+    >>> view.update_leadership(Leadership(first, "0b", 7, (second,)), now=1.0)
     True
     >>> view.target().node
     'n1'
-    >>> view.note_silent("h1"), view.target().node, view.has_lost_coordinator
+    >>> view.mark_unresponsive("h1"), view.target().node, view.has_lost_coordinator
     (None, 'n2', True)
-    >>> view.note_heard("h1", now=2.0), view.target().node
+    >>> view.mark_responsive("h1", now=2.0), view.target().node
     (None, 'n1')
     """
 
     def __init__(self, identity: Identity, now: float) -> None:
         self._identity = identity
         self.current: Leadership | None = None
-        self._silent: set[str] = set()
-        self._has_heard = False
-        self.heard_at = now
-        """When a coordinator or standby was last heard, or the start."""
+        self._unresponsive_hosts: set[str] = set()
+        self._has_contacted_leader = False
+        self.last_seen_at = now
+        """When a message of the coordinator or a standby last arrived, initially the start time."""
 
-        self.holder_heard_at = now
-        """When the coordinator itself was last heard."""
+        self.holder_last_seen_at = now
+        """The same for messages of the coordinator only."""
 
     @property
     def term(self) -> int:
-        """The term of the leadership, -1 while none is known."""
+        """The term of the current leadership, -1 if none is known."""
         return -1 if self.current is None else self.current.term
 
     @property
-    def is_own(self) -> bool:
-        """Whether this process coordinates."""
+    def is_holder(self) -> bool:
+        """Whether this process is the coordinator of the current leadership."""
         current = self.current
-        own = self._identity
-        return current is not None and (current.holder.node, current.run) == (own.node, own.run)
+        identity = self._identity
+        return current is not None and (current.holder.node, current.run) == (
+            identity.node,
+            identity.run,
+        )
 
     @property
-    def is_unheard(self) -> bool:
-        """Whether this process has heard no coordinator or standby since its start, and is none."""
-        return not self._has_heard and not self.is_own
+    def has_never_contacted_leader(self) -> bool:
+        """Whether no coordinator or standby has sent anything to this process since its start."""
+        return not self._has_contacted_leader and not self.is_holder
 
     @property
     def standby_rank(self) -> int | None:
-        """This node's place among the standbys, None when it is none."""
+        """This node's index among the standbys; None if it is no standby."""
         if self.current is None:
             return None
-        nodes = [one.node for one in self.current.standbys]
+        nodes = [standby.node for standby in self.current.standbys]
         return nodes.index(self._identity.node) if self._identity.node in nodes else None
 
-    def offer(self, leadership: Leadership, now: float) -> bool:
-        """Take a leadership if it is newer; return whether it was.
+    def update_leadership(self, leadership: Leadership, now: float) -> bool:
+        """Adopt a leadership if it is newer; return whether it was adopted.
 
-        One that names an earlier process of this node is none: that process is gone, and this one
-        would wait for itself. Without this, a fleet whose processes all started at once had no
-        coordinator until a standby missed it: 2.3 s from the start to the last node that is
-        served, against 0.4 s (60 nodes, 600 replicas, simulated time).
+        A leadership that names an earlier process of this node is rejected: that process has ended,
+        and this one would wait for itself until a standby claims the role.
         """
         if leadership.term <= self.term or self._is_of_earlier_process(leadership):
             return False
         self.current = leadership
-        self._silent.clear()
-        self.heard_at = self.holder_heard_at = now
+        self._unresponsive_hosts.clear()
+        self.last_seen_at = self.holder_last_seen_at = now
         return True
 
     def _is_of_earlier_process(self, leadership: Leadership) -> bool:
-        own = self._identity
-        return leadership.holder.node == own.node and leadership.run != own.run
+        identity = self._identity
+        return leadership.holder.node == identity.node and leadership.run != identity.run
 
     def target(self) -> Contact | None:
-        """Return the node to turn to: the coordinator, or the first standby that answers.
+        """Return the node to follow: the coordinator, or the first responsive standby.
 
-        That of the own zone goes first, and may be this node: a zone that is cut off is served
-        after the coordinator's silence, not after that of each standby elsewhere.
+        The standby of this zone comes first, and may be this node. So a zone that is cut off waits
+        only for the coordinator's timeout, not for that of each standby in other zones.
         """
-        return next((one for one in self._contacts() if one.host not in self._silent), None)
+        return next(
+            (
+                contact
+                for contact in self._contacts()
+                if contact.host not in self._unresponsive_hosts
+            ),
+            None,
+        )
 
     @property
     def has_lost_coordinator(self) -> bool:
-        """Whether the coordinator is silent."""
-        return self.current is not None and self.current.holder.host in self._silent
+        """Whether the coordinator is unresponsive."""
+        return self.current is not None and self.current.holder.host in self._unresponsive_hosts
 
     @property
     def serves_zone(self) -> bool:
-        """Whether this node is its zone's standby, and the coordinator is silent."""
+        """Whether this node serves its zone as standby because the coordinator is unresponsive."""
         target = self.target()
-        return self.has_lost_coordinator and target is not None and self._is_own_node(target)
+        return self.has_lost_coordinator and target is not None and self._is_local(target)
 
-    def silent_contacts(self) -> list[Contact]:
-        """Return the coordinator and the standbys that do not answer."""
-        return [one for one in self._contacts() if one.host in self._silent]
+    def unresponsive_contacts(self) -> list[Contact]:
+        """Return those of the coordinator and the standbys that are unresponsive."""
+        return [contact for contact in self._contacts() if contact.host in self._unresponsive_hosts]
 
     def _contacts(self) -> list[Contact]:
         if self.current is None:
             return []
         standbys = self.current.standbys
-        near = [one for one in standbys if one.zone and one.zone == self._identity.zone]
-        others = [one for one in standbys if one not in near and not self._is_own_node(one)]
-        return [self.current.holder, *near, *others]
-
-    def _is_own_node(self, contact: Contact) -> bool:
+        same_zone = [
+            standby for standby in standbys if standby.zone and standby.zone == self._identity.zone
+        ]
+        elsewhere = [
+            standby
+            for standby in standbys
+            if standby not in same_zone and not self._is_local(standby)
+        ]
+        return [self.current.holder, *same_zone, *elsewhere]
+
+    def _is_local(self, contact: Contact) -> bool:
         return contact.node == self._identity.node
 
-    def note_silent(self, host: str) -> None:
-        """A node did not answer."""
-        self._silent.add(host)
+    def mark_unresponsive(self, host: str) -> None:
+        """Mark a node unresponsive until it sends something."""
+        self._unresponsive_hosts.add(host)
 
-    def note_heard(self, host: str, now: float) -> None:
-        """A node was heard."""
-        self._silent.discard(host)
-        if self.current is None or (host == self._identity.host and not self.is_own):
-            # Orders of a standby to itself are no word of another node.
+    def mark_responsive(self, host: str, now: float) -> None:
+        """Mark a node responsive after a message from it."""
+        self._unresponsive_hosts.discard(host)
+        if self.current is None or (host == self._identity.host and not self.is_holder):
+            # Orders of a standby to itself don't show that another node is reachable.
             return
         if host == self.current.holder.host:
-            self.holder_heard_at = now
-        if any(one.host == host for one in self._contacts()):
-            self._has_heard = True
-            self.heard_at = now
+            self.holder_last_seen_at = now
+        if any(contact.host == host for contact in self._contacts()):
+            self._has_contacted_leader = True
+            self.last_seen_at = now
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -1,8 +1,8 @@
-"""What the nodes of a fleet tell each other: a netstring of JSON in one datagram.
+"""Messages between the nodes of a fleet: one netstring with JSON in each datagram.
 
-A node sends reports to the coordinator and gets orders back. Reports tell the whole state, so a
-lost one is repaired by the next; orders are numbered, and a report says up to which order its
-figures hold.
+A node sends reports to the coordinator and receives orders. A report contains the node's whole
+state, so the next report makes up for a lost one. Orders are numbered; a report names the last
+order whose effect its figures contain.
 """
 
 import enum
@@ -22,67 +22,68 @@
 
 
 class DatagramError(CloverwalkError):
-    """A datagram is not a message of a node."""
+    """A datagram can't be decoded as a message."""
 
     default_code = "peer_datagram_invalid"
 
 
 class NodeLoad(Struct, array_like=True, frozen=True):
-    """Work that a node has at one replica."""
+    """Work that a node has in flight at one replica."""
 
     online: int = 0
     batch: int = 0
     tokens: int = 0
-    """Memory that this work may take at the replica, in tokens; 0 where nobody counts it."""
+    """Memory that this work may use at the replica, in tokens; 0 if memory isn't counted."""
 
     batch_tokens: int = 0
-    """The part of ``tokens`` that items take."""
+    """The part of ``tokens`` that batch items may use."""
 
 
 class WaitingGroup(Struct, array_like=True, frozen=True):
-    """Batch items of a node that wait for a slot and are due at about the same time."""
+    """Batch items of a node that wait for a slot and have about the same due time."""
 
     sort_key: int
-    """Due time, in steps of the store's clock, see ``cloverwalk.jobs.waiting_items``."""
+    """Due time in steps of the store's clock; see ``cloverwalk.jobs.waiting_items``."""
 
     items: int
     replica_id: str = ""
-    """The replica that may still keep their prompts and output; empty: any is as good."""
+    """The replica that may still cache their prompts and output; empty if there is none."""
 
     prefill_ms: int = 0
-    """How long a replica reads the prompt of one of them, about."""
+    """Estimated prefill time of one item."""
 
     tenant: str = ""
-    """Whose items they are; empty where callers have no keys, or where nobody shares by tenant."""
+    """Owner of the items; empty if callers have no keys or fair shares are off."""
 
     remaining_ms: int = 0
-    """How long one of them still runs at a replica of the usual pace, about; 0: not told."""
+    """Estimated remaining run time of one item at a replica with slowdown 1.0; 0: unknown."""
 
     tokens: int = 0
-    """Memory that one of them may take at a replica, in tokens; 0: not told."""
+    """Memory that one item may use at a replica, in tokens; 0: unknown."""
 
 
 WaitingByPool = dict[str, list[WaitingGroup]]
-"""Waiting items by pool: the services that take them."""
+"""Waiting items by pool, the services that can run them."""
 
 
 class QuotaTokenUse(enum.Enum):
-    """What a request needs of its tenant's quota."""
+    """Whether a request needs a token of its tenant's quota."""
 
     NEW = "new"
-    """A token: it goes nowhere without one."""
+    """It needs a token and isn't sent to a replica without one."""
 
     ALREADY_GRANTED = "kept"
-    """Nothing: it has a token, and no replica has run it."""
+    """It already has a token, and no replica has run it."""
 
     RETRY = "again"
-    """It may have run and is sent once more. That is counted, whether there is a token or not."""
+    """It may have run and is sent again. The attempt is counted even if no token is left."""
 
 
 class LocalGrants(Struct, array_like=True, frozen=True):
-    """Tokens that a node gave out itself while the coordinator did not answer.
+    """Quota tokens that a node granted by itself while the coordinator did not answer.
 
-    Counts go up within a process and series; a node begins another series after a quiet time.
+    Counts only grow within a process and series. A node begins a new series after a time without
+    local grants.
     """
 
     series: int
@@ -90,10 +91,10 @@
 
 
 class PlacementRequest(Struct, array_like=True, frozen=True):
-    """Asks for a place for one online request."""
+    """Requests a replica for one online request."""
 
     number: int
-    """Counts within the asking process; an ask that is repeated keeps its number."""
+    """Unique within the sending process; a repeated placement request keeps its number."""
 
     route: str
     service: str
@@ -102,83 +103,83 @@
     shared_part: str = ""
     shared_tokens: int = 0
     objective_left_ms: int = 0
-    """What is left of the latency objective."""
+    """Remaining time of the latency objective."""
 
     deadline_ms: int | None = None
-    """The client's time when the request came; None when it told none."""
+    """The client's time limit when the request arrived; None if it set none."""
 
     time_left_ms: int = 0
-    """What is left of the client's time now."""
+    """Remaining time of the client's time limit."""
 
     must_place: bool = False
-    """Whether the request goes to some replica, whatever it can expect there."""
+    """Whether the request is sent to some replica regardless of the expected wait."""
 
     avoid: list[str] = []
-    """Replicas that it was at before."""
+    """Replicas that it was sent to before."""
 
     tenant: str = ""
-    """Who sends it; empty for callers without a key."""
+    """The tenant that sent it; empty for callers without a key."""
 
     quota_token: QuotaTokenUse = QuotaTokenUse.NEW
     content: str = ""
-    """Its content, where a replica has ended under it; empty for all others."""
+    """Its content hash if a replica has ended under it; empty for all other requests."""
 
     tokens: int = 0
-    """Memory that it may take at a replica, in tokens: its prompt and the most that may come out;
-    0: its caller did not say."""
+    """Memory that it may use at a replica, in tokens: its prompt and the maximum output;
+    0: unknown."""
 
 
 class RequestTiming(Struct, array_like=True, frozen=True):
-    """Times of an online request that was answered at its first attempt, in ms."""
+    """Times of an online request that was answered at the first attempt, in ms."""
 
     route: str
     replica_id: str
     first_event_ms: int
-    """From sending to its first event."""
+    """From sending the request to its first event."""
 
     hold_ms: int
-    """From its first event to its end."""
+    """From its first event to its end; it occupies a slot for this time."""
 
     expected_wait_ms: int
-    """How long it was expected to wait for a slot, before any correction."""
+    """Expected wait for a slot, without the learnt correction."""
 
     events: int = 0
-    """Events of its answer."""
+    """Number of events in its answer."""
 
     slowdown_percent: int = 0
-    """What the replica told of its pace as the answer began: 100 is its usual one, 200 twice as
-    long; 0: it told nothing."""
+    """Slowdown that the replica reported when the answer began: 100 is its baseline, 200 takes
+    twice as long; 0: not reported."""
 
     tenant: str = ""
-    """Who sent it; empty for callers without a key."""
+    """The tenant that sent it; empty for callers without a key."""
 
 
 class ItemTiming(Struct, array_like=True, frozen=True):
-    """How an item ran at a replica, in ms."""
+    """Time that a batch item ran at a replica, in ms."""
 
     replica_id: str
     events: int
     took_ms: int
-    """From its first event in this run to its last."""
+    """From the first event of this run to the last."""
 
     slowdown_percent: int = 0
     """As in ``RequestTiming``."""
 
 
 class WorkCorrection(Struct, array_like=True, frozen=True):
-    """Slot time that items of a tenant took beyond what was expected when they were granted."""
+    """Difference between the actual and the expected slot time of a tenant's items."""
 
     tenant: str
     rank: int
     extra_ms: int
-    """Negative: less, also where they gave way."""
+    """Actual minus expected time; negative also where items were preempted."""
 
 
 class Report(Struct, tag="report", array_like=True):
-    """The state of a node, and what it wants to know.
+    """The state of a node, with its placement requests.
 
-    ``run`` is the last part of the node's incarnation; ``sequence`` counts within it.
-    ``last_applied_order`` is the last order whose effect the figures contain.
+    ``run`` is the last part of the node's incarnation; ``sequence`` counts reports within it.
+    ``last_applied_order`` is the last order whose effect ``loads`` and ``waiting`` contain.
     """
 
     node: str
@@ -188,50 +189,49 @@
     last_applied_order: int
     configuration_version: int
     directory: int
-    """Fingerprint of the node's list of replicas."""
+    """Fingerprint of the node's replica list."""
 
     store_age_ms: int
-    """Time since the store last answered this node."""
+    """Time since the store last answered the node."""
 
     cores: float = 1.0
     loads: dict[str, NodeLoad] = {}
     waiting: WaitingByPool = {}
     suspects: list[str] = []
-    """Replicas that failed at this node lately."""
+    """Replicas that recently failed requests of this node."""
 
     placement_requests: list[PlacementRequest] = []
     withdrawn: list[int] = []
-    """Asks whose requests wait no more."""
+    """Queued placement requests whose client has disconnected or timed out."""
 
     request_timings: list[RequestTiming] = []
     is_leaving: bool = False
     has_lost_coordinator: bool = False
-    """Whether the coordinator does not answer this node, which turns to the receiver instead."""
+    """Whether the coordinator does not answer this node, which reports to the receiver instead."""
 
     local_grants: LocalGrants | None = None
-    """Tokens of quotas that this node gave out itself lately."""
+    """Quota tokens that this node recently granted by itself."""
 
     crash_records: list[CrashRecord] = []
-    """Requests under which replicas have ended or that were answered, as seen here lately; all
-    that are known where the coordinator knows others."""
+    """Crash records that this node changed recently; all of its records if the coordinator's
+    digest differs."""
 
     crash_digest: int = 0
-    """Digest of the cases that all nodes should know."""
+    """Digest of the crash records that all nodes should have."""
 
     item_timings: list[ItemTiming] = []
-    """How items ran that have ended since the last report; bounded by the sender."""
+    """Timings of items that ended since the last report; the sender limits their number."""
 
     utilization_percent: int = 0
-    """How much of what the node's machine can carry is in use, by whatever is scarcest there; 0:
-    nobody measures it."""
+    """Utilization of the scarcest resource of the node's machine; 0: not measured."""
 
     @property
     def is_full(self) -> bool:
-        """Whether the node's machine is nearly full, and gets what can go elsewhere last."""
+        """Whether the node's machine is overloaded; movable work goes to other nodes first."""
         return self.utilization_percent >= FULL_PERCENT
 
     corrections: list[WorkCorrection] = []
-    """Those since the last report; none where nobody shares by tenant."""
+    """Corrections since the last report; empty if fair shares are off."""
 
     @property
     def incarnation(self) -> str:
@@ -240,41 +240,41 @@
 
 
 class Placement(Struct, array_like=True, frozen=True):
-    """The answer to an ask."""
+    """The answer to a placement request."""
 
     number: int
     verdict: PlacementVerdict
     replica_id: str = ""
     wait_ms: int = 0
-    """Expected wait for a slot, before any correction."""
+    """Expected wait for a slot, without the learnt correction."""
 
     retry_after_s: float = 0.0
-    """With RETURN and OVER_QUOTA: when it should come back."""
+    """With RETRY_LATER and OVER_QUOTA: when the client should retry."""
 
     online: int = 0
-    """Online work at the replica when it was chosen; for the log, as the next two."""
+    """Online work at the replica when it was chosen; logged, as are the next two."""
 
     batch: int = 0
     prefill_ms: int = 0
-    """Time that the replica needed for prompts which were sent before."""
+    """Prefill time of the prompts that were sent to the replica before."""
 
     ahead_ms: int = 0
-    """With RETURN: slot time by which its tenant is ahead of others, where that is the reason."""
+    """With RETRY_LATER: slot time beyond the tenant's fair share, if that is the reason."""
 
 
 class Contact(Struct, array_like=True, frozen=True):
-    """Where a node is reached."""
+    """Name and address of a node."""
 
     node: str
     host: str
     zone: str = ""
-    """Told for standbys where each zone has one of its own; empty elsewhere."""
+    """Set for standbys if each zone has its own; otherwise empty."""
 
 
 class Leadership(Struct, array_like=True, frozen=True):
-    """Who coordinates the fleet, and who takes its place, in this order.
+    """The coordinator of the fleet and its standbys, in the order in which they take over.
 
-    ``term`` is the store's version of the row that says so: a higher one is newer.
+    ``term`` is the version of the role row in the store; a higher term is newer.
     """
 
     holder: Contact
@@ -284,61 +284,65 @@
 
 
 class Orders(Struct, tag="orders", array_like=True):
-    """What the coordinator tells a node; ``number`` counts by node within its process."""
+    """Decisions of the coordinator for one node.
+
+    ``number`` counts the decisions for this node within the sending process.
+    """
 
     leadership: Leadership
     sender: str
-    """Incarnation of the sending process: while a coordinator is silent, a standby decides."""
+    """Incarnation of the sending process; a standby sends orders while the coordinator is
+    unresponsive."""
 
     number: int
     configuration_version: int
     directory: int
-    """Fingerprint of the coordinator's list of replicas."""
+    """Fingerprint of the coordinator's replica list."""
 
     directory_version: int
-    """The store's version as of which that list holds."""
+    """The store version that this list corresponds to."""
 
     directory_age_ms: int
-    """Time since it was confirmed."""
+    """Time since the list was confirmed."""
 
     is_store_served: bool
-    """Whether the store has answered another node than the receiver lately."""
+    """Whether the store has recently answered a node other than the receiver."""
 
     placements: list[Placement] = []
     grants: dict[str, int] = {}
-    """Slots for waiting items, by replica."""
+    """Number of waiting items to start, by replica."""
 
     revokes: dict[str, int] = {}
-    """How many items have to be suspended, by replica."""
+    """Number of items to suspend, by replica."""
 
     take_over: list[str] = []
-    """Jobs without an owner that the receiver should run."""
+    """Jobs without an owner that the receiver takes over."""
 
     replica_loads: dict[str, NodeLoad] = {}
-    """Work of all nodes, for a node that has to decide alone for a while; may be left out."""
+    """Work of all nodes, used by a node that has to decide by itself; left out of most orders."""
 
     nodes: int = 0
-    """How many nodes the coordinator knows; 0 from any other sender."""
+    """Number of nodes that the coordinator knows; 0 from any other sender."""
 
     near_limit: list[str] = []
-    """Tenants that may be near the limit of their quota."""
+    """Tenants that may be close to the limit of their quota."""
 
     crash_digest: int = 0
-    """Digest of the sender's cases, as in a report."""
+    """Digest of the sender's crash records, as in a report."""
 
     grants_by_tenant: dict[str, dict[str, int]] = {}
-    """Whose items the grants are for, by replica; what it leaves out is for any item."""
+    """Grants per tenant, by replica; the remaining grants are for items of any tenant."""
 
     zone_utilization_percent: int = 0
-    """How full the nodes of the receiver's zone are in the middle; 0: not told."""
+    """Median utilization of the nodes in the receiver's zone; 0: unknown."""
 
     grant_tokens: dict[str, int] = {}
-    """Memory that the items of ``grants`` may take together, by replica, in tokens; empty where
-    nobody counts it."""
+    """Memory that the items of ``grants`` may use together, by replica, in tokens; empty if
+    memory isn't counted."""
 
 
 class RouteEstimates(Struct, array_like=True, frozen=True):
-    """What was learnt of a route's requests."""
+    """Learnt times of a route's requests."""
 
     first_event_ms: float
     hold_ms: float
@@ -346,90 +350,90 @@
 
 
 class SlowdownEstimate(Struct, array_like=True, frozen=True):
-    """What was learnt of a replica's pace, as factors of its service's usual time."""
+    """Learnt slowdown of a replica, as factors of its service's baseline time."""
 
     baseline: float
-    """What its kind of machine takes; changes slowly."""
+    """Slowdown of its kind of machine; changes slowly."""
 
     current: float
-    """What it took lately, its neighbours' work included."""
+    """Recent slowdown, including the effect of other work on the same machine."""
 
     age_ms: int
-    """Time since ``current`` was last measured or told."""
+    """Time since ``current`` was last measured or reported."""
 
 
 class Snapshot(Struct, tag="snapshot", array_like=True):
-    """What the coordinator knows, in short, for its standbys."""
+    """Compact state of the coordinator for its standbys."""
 
     leadership: Leadership
     store_age_ms: int
     replica_loads: dict[str, NodeLoad]
     route_estimates: dict[str, RouteEstimates]
     nodes: list[Contact] = []
-    """All live nodes; told less often than the rest."""
+    """All live nodes; empty in most snapshots."""
 
     is_leaving: bool = False
     quota_levels: dict[str, float] = {}
-    """Tokens that are left, by tenant, where it is not the whole quota."""
+    """Remaining quota tokens by tenant; tenants with a full bucket are left out."""
 
     slowdowns: dict[str, SlowdownEstimate] = {}
-    """By replica, where it differs from its service's usual one."""
+    """Slowdowns by replica, if they differ from the service's baseline."""
 
     usage_by_tenant: dict[str, float] = {}
-    """Slot time that tenants have had ahead of others, in ms, by tenant."""
+    """Slot time of online requests beyond the fair share, in ms, by tenant."""
 
     item_usage_by_tenant: dict[str, float] = {}
-    """The same for their items."""
+    """The same for batch items."""
 
 
 class RemovedReplica(Struct, array_like=True, frozen=True):
-    """A replica that is gone as of a version."""
+    """A replica that was removed at a store version."""
 
     replica_id: str
     version: int
 
 
 class DirectoryUpdate(Struct, tag="directory", array_like=True):
-    """Changes of the list of replicas, or the whole list."""
+    """Changes of the replica list, or the whole list."""
 
     since: int | None
-    """Fingerprint of the list that was changed; None: this is the whole list."""
+    """Fingerprint of the list before the change; None: this is the whole list."""
 
     fingerprint: int
-    """That of the list after the change."""
+    """Fingerprint of the list after the change."""
 
     version: int
-    """The store's version as of which the list holds."""
+    """The store version that the list corresponds to."""
 
     age_ms: int
     replicas: list[Replica]
     removed: list[RemovedReplica] = []
     part: int = 0
-    """Which part of a whole list this is, from 0."""
+    """Index of this part of a whole list, from 0."""
 
     parts: int = 1
 
 
 class ConfigurationCopy(Struct, tag="configuration", array_like=True):
-    """A whole configuration for a node that has an older one; keys are digests in it."""
+    """The whole configuration for a node that has an older one; it contains digests of keys."""
 
     configuration: Configuration
 
 
 class CrashCases(Struct, tag="crash_cases", array_like=True):
-    """Requests under which replicas have ended, for all nodes to know."""
+    """Crash records that all nodes should have."""
 
     crash_records: list[CrashRecord]
 
 
 class Introduction(Struct, tag="introduction", array_like=True):
-    """Tells a node that reported to another one who coordinates."""
+    """Names the coordinator to a node that reported to another node."""
 
     leadership: Leadership
 
 
 class StoreReturned(Struct, tag="store_returned", array_like=True):
-    """The store has answered a node again, after an outage."""
+    """The store has answered a node again after it was unavailable."""
 
     node: str
 
@@ -450,7 +454,7 @@
 
 
 def encode_datagram(message: Datagram) -> bytes:
-    """Return a message as it is on the wire.
+    """Return the encoded message.
 
     >>> encode_datagram(StoreReturned("n1"))
     b'23:["store_returned","n1"],'
@@ -459,11 +463,11 @@
 
 
 def decode_datagram(data: bytes) -> Datagram:
-    """Return a message; raise DatagramError when it is none."""
+    """Return the decoded message; raise DatagramError if it is invalid."""
     try:
         payloads = pynetstring.decode(data)
         if len(payloads) != 1:
-            raise DatagramError(f"{len(payloads)} messages in a datagram")
+            raise DatagramError(f"{len(payloads)} messages in a datagram instead of one")
         return _decoder.decode(payloads[0])
     except (pynetstring.ParseError, msgspec.DecodeError, UnicodeDecodeError) as error:
         raise DatagramError(str(error)) from error
--- a/src/cloverwalk/fleet/node_registry.py
+++ b/src/cloverwalk/fleet/node_registry.py
@@ -1,40 +1,40 @@
-"""The nodes that report to this one."""
+"""Registry of the nodes that report to this node."""
 
 import attrs
 
 from cloverwalk.fleet.messages import Contact, Report
 
 NODE_TIMEOUT_S = 2.3
-"""A node that was silent for so long is lost: two of its reports, one a second, are missing."""
+"""A node without reports for this time is lost; it has missed two of its reports, one a second."""
 
-REMEMBERED_S = 60.0
-"""Lost nodes are told for so long who coordinates: a process that starts anew may not be able to
-read it from the store."""
+LOST_NODE_RETENTION_S = 60.0
+"""Lost nodes are kept for this time and sent the current leadership, since a restarted process may
+not be able to read it from the store."""
 
-STANDBYS = 3
-MOST_STANDBYS = 8
-"""The same where each zone has one: snapshots go to each four times a second."""
+STANDBY_COUNT = 3
+MAX_ZONE_STANDBYS = 8
+"""Maximum number of standbys if each zone has one; each gets four snapshots per second."""
 
-FULL_CORE = 1.0
-"""Nodes with less than this coordinate only where no other can."""
+MIN_COORDINATOR_CORES = 1.0
+"""Nodes with fewer cores coordinate only if no other node can."""
 
 
 @attrs.define
-class KnownNode:
-    """A node, and what it told last."""
+class NodeEntry:
+    """A node with its last report."""
 
     contact: Contact
     report: Report
-    heard_at: float
-    told_at: float = float("-inf")
-    """When it was last sent orders."""
+    last_seen_at: float
+    orders_sent_at: float = float("-inf")
+    """When orders were last sent to the node."""
 
-    copied_at: float = float("-inf")
-    totals_at: float = float("-inf")
-    cases_at: float = float("-inf")
-    """When it was last told of requests under which replicas ended."""
+    state_sent_at: float = float("-inf")
+    totals_sent_at: float = float("-inf")
+    crash_records_sent_at: float = float("-inf")
+    """When crash records were last sent to the node."""
 
-    first_heard_at: float = 0.0
+    first_seen_at: float = 0.0
     is_lost: bool = False
 
 
@@ -42,105 +42,112 @@
     """Nodes by name."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, KnownNode] = {}
-
-    def record_report(self, report: Report, host: str, now: float) -> tuple[KnownNode, bool] | None:
-        """Take a report; return the node and whether it is a new process, None if it is late."""
-        known = self.by_name.get(report.node)
-        is_new = known is None or known.is_lost or known.report.run != report.run
-        if known is None:
-            known = KnownNode(Contact(report.node, host), report, now, first_heard_at=now)
-            self.by_name[report.node] = known
-        elif known.report.run == report.run and report.sequence <= known.report.sequence:
+        self.by_name: dict[str, NodeEntry] = {}
+
+    def record_report(self, report: Report, host: str, now: float) -> tuple[NodeEntry, bool] | None:
+        """Record a report; return the node's entry and whether its process is new.
+
+        Return None if a later report has been recorded already.
+        """
+        entry = self.by_name.get(report.node)
+        is_new = entry is None or entry.is_lost or entry.report.run != report.run
+        if entry is None:
+            entry = NodeEntry(Contact(report.node, host), report, now, first_seen_at=now)
+            self.by_name[report.node] = entry
+        elif entry.report.run == report.run and report.sequence <= entry.report.sequence:
             return None
-        known.contact = Contact(report.node, host)
-        known.report = report
-        known.heard_at = now
-        known.is_lost = False
-        return known, is_new
-
-    def expire(self, now: float, remembered_s: float = REMEMBERED_S) -> list[KnownNode]:
-        """Return the nodes that are lost since the last call; forget those lost for long."""
-        lost: list[KnownNode] = []
-        for name, known in list(self.by_name.items()):
-            silent_s = now - known.heard_at
-            if silent_s > NODE_TIMEOUT_S and not known.is_lost:
-                known.is_lost = True
-                lost.append(known)
-            if known.is_lost and silent_s > remembered_s:
+        entry.contact = Contact(report.node, host)
+        entry.report = report
+        entry.last_seen_at = now
+        entry.is_lost = False
+        return entry, is_new
+
+    def expire(self, now: float, retention_s: float = LOST_NODE_RETENTION_S) -> list[NodeEntry]:
+        """Return the nodes lost since the last call; remove those lost for ``retention_s``."""
+        lost: list[NodeEntry] = []
+        for name, entry in list(self.by_name.items()):
+            unresponsive_s = now - entry.last_seen_at
+            if unresponsive_s > NODE_TIMEOUT_S and not entry.is_lost:
+                entry.is_lost = True
+                lost.append(entry)
+            if entry.is_lost and unresponsive_s > retention_s:
                 del self.by_name[name]
         return lost
 
-    def heard_since(self, since: float) -> int:
-        """Return how many nodes reported after a time."""
-        return sum(one.heard_at >= since for one in self.by_name.values())
+    def count_seen_since(self, since: float) -> int:
+        """Return the number of nodes that have reported since a time."""
+        return sum(entry.last_seen_at >= since for entry in self.by_name.values())
 
-    def heard_by_zone(self) -> dict[str, list[float]]:
-        """Return when the known nodes of each zone were last heard; those that leave are not told.
+    def last_seen_by_zone(self) -> dict[str, list[float]]:
+        """Return when the nodes of each zone last reported, without nodes that are leaving.
 
-        Lost nodes are among them until they are forgotten.
+        Lost nodes are included until they are removed.
         """
-        heard: dict[str, list[float]] = {}
-        for one in self.by_name.values():
-            if not one.report.is_leaving:
-                heard.setdefault(one.report.zone, []).append(one.heard_at)
-        return heard
+        last_seen: dict[str, list[float]] = {}
+        for entry in self.by_name.values():
+            if not entry.report.is_leaving:
+                last_seen.setdefault(entry.report.zone, []).append(entry.last_seen_at)
+        return last_seen
 
-    def live(self) -> list[KnownNode]:
+    def live(self) -> list[NodeEntry]:
         """Return the nodes that are not lost, sorted by name."""
         return [
             self.by_name[name] for name in sorted(self.by_name) if not self.by_name[name].is_lost
         ]
 
-    def lost(self) -> list[KnownNode]:
-        """Return the nodes that are lost and remembered, sorted by name."""
+    def lost(self) -> list[NodeEntry]:
+        """Return the lost nodes that are not removed yet, sorted by name."""
         return [self.by_name[name] for name in sorted(self.by_name) if self.by_name[name].is_lost]
 
     def is_superseded(self, incarnation: str) -> bool:
-        """Whether a process was heard that runs in place of an earlier one."""
-        known = self.by_name.get(incarnation.rpartition(".")[0])
-        return known is not None and known.report.incarnation != incarnation
+        """Whether another process of the same node has reported since."""
+        entry = self.by_name.get(incarnation.rpartition(".")[0])
+        return entry is not None and entry.report.incarnation != incarnation
 
     def is_reporting(self, incarnation: str) -> bool:
-        """Whether a process reports; one that is about to stop hands its jobs over itself."""
-        known = self.by_name.get(incarnation.rpartition(".")[0])
-        return known is not None and not known.is_lost and known.report.incarnation == incarnation
+        """Whether a process still reports, even if it is leaving; it then hands over its jobs."""
+        entry = self.by_name.get(incarnation.rpartition(".")[0])
+        return entry is not None and not entry.is_lost and entry.report.incarnation == incarnation
 
     def live_incarnations(self) -> list[str]:
-        """Return the processes that may run jobs, sorted."""
-        return [one.report.incarnation for one in self.live() if not one.report.is_leaving]
+        """Return the processes that can run jobs, sorted by node name."""
+        return [entry.report.incarnation for entry in self.live() if not entry.report.is_leaving]
 
     def choose_standbys(
         self, own_node: str, own_zone: str, by_zone: bool = False
     ) -> tuple[Contact, ...]:
-        """Return the nodes that should take over, with room, strong and of other zones first.
+        """Return standbys; nodes that have capacity, enough cores or another zone come first.
 
-        Present standbys need not be kept: whoever takes over learns all within a second. With
-        ``by_zone`` each other zone has one first, and contacts tell their zones, so that a zone
-        that is cut off finds its own.
+        Current standbys needn't be kept, since a new coordinator learns the fleet's state from
+        reports within a second. With ``by_zone`` each other zone gets one standby first, and the
+        contacts name their zones, so that a zone that is cut off finds its standby.
         """
-        able = [
-            one for one in self.live() if one.contact.node != own_node and not one.report.is_leaving
+        candidates = [
+            entry
+            for entry in self.live()
+            if entry.contact.node != own_node and not entry.report.is_leaving
         ]
-        able.sort(
-            key=lambda one: (
-                one.report.is_full,
-                one.report.cores < FULL_CORE,
-                one.report.zone == own_zone,
+        candidates.sort(
+            key=lambda entry: (
+                entry.report.is_full,
+                entry.report.cores < MIN_COORDINATOR_CORES,
+                entry.report.zone == own_zone,
             )
         )
         if by_zone:
-            return _by_zone(able, own_zone)
-        return tuple(one.contact for one in able[:STANDBYS])
-
-
-def _by_zone(able: list[KnownNode], own_zone: str) -> tuple[Contact, ...]:
-    """Return the first node of each other zone, and as many more as there are places left."""
-    firsts: dict[str, KnownNode] = {}
-    for one in able:
-        if one.report.zone != own_zone:
-            firsts.setdefault(one.report.zone, one)
-    chosen = list(firsts.values())[:MOST_STANDBYS]
-    rest = [one for one in able if all(one is not other for other in chosen)]
-    chosen += rest[: max(0, STANDBYS - len(chosen))]
-    return tuple(Contact(one.contact.node, one.contact.host, one.report.zone) for one in chosen)
+            return _choose_by_zone(candidates, own_zone)
+        return tuple(entry.contact for entry in candidates[:STANDBY_COUNT])
+
+
+def _choose_by_zone(candidates: list[NodeEntry], own_zone: str) -> tuple[Contact, ...]:
+    """Return the first candidate of each other zone, then others up to ``STANDBY_COUNT``."""
+    first_by_zone: dict[str, NodeEntry] = {}
+    for entry in candidates:
+        if entry.report.zone != own_zone:
+            first_by_zone.setdefault(entry.report.zone, entry)
+    chosen = list(first_by_zone.values())[:MAX_ZONE_STANDBYS]
+    remaining = [entry for entry in candidates if all(entry is not selected for selected in chosen)]
+    chosen += remaining[: max(0, STANDBY_COUNT - len(chosen))]
+    return tuple(
+        Contact(entry.contact.node, entry.contact.host, entry.report.zone) for entry in chosen
+    )
--- a/src/cloverwalk/fleet/transport.py
+++ b/src/cloverwalk/fleet/transport.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other nodes. Loss is repaired by whoever needs the answer."""
+"""Datagrams to and from the other nodes. Senders that need an answer repeat lost messages."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
@@ -15,24 +15,24 @@
 from cloverwalk.telemetry.log import ServingLog
 
 MAX_DATAGRAM_BYTES = 60_000
-"""Below the most that UDP over IPv4 carries, 65,507 bytes."""
+"""Below the UDP over IPv4 limit of 65,507 bytes."""
 
-MAX_WAITING_DATAGRAMS = 64
-"""Datagrams that are read one after the other before other tasks run."""
+MAX_DATAGRAMS_PER_TURN = 64
+"""Datagrams that are read without a pause before other tasks run."""
 
 OnDatagram = Callable[[Datagram, str], Awaitable[None]]
 
 
 class Sender(Protocol):
-    """Sends messages to nodes by their hosts; what can't be sent is lost."""
+    """Sends messages to hosts without a guarantee of delivery."""
 
     def send(self, host: str, message: Datagram) -> None:
-        """Send a message, or lose it."""
+        """Send a message; drop it if it can't be sent."""
         ...
 
 
 class DatagramTransport:
-    """One socket; all nodes of a fleet use the same port."""
+    """Sends and receives datagrams on one socket; all nodes of a fleet use the same port."""
 
     def __init__(self, address: tuple[str, int], log: ServingLog) -> None:
         self._port = address[1]
@@ -41,33 +41,33 @@
         self._sock.bind(address)
 
     def send(self, host: str, message: Datagram) -> None:
-        """Send a message at once, or lose it with a line in the log."""
+        """Send a message at once; drop and log it if it is too long or can't be sent."""
         data = encode_datagram(message)
         if len(data) > MAX_DATAGRAM_BYTES:
-            self._note_lost(host, message, f"{len(data)} bytes")
+            self._log_not_sent(host, message, f"{len(data)} bytes")
             return
         try:
             self._sock._socket.sendto(data, (host, self._port))
         except OSError as error:
-            self._note_lost(host, message, repr(error))
+            self._log_not_sent(host, message, repr(error))
 
-    def _note_lost(self, host: str, message: Datagram, reason: str) -> None:
+    def _log_not_sent(self, host: str, message: Datagram, reason: str) -> None:
         kind = type(message).__name__
         self._log.write(catalogue.DATAGRAM_NOT_SENT, host=host, kind=kind, reason=reason)
 
     async def receive(self, on_datagram: OnDatagram) -> None:
-        """Pass every datagram on until cancelled."""
+        """Decode datagrams and pass them to ``on_datagram`` until cancelled."""
         while True:
             data, (host, _port) = await self._sock.recvfrom(65536)
-            await self._pass_on(data, host, on_datagram)
-            for _ in range(MAX_WAITING_DATAGRAMS):
+            await self._dispatch(data, host, on_datagram)
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     data, (host, _port) = self._sock._socket.recvfrom(65536)
                 except BlockingIOError:
                     break
-                await self._pass_on(data, host, on_datagram)
+                await self._dispatch(data, host, on_datagram)
 
-    async def _pass_on(self, data: bytes, host: str, on_datagram: OnDatagram) -> None:
+    async def _dispatch(self, data: bytes, host: str, on_datagram: OnDatagram) -> None:
         try:
             message = decode_datagram(data)
         except DatagramError as error:
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -1,4 +1,4 @@
-"""The fleet parts of many nodes over one store in memory, with time and datagrams by hand."""
+"""Fleet parts of many nodes with an in-memory store, manual time and manual datagram delivery."""
 
 import os
 from collections import Counter
@@ -48,7 +48,7 @@
 
 
 class Wire:
-    """Carries datagrams; what is cut off gets none and sends none."""
+    """Carries datagrams; hosts and zones that are cut off neither send nor receive any."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[str, str, Datagram]] = []
@@ -56,32 +56,34 @@
         self.cut_zones: set[str] = set()
         """Zones that are cut off from each other zone."""
 
-        self.lost_kinds: set[type] = set()
+        self.dropped_kinds: set[type] = set()
         self.sent = 0
-        self.asks = 0
+        self.placement_requests = 0
         self.bytes_by_kind: Counter[type] = Counter()
-        self.longest = 0
-        self.lose_next = 0
-        """So many of the next parts of a list of replicas are lost."""
+        self.longest_datagram_bytes = 0
+        self.directory_updates_to_drop = 0
+        """Number of the next directory updates to drop."""
 
     def sender(self, host: str) -> "WireEnd":
         return WireEnd(self, host)
 
     def put(self, source: str, host: str, message: Datagram) -> None:
         self.sent += 1
-        self.asks += len(message.placement_requests) if isinstance(message, Report) else 0
-        if source in self.silent or host in self.silent or type(message) in self.lost_kinds:
+        self.placement_requests += (
+            len(message.placement_requests) if isinstance(message, Report) else 0
+        )
+        if source in self.silent or host in self.silent or type(message) in self.dropped_kinds:
             return
         zones = {_zone_of(source), _zone_of(host)}
         if len(zones) > 1 and zones & self.cut_zones:
             return
         data = encode_datagram(message)
         self.bytes_by_kind[type(message)] += len(data)
-        self.longest = max(self.longest, len(data))
-        if self.lose_next and isinstance(message, DirectoryUpdate):
-            self.lose_next -= 1
+        self.longest_datagram_bytes = max(self.longest_datagram_bytes, len(data))
+        if self.directory_updates_to_drop and isinstance(message, DirectoryUpdate):
+            self.directory_updates_to_drop -= 1
             return
-        # What arrives is what came through the codec.
+        # Receivers get the message as it is after encoding and decoding.
         self.waiting.append((source, host, decode_datagram(data)))
 
 
@@ -91,7 +93,7 @@
 
 
 class WireEnd:
-    """The sender of one host."""
+    """Sends the datagrams of one host."""
 
     def __init__(self, wire: Wire, host: str) -> None:
         self._wire = wire
@@ -159,7 +161,7 @@
             self.directory,
             self.health,
             self.cases,
-            [f"h{one:03d}" for one in range(SEEDS)],
+            [f"h{number:03d}" for number in range(SEEDS)],
             log,
             clock,
         )
@@ -180,7 +182,7 @@
     async def _deliver(self, orders: Orders) -> None:
         await self.link.handle_orders(orders, self.host)
 
-    async def take(self, message: Datagram, source: str) -> None:
+    async def handle_message(self, message: Datagram, source: str) -> None:
         match message:
             case Report():
                 await self.coordinator.handle_report(message, source)
@@ -191,13 +193,13 @@
 
     @property
     def follows(self) -> str:
-        """The name of the node that this one turns to."""
+        """Name of the node that this one follows; empty if there is none."""
         target = self.leader.target()
         return "" if target is None else target.node
 
 
 class CoordinationWorld:
-    """A fleet whose time moves step by step."""
+    """A fleet whose time advances step by step."""
 
     STEP_S = 0.25
     REPORT_STEPS = 4
@@ -228,29 +230,29 @@
         holder.update_if_newer(Configuration(1, (route,), {}, ClientLimits(), self.tenants))
         return holder
 
-    def know_replicas(self, node: FleetNode) -> None:
-        """Have a node read the list of replicas from the store."""
+    def load_replicas(self, node: FleetNode) -> None:
+        """Set a node's replica list as if read from the store."""
         node.directory.replace(self.replicas, version=10)
         node.directory.confirmed_at = self.now
 
     async def start(self) -> None:
         for node in self.nodes:
-            self.know_replicas(node)
+            self.load_replicas(node)
             await node.election._start()
             await node.keeper.read()
         await self.run(4 * self.STEP_S)
 
     async def deliver(self) -> None:
-        """Carry datagrams until none is on its way."""
+        """Deliver datagrams until none is in transit."""
         while self.wire.waiting:
             waiting, self.wire.waiting = self.wire.waiting, []
             for source, host, message in waiting:
                 for node in self.nodes:
                     if node.host == host:
-                        await node.take(message, source)
+                        await node.handle_message(message, source)
 
     async def run(self, seconds: float) -> None:
-        """Let time pass: reports, ticks and looks of the election, and what they lead to."""
+        """Let time pass with reports, ticks, election checks and the messages that they cause."""
         for _ in range(round(seconds / self.STEP_S)):
             self._steps += 1
             self.now += self.STEP_S
@@ -272,17 +274,17 @@
         self.nodes.remove(node)
 
     def replace(self, node: FleetNode) -> FleetNode:
-        """Start a node anew: a process that knows nothing."""
-        again = FleetNode(node.number, self, run="0b")
-        self.nodes[self.nodes.index(node)] = again
-        return again
+        """Replace a node by a new process of it without any state."""
+        restarted = FleetNode(node.number, self, run="0b")
+        self.nodes[self.nodes.index(node)] = restarted
+        return restarted
 
     @property
     def active(self) -> list[FleetNode]:
-        """The nodes that believe to coordinate."""
-        return [one for one in self.nodes if one.coordinator.is_active]
+        """Nodes that hold the role according to their own state."""
+        return [node for node in self.nodes if node.coordinator.is_active]
 
     @property
     def coordinator(self) -> FleetNode:
-        (only,) = self.active
-        return only
+        (node,) = self.active
+        return node
--- a/tests/serving/node_processes.py
+++ b/tests/serving/node_processes.py
@@ -1,4 +1,4 @@
-"""The real node program as separate processes on loopback, for tests and measurements."""
+"""Runs the node program as separate processes on loopback, for tests and measurements."""
 
 import json
 import os
@@ -20,7 +20,7 @@
 
 
 class NodeProcess:
-    """One process; it is ended with its fleet."""
+    """One process of the node program."""
 
     def __init__(self, number: int, ports: list[int], store_port: int, folder: Path) -> None:
         self.host = f"127.0.1.{number + 1}"
@@ -33,9 +33,9 @@
         self.popen = self._start()
 
     def _settings_text(self, ports: list[int], store_port: int) -> str:
-        """Return the settings file of the node, in the platform's form."""
+        """Return the content of the node's settings file, in the platform's format."""
         client, ready, first, last = ports
-        seeds = json.dumps([f"127.0.1.{one + 1}:{first}" for one in range(SEEDS)])
+        seeds = json.dumps([f"127.0.1.{number + 1}:{first}" for number in range(SEEDS)])
         return "\n".join(
             [
                 f'node = "{self.node}"',
@@ -59,7 +59,7 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process."""
+        """Process id."""
         return self.popen.pid
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -67,19 +67,19 @@
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process as a kill does."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def restart(self) -> None:
-        """Start the program anew, with the same settings."""
+        """Kill the process and start the program again with the same settings."""
         self.kill()
         self.popen = self._start()
 
 
 @contextmanager
 def node_processes(count: int, store_port: int) -> Iterator[list[NodeProcess]]:
-    """Start a fleet; end what was started."""
+    """Start a fleet; kill its processes at the end."""
     ports = [free_port() for _ in range(4)]
     started: list[NodeProcess] = []
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -1,7 +1,7 @@
-"""A whole fleet that starts at once, over a limited store, in simulated time.
+"""A whole fleet that starts at once with a rate limited store, in simulated time.
 
-Nodes are the fleet parts, followers and store client of the program; only sockets are replaced. The
-loop's clock is simulated: when no task can run, time moves to the next deadline.
+Nodes consist of the real fleet parts, followers and store client; only sockets are replaced. The
+clock of the event loop is simulated: if no task can run, time advances to the next deadline.
 """
 
 import contextlib
@@ -47,29 +47,29 @@
 from cloverwalk.telemetry.startup import StartupLog
 
 STORE_TIME_S = 0.002
-"""A call's time at the store and on the way."""
+"""Time of a store call, transit included."""
 
 DATAGRAM_TIME_S = 0.001
 START_SPREAD_S = 0.3
-"""Machines start within this time of each other."""
+"""All machines start within this time."""
 
 REPLICA_BYTES = 250
-"""Of an entry as an answer carries it."""
+"""Size of a replica's entry in an answer."""
 
 ZONES = ("z1", "z2", "z3")
 SEEDS = 3
 RESET, SILENT = 0, -1
-"""Stand for a status where a call is refused without an answer."""
+"""Pseudo statuses of refusals: the connection is reset, or no answer is sent."""
 
 LINK_BYTES_PER_S = 3_750_000
-"""A node's own link: 30 Mbit/s."""
+"""Bandwidth of a node's link: 30 Mbit/s."""
 
 STORE_LINK_BYTES_PER_S = 500_000_000
-"""The store's link: 4,000 Mbit/s."""
+"""Bandwidth of the store's link: 4,000 Mbit/s."""
 
 
 class SimulatedTime:
-    """Seconds that pass only while everything waits."""
+    """Clock in seconds that advances only while all tasks wait."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -91,27 +91,27 @@
 
 
 def in_simulated_time(test: Callable[[SimulatedTime], Awaitable[None]]) -> None:
-    """Run a test in a loop whose clock is simulated."""
+    """Run a test in an event loop with a simulated clock."""
     time = SimulatedTime()
     with mock.patch.object(curio.kernel, "time", SimpleNamespace(monotonic=time)):
         curio.run(test, time, selector=_TimeSelector(time))
 
 
 class Link:
-    """Carries bytes one after the other."""
+    """A link of limited bandwidth that transmits messages one after the other."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
         self._free_at = 0.0
 
     def pass_s(self, size: int, now: float) -> float:
-        """Return how long a message takes to pass that comes now."""
+        """Return how long a message of ``size`` bytes takes if it is sent now."""
         self._free_at = max(now, self._free_at) + size / self._bytes_per_s
         return self._free_at - now
 
 
 class LimitedStore:
-    """The platform's store: calls of all nodes together are limited, and answers have pages."""
+    """The platform's store with a rate limit for the calls of all nodes and paged answers."""
 
     def __init__(self, time: SimulatedTime, reads_per_s: float, writes_per_s: float) -> None:
         self.time = time
@@ -126,14 +126,14 @@
         self.bytes_sent = 0
         self.by_second: Counter[int] = Counter()
         self.refuses: Callable[[str], int | None] = lambda host: None
-        """Tells for a host the status that a call is refused with, None where it is served."""
+        """Returns the status with which calls of a host are refused; None if they are served."""
 
     def put(self, table: str, key: str, document: Any) -> None:
         put = Put(RowKey(table, "", key), json.dumps(document).encode())
         self.rows.apply(Transaction(puts=[put]))
 
     def forget_counts(self) -> None:
-        """Count anew from here."""
+        """Reset all counters."""
         self.calls.clear()
         self.by_second.clear()
         self.refused = self.bytes_sent = 0
@@ -172,8 +172,8 @@
             return 200, json.dumps({"parts": parts, "more": False}).encode()
         if route == names.FEED_PATH:
             return 200, await self._feed(query)
-        kept = self._bodies.get(path)
-        if kept is None or kept[0] != self.rows.version:
+        cached = self._bodies.get(path)
+        if cached is None or cached[0] != self.rows.version:
             page = await self.rows.read(
                 query["table"],
                 query.get("part", ""),
@@ -182,8 +182,8 @@
                 int(query["limit"]),
             )
             answer = {**self._stamp(), "rows": wire_rows(page.rows), "more": page.has_more}
-            kept = self._bodies[path] = (self.rows.version, json.dumps(answer).encode())
-        return 200, kept[1]
+            cached = self._bodies[path] = (self.rows.version, json.dumps(answer).encode())
+        return 200, cached[1]
 
     async def _feed(self, query: dict[str, str]) -> bytes:
         async with curio.ignore_after(int(query["wait_ms"]) / 1000):
@@ -209,7 +209,7 @@
 
 
 class _Pool:
-    """A node's connections to the store."""
+    """Connection pool of a node to the store."""
 
     def __init__(self, store: LimitedStore, host: str) -> None:
         self._store = store
@@ -228,7 +228,7 @@
         return response
 
     async def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing, since there are no connections."""
 
 
 class Wire:
@@ -236,7 +236,7 @@
 
     def __init__(self) -> None:
         self.waiting: list[tuple[str, str, bytes]] = []
-        self.takers: dict[str, OnDatagram] = {}
+        self.receivers: dict[str, OnDatagram] = {}
         self.sent: Counter[str] = Counter()
         self.bytes_by_kind: Counter[str] = Counter()
 
@@ -245,13 +245,13 @@
             await curio.sleep(DATAGRAM_TIME_S)
             waiting, self.waiting = self.waiting, []
             for source, host, data in waiting:
-                taker = self.takers.get(host)
-                if taker is not None:
-                    await taker(decode_datagram(data), source)
+                receiver = self.receivers.get(host)
+                if receiver is not None:
+                    await receiver(decode_datagram(data), source)
 
 
 class WireTransport:
-    """One node's end of the wire."""
+    """Datagram transport of one node."""
 
     def __init__(self, wire: Wire, host: str) -> None:
         self._wire = wire
@@ -266,11 +266,11 @@
             self._wire.waiting.append((self._host, host, data))
 
     async def receive(self, on_datagram: OnDatagram) -> None:
-        self._wire.takers[self._host] = on_datagram
+        self._wire.receivers[self._host] = on_datagram
         try:
             await curio.sleep(1e9)
         finally:
-            del self._wire.takers[self._host]
+            del self._wire.receivers[self._host]
 
 
 def node_host(number: int) -> str:
@@ -278,7 +278,7 @@
 
 
 class ReturningNode:
-    """What one process needs to become ready."""
+    """The parts of a node's process that it needs to become ready."""
 
     def __init__(self, number: int, world: "ReturningWorld", run: int) -> None:
         self.host = node_host(number)
@@ -293,7 +293,7 @@
             (self.host, 2),
             (self.host, 3),
             None,
-            tuple(node_host(one) for one in range(SEEDS)),
+            tuple(node_host(seed) for seed in range(SEEDS)),
             "store:1",
             8.0,
             4000,
@@ -303,7 +303,7 @@
         adapter = PlatformAdapter()
         log = ServingLog(self.name, time, world.log_descriptor)
         self.startup = StartupLog(log, time, time.now)
-        self.knowledge = FleetState(adapter, log, time, self.startup)
+        self.fleet_state = FleetState(adapter, log, time, self.startup)
         self.health = StoreHealth(Clock(time))
         client = PlatformStore("store:1")
         client._pool = _Pool(world.store, self.host)  # type: ignore[assignment]
@@ -311,7 +311,7 @@
         self.fleet = FleetParts(
             settings,
             f"r{run}",
-            self.knowledge,
+            self.fleet_state,
             InFlightTracker(),
             self.store,
             self.health,
@@ -323,8 +323,8 @@
             adapter.configuration_table,
             self.store,
             self.health,
-            self.knowledge.on_configuration,
-            self.knowledge.on_configuration,
+            self.fleet_state.on_configuration,
+            self.fleet_state.on_configuration,
             CONFIGURATION_PAUSE_S,
             log,
             time,
@@ -334,15 +334,15 @@
             adapter.replica_table,
             self.store,
             self.health,
-            self.knowledge.on_all_replicas,
-            self.knowledge.on_replicas,
+            self.fleet_state.on_all_replicas,
+            self.fleet_state.on_replicas,
             DIRECTORY_PAUSE_S,
             log,
             time,
             random,
             self.fleet.until_directory_needed,
         )
-        self._watch = StoreProbe(self.store, self.health, self.fleet)
+        self._store_probe = StoreProbe(self.store, self.health, self.fleet)
         self._tasks: list[Any] = []
 
     async def start(self) -> None:
@@ -353,7 +353,7 @@
             self.fleet.election.run,
             self._configuration_follower.run,
             self._replica_follower.run,
-            self._watch.run,
+            self._store_probe.run,
         ):
             self._tasks.append(await curio.spawn(loop, daemon=True))
 
@@ -367,13 +367,13 @@
 
     @property
     def serves(self) -> bool:
-        """Whether it is ready, and the node that it turns to coordinates."""
+        """Whether the node is ready and follows a node that coordinates."""
         target = self.fleet.leader.target()
         return self.is_ready and target is not None and self._world.coordinates(target.node)
 
 
 class ReturningWorld:
-    """The fleet, its store, and the wire between its nodes."""
+    """A fleet with its store and the wire between its nodes."""
 
     def __init__(
         self,
@@ -397,14 +397,14 @@
         self._is_wired = False
 
     async def start_all(self) -> None:
-        """Start all nodes at once, as the platform does."""
+        """Start all nodes within ``START_SPREAD_S``, as the platform does."""
         if not self._is_wired:
             self._is_wired = True
             await curio.spawn(self.wire.run, daemon=True)
         self._runs += 1
         random = Random(self._runs)
         began_at = self.time.now
-        starts = sorted((random.random() * START_SPREAD_S, one) for one in range(self._count))
+        starts = sorted((random.random() * START_SPREAD_S, number) for number in range(self._count))
         for after_s, number in starts:
             await curio.sleep(max(0.0, began_at + after_s - self.time.now))
             with self._wired(node_host(number)):
@@ -413,29 +413,29 @@
             await node.start()
 
     async def kill_all(self) -> None:
-        """End all processes at once."""
+        """Kill all processes at once."""
         for node in self.nodes:
             await node.kill()
         self.nodes = []
 
     def coordinates(self, node: str) -> bool:
-        """Whether a node holds the role of the coordinator."""
-        return any(one.fleet.coordinator.is_active for one in self.nodes if one.name == node)
+        """Whether a node is active as coordinator."""
+        return any(entry.fleet.coordinator.is_active for entry in self.nodes if entry.name == node)
 
     def core_hosts(self) -> set[str]:
         """Return the hosts of the coordinator and its standbys."""
-        (active,) = [one for one in self.nodes if one.fleet.coordinator.is_active]
+        (active,) = [node for node in self.nodes if node.fleet.coordinator.is_active]
         current = active.fleet.leader.current
         assert current is not None
-        return {current.holder.host, *(one.host for one in current.standbys)}
+        return {current.holder.host, *(standby.host for standby in current.standbys)}
 
-    async def until(self, condition: Callable[[ReturningNode], bool], longest_s: float) -> float:
-        """Return the time until a condition holds at every node."""
+    async def until(self, condition: Callable[[ReturningNode], bool], timeout_s: float) -> float:
+        """Wait until a condition holds at every node; return the time that it took."""
         began_at = self.time.now
-        while not all(condition(one) for one in self.nodes):
-            if self.time.now - began_at > longest_s:
-                lacking = sum(not condition(one) for one in self.nodes)
-                raise AssertionError(f"{lacking} nodes lack it after {longest_s} s")
+        while not all(condition(node) for node in self.nodes):
+            if self.time.now - began_at > timeout_s:
+                lacking = sum(not condition(node) for node in self.nodes)
+                raise AssertionError(f"{lacking} nodes fail the condition after {timeout_s} s")
             await curio.sleep(0.02)
         return self.time.now - began_at
 
