--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -1,4 +1,4 @@
-"""One node coordinates; the others find it, and go on when it is gone, silent or cut off."""
+"""Election of the coordinator, failover to standbys, and the messages between nodes."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from cloverwalk.fleet.coordinator_client import BatchOrderHandler
-from cloverwalk.fleet.election import ORPHAN_AFTER_S, ROLE_KEY, RoleRow
+from cloverwalk.fleet.election import LEADER_TIMEOUT_S, ROLE_KEY, RoleRow
 from cloverwalk.fleet.messages import (
     ConfigurationCopy,
     Contact,
@@ -28,13 +28,17 @@
     encode_datagram,
 )
 from cloverwalk.fleet.node_registry import NODE_TIMEOUT_S
-from cloverwalk.fleet.placement_client import ASK_TIMEOUT_MAX_S, MOST_ASKED, PlacementResult
+from cloverwalk.fleet.placement_client import (
+    MAX_PLACEMENT_ATTEMPTS,
+    MAX_PLACEMENT_TIMEOUT_S,
+    PlacementResult,
+)
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
 from cloverwalk.scheduling.admission import PlacementVerdict
 from cloverwalk.store.types import Expectation, Put, Transaction
 
-LARGE = 195
-SMALL = 9
+LARGE_FLEET_NODES = 195
+SMALL_FLEET_NODES = 9
 
 
 def in_fleet(nodes: int, test: Callable[[CoordinationWorld], Awaitable[None]]) -> None:
@@ -46,157 +50,157 @@
     curio.run(main)
 
 
-ASK = PlacementRequest(
+REQUEST = PlacementRequest(
     0, "chat", "model", objective_left_ms=300, deadline_ms=5000, time_left_ms=5000
 )
 
 
-def plain_node(world: CoordinationWorld) -> FleetNode:
-    """Return a node that neither coordinates nor stands by."""
+def follower_node(world: CoordinationWorld) -> FleetNode:
+    """Return a node that is neither coordinator nor standby."""
     return next(
-        one
-        for one in world.nodes
-        if one.leader.standby_rank is None and not one.coordinator.is_active
+        node
+        for node in world.nodes
+        if node.leader.standby_rank is None and not node.coordinator.is_active
     )
 
 
-async def place(world: CoordinationWorld, node: FleetNode) -> PlacementResult:
-    """Ask for a place, while datagrams are carried at once and time stands still."""
-    task = await curio.spawn(node.link.request_placement, ASK, world.now + 1.5)
+async def request_placement(world: CoordinationWorld, node: FleetNode) -> PlacementResult:
+    """Request a placement; datagrams are delivered at once and time stands still."""
+    task = await curio.spawn(node.link.request_placement, REQUEST, world.now + 1.5)
     while not task.terminated:
         await world.deliver()
         await curio.sleep(0.001)
-    found: PlacementResult = await task.join()
-    return found
+    result: PlacementResult = await task.join()
+    return result
 
 
-@pytest.mark.parametrize("count", [1, 2, SMALL, LARGE])
-def test_a_fleet_that_starts_has_one_coordinator_that_all_nodes_follow(count: int) -> None:
+@pytest.mark.parametrize("count", [1, 2, SMALL_FLEET_NODES, LARGE_FLEET_NODES])
+def test_starting_fleet_elects_one_coordinator_that_all_nodes_follow(count: int) -> None:
     async def test(world: CoordinationWorld) -> None:
         name = world.coordinator.name
-        assert {one.follows for one in world.nodes} == {name}
+        assert {node.follows for node in world.nodes} == {name}
         assert len(world.coordinator.coordinator.registry.live()) == count
 
     in_fleet(count, test)
 
 
-def test_an_idle_node_of_a_large_fleet_sends_and_hears_little() -> None:
+def test_idle_node_of_large_fleet_exchanges_at_most_four_messages_per_second() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
-        sent = world.wire.sent
+        sent_before = world.wire.sent
         await world.run(10.0)
-        assert (world.wire.sent - sent) / 10.0 / LARGE <= 4.0
+        assert (world.wire.sent - sent_before) / 10.0 / LARGE_FLEET_NODES <= 4.0
 
-    in_fleet(LARGE, test)
+    in_fleet(LARGE_FLEET_NODES, test)
 
 
-def test_a_standby_takes_over_from_a_coordinator_that_is_gone() -> None:
+def test_first_standby_takes_over_from_killed_coordinator() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         old = world.coordinator
         term = old.leader.term
-        standbys = [one.node for one in old.leader.current.standbys] if old.leader.current else []
+        standbys = (
+            [standby.node for standby in old.leader.current.standbys] if old.leader.current else []
+        )
         assert len(standbys) == 3
         world.kill(old)
         await world.run(2.5)
         assert world.coordinator.name == standbys[0]
-        assert {one.follows for one in world.nodes} == {standbys[0]}
+        assert {node.follows for node in world.nodes} == {standbys[0]}
         assert world.coordinator.leader.term > term
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_any_node_takes_over_when_the_standbys_are_gone_too() -> None:
+def test_any_node_takes_over_if_coordinator_and_standbys_are_killed() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         assert world.coordinator.leader.current is not None
         leadership = world.coordinator.leader.current
-        gone = {leadership.holder.node, *(one.node for one in leadership.standbys)}
-        for node in [one for one in world.nodes if one.name in gone]:
+        gone = {leadership.holder.node, *(standby.node for standby in leadership.standbys)}
+        for node in [member for member in world.nodes if member.name in gone]:
             world.kill(node)
-        await world.run(ORPHAN_AFTER_S + 4.0)
+        await world.run(LEADER_TIMEOUT_S + 4.0)
         name = world.coordinator.name
         assert name not in gone
-        assert {one.follows for one in world.nodes} == {name}
+        assert {member.follows for member in world.nodes} == {name}
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_after_a_restart_of_all_processes_there_is_one_coordinator() -> None:
+def test_restart_of_all_processes_elects_one_coordinator() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         for node in list(world.nodes):
-            again = world.replace(node)
-            world.know_replicas(again)
+            restarted = world.replace(node)
+            world.load_replicas(restarted)
         for node in world.nodes:
             await node.election._start()
         await world.run(4.0)
         name = world.coordinator.name
-        assert {one.follows for one in world.nodes} == {name}
-        assert len(world.coordinator.coordinator.registry.live()) == SMALL
+        assert {member.follows for member in world.nodes} == {name}
+        assert len(world.coordinator.coordinator.registry.live()) == SMALL_FLEET_NODES
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_coordinator_that_starts_anew_takes_its_role_though_others_name_its_earlier_process() -> (
-    None
-):
+def test_restarted_coordinator_claims_role_despite_leadership_of_its_earlier_process() -> None:
     async def test(world: CoordinationWorld) -> None:
         old = world.coordinator
-        told = old.leader.current
-        assert told is not None
-        again = world.replace(old)
-        # Nodes that have read the row before tell it who coordinates, as they believe.
-        await again.link.offer(told)
-        await again.election._start()
-        assert [one.identity.run for one in world.active] == [again.identity.run]
-        assert again.leader.term > told.term
+        leadership = old.leader.current
+        assert leadership is not None
+        restarted = world.replace(old)
+        # Other nodes still send the leadership that names the earlier process.
+        await restarted.link.update_leadership(leadership)
+        await restarted.election._start()
+        assert [node.identity.run for node in world.active] == [restarted.identity.run]
+        assert restarted.leader.term > leadership.term
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_node_that_starts_and_is_not_refused_by_the_store_is_sent_no_copies() -> None:
+def test_starting_node_is_sent_copies_only_if_store_refuses_it() -> None:
     async def test(world: CoordinationWorld) -> None:
-        new = FleetNode(SMALL, world)
-        new.configuration.current = None
-        world.nodes.append(new)
-        told = world.coordinator.leader.current
-        assert told is not None
-        await new.link.offer(told)
+        starting = FleetNode(SMALL_FLEET_NODES, world)
+        starting.configuration.current = None
+        world.nodes.append(starting)
+        leadership = world.coordinator.leader.current
+        assert leadership is not None
+        await starting.link.update_leadership(leadership)
         world.wire.bytes_by_kind.clear()
         for _ in range(2):
             world.now += 0.1
-            await new.link._report()
+            await starting.link._report()
             await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] == 0
         assert world.wire.bytes_by_kind[DirectoryUpdate] == 0
-        await new.health.record_failure()
-        await new.link._report()
+        await starting.health.record_failure()
+        await starting.link._report()
         await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] > 0
         assert world.wire.bytes_by_kind[DirectoryUpdate] > 0
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_the_first_list_of_a_new_coordinator_is_not_sent_to_all_nodes() -> None:
+def test_first_replica_list_of_new_coordinator_is_not_broadcast() -> None:
     async def test(world: CoordinationWorld) -> None:
-        again = world.replace(world.coordinator)
-        await again.election._start()
+        restarted = world.replace(world.coordinator)
+        await restarted.election._start()
         world.wire.bytes_by_kind.clear()
         for node in world.nodes:
             await node.link._report()
         await world.deliver()
-        world.know_replicas(again)
-        await again.coordinator.tick()
-        assert again.coordinator.is_active
-        assert len(again.coordinator.registry.live()) == SMALL
+        world.load_replicas(restarted)
+        await restarted.coordinator.tick()
+        assert restarted.coordinator.is_active
+        assert len(restarted.coordinator.registry.live()) == SMALL_FLEET_NODES
         assert world.wire.bytes_by_kind[DirectoryUpdate] == 0
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_silent_coordinator_that_comes_back_follows_its_successor() -> None:
+def test_coordinator_that_was_cut_off_follows_its_successor() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         old = world.coordinator
@@ -206,46 +210,46 @@
         world.wire.silent.clear()
         await world.run(3.0)
         assert world.coordinator is not old
-        assert {one.follows for one in world.nodes} == {world.coordinator.name}
+        assert {node.follows for node in world.nodes} == {world.coordinator.name}
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_node_that_nobody_hears_does_not_keep_the_role_from_the_others() -> None:
-    """A node that is cut off from the others, and not from the store, takes the role in vain."""
+def test_isolated_node_does_not_keep_the_role_from_the_coordinator() -> None:
+    """A node that reaches the store but no other node claims the role without effect."""
 
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         old = world.coordinator
-        lone = plain_node(world)
-        world.wire.silent.add(lone.host)
+        isolated = follower_node(world)
+        world.wire.silent.add(isolated.host)
         await world.run(8.0)
-        others = [one for one in world.nodes if one is not lone]
-        assert {one.follows for one in others} == {old.name}
+        peers = [node for node in world.nodes if node is not isolated]
+        assert {node.follows for node in peers} == {old.name}
         assert old.coordinator.is_active
         world.wire.silent.clear()
         await world.run(4.0)
         assert world.coordinator.name == old.name
-        assert {one.follows for one in world.nodes} == {old.name}
+        assert {node.follows for node in world.nodes} == {old.name}
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_claim_whose_answer_was_lost_is_found_in_the_row() -> None:
+def test_claim_with_lost_answer_is_recognized_in_the_role_row() -> None:
     async def main() -> None:
         world = CoordinationWorld(1)
         node = world.nodes[0]
-        world.know_replicas(node)
+        world.load_replicas(node)
         role = RoleRow(node.identity.contact, node.identity.run)
         world.store.apply(Transaction([], [Put(ROLE_KEY, msgspec.json.encode(role))]))
         await node.election._claim()
         assert node.coordinator.is_active
-        assert node.leader.is_own
+        assert node.leader.is_holder
 
     curio.run(main)
 
 
-def test_a_row_that_can_not_be_read_is_replaced() -> None:
+def test_invalid_role_row_is_replaced() -> None:
     async def main() -> None:
         world = CoordinationWorld(2)
         world.store.apply(Transaction([Expectation(ROLE_KEY, 0)], [Put(ROLE_KEY, b"{")]))
@@ -255,90 +259,90 @@
     curio.run(main)
 
 
-def test_requests_go_on_with_a_standby_while_the_coordinator_is_silent() -> None:
+def test_standby_answers_placement_requests_while_coordinator_is_unresponsive() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         old = world.coordinator
         leadership = old.leader.current
         assert leadership is not None
         standby = leadership.standbys[0].node
-        asking = plain_node(world)
-        assert (await place(world, asking)).verdict is PlacementVerdict.SEND
+        requester = follower_node(world)
+        assert (await request_placement(world, requester)).verdict is PlacementVerdict.SEND
         world.wire.silent.add(old.host)
         world.now += 1.0
-        found = await place(world, asking)
-        assert found.verdict is PlacementVerdict.SEND
-        assert asking.follows == standby
-        node = next(one for one in world.nodes if one.name == standby)
-        assert asking.name in node.coordinator.registry.by_name
+        result = await request_placement(world, requester)
+        assert result.verdict is PlacementVerdict.SEND
+        assert requester.follows == standby
+        node = next(candidate for candidate in world.nodes if candidate.name == standby)
+        assert requester.name in node.coordinator.registry.by_name
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_node_that_nobody_answers_decides_alone() -> None:
+def test_node_without_any_answer_decides_by_itself() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
-        asking = plain_node(world)
-        world.wire.silent.add(asking.host)
+        requester = follower_node(world)
+        world.wire.silent.add(requester.host)
         world.now += 1.0
-        places = [await place(world, asking) for _ in range(6)]
-        assert {one.verdict for one in places} == {PlacementVerdict.SEND}
-        assert len({one.replica_id for one in places}) > 1
-        assert sum(one.online for one in asking.loads.by_replica.values()) == 6
+        results = [await request_placement(world, requester) for _ in range(6)]
+        assert {result.verdict for result in results} == {PlacementVerdict.SEND}
+        assert len({result.replica_id for result in results}) > 1
+        assert sum(load.online for load in requester.loads.by_replica.values()) == 6
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_node_that_was_cut_off_finds_the_coordinator_again() -> None:
+def test_node_that_was_cut_off_follows_the_coordinator_again() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
-        node = plain_node(world)
+        node = follower_node(world)
         world.wire.silent.add(node.host)
-        for host in {one.host for one in world.nodes} - {node.host}:
-            node.leader.note_silent(host)
+        for host in {peer.host for peer in world.nodes} - {node.host}:
+            node.leader.mark_unresponsive(host)
         assert node.follows == ""
         world.wire.silent.clear()
-        node.link._try_silent()
+        node.link._report_to_unresponsive_nodes()
         await world.deliver()
         assert node.follows == world.coordinator.name
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_standby_knows_the_fleets_work_when_it_takes_over() -> None:
+def test_standby_has_the_replica_loads_of_the_fleet() -> None:
     async def test(world: CoordinationWorld) -> None:
-        asking = next(one for one in world.nodes if not one.coordinator.is_active)
+        requester = next(one for one in world.nodes if not one.coordinator.is_active)
         for _ in range(5):
-            await place(world, asking)
+            await request_placement(world, requester)
         await world.run(2.0)
         leadership = world.coordinator.leader.current
         assert leadership is not None
-        standby = next(one for one in world.nodes if one.name == leadership.standbys[0].node)
+        standby = next(node for node in world.nodes if node.name == leadership.standbys[0].node)
         totals = [standby.scheduler.load_tracker.total(f"r{n}", world.now).online for n in range(4)]
         assert sum(totals) == 5
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_request_that_leaves_while_it_asks_leaves_no_work_behind() -> None:
+def test_cancelled_placement_request_leaves_no_load() -> None:
     async def test(world: CoordinationWorld) -> None:
-        asking = next(one for one in world.nodes if not one.coordinator.is_active)
-        task = await curio.spawn(asking.link.request_placement, ASK, world.now + 1.5)
+        requester = next(one for one in world.nodes if not one.coordinator.is_active)
+        task = await curio.spawn(requester.link.request_placement, REQUEST, world.now + 1.5)
         await curio.sleep(0)
         await task.cancel()
         await world.deliver()
         await world.run(1.0)
-        assert asking.loads.by_replica == {}
+        assert requester.loads.by_replica == {}
         totals = [
             world.coordinator.scheduler.load_tracker.total(f"r{n}", world.now) for n in range(4)
         ]
-        assert sum(one.total for one in totals) == 0
+        assert sum(load.total for load in totals) == 0
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
 class Recorder(BatchOrderHandler):
-    """Notes what a node was told about its items."""
+    """Records the batch orders of a node."""
 
     def __init__(self) -> None:
         self.grants: list[dict[str, int]] = []
@@ -355,9 +359,9 @@
         self.jobs += job_ids
 
 
-def test_orders_take_effect_once_and_only_those_of_the_node_that_is_followed() -> None:
+def test_orders_are_applied_once_and_only_from_the_followed_node() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         recorder = node.link.batch_handler = Recorder()
         holder = world.coordinator
         leadership = holder.leader.current
@@ -373,41 +377,41 @@
         await node.link.handle_orders(foreign, "h-other")
         assert recorder.grants == [{"r0": 2}]
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_node_that_decides_alone_starts_no_items() -> None:
+def test_isolated_node_starts_no_items() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
-        node = plain_node(world)
+        node = follower_node(world)
         recorder = node.link.batch_handler = Recorder()
         world.wire.silent.add(node.host)
-        for host in {one.host for one in world.nodes} - {node.host}:
-            node.leader.note_silent(host)
+        for host in {peer.host for peer in world.nodes} - {node.host}:
+            node.leader.mark_unresponsive(host)
         node.link.waiting = {"model": [WaitingGroup(1, 5)]}
         await node.link._report()
         assert recorder.grants == []
-        assert all(one.batch == 0 for one in node.scheduler.replica_loads().values())
+        assert all(load.batch == 0 for load in node.scheduler.replica_loads().values())
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_jobs_without_an_owner_are_given_to_the_process_that_was_meant() -> None:
+def test_takeover_orders_reach_only_the_named_process() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         recorder = node.link.batch_handler = Recorder()
         world.coordinator.coordinator.send_takeover(node.identity.incarnation, ["j1", "j2"])
         world.coordinator.coordinator.send_takeover(f"{node.name}.0z", ["j3"])
         await world.deliver()
         assert recorder.jobs == ["j1", "j2"]
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-# --- what the coordinator passes on ---
+# --- replica list and node registry ---
 
 
-def test_a_change_of_the_replicas_reaches_all_nodes_at_once() -> None:
+def test_replica_changes_are_sent_to_all_nodes_at_once() -> None:
     async def test(world: CoordinationWorld) -> None:
         draining = msgspec.structs.replace(world.replicas[0], is_draining=True, version=20)
         holder = world.coordinator
@@ -421,70 +425,70 @@
             assert node.directory.find("r1") is None
             assert node.directory.fingerprint == holder.directory.fingerprint
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_lost_change_of_the_replicas_is_made_good_within_a_report() -> None:
+def test_lost_replica_change_is_repaired_after_the_next_report() -> None:
     async def test(world: CoordinationWorld) -> None:
         holder = world.coordinator
-        world.wire.lost_kinds.add(DirectoryUpdate)
+        world.wire.dropped_kinds.add(DirectoryUpdate)
         for replica_id in ("r0", "r1"):
             holder.directory.remove(replica_id, 20)
             holder.directory.version = 20
             await holder.coordinator.tick()
             await world.deliver()
-        world.wire.lost_kinds.clear()
+        world.wire.dropped_kinds.clear()
         await world.run(1.5)
-        assert all(one.directory.find("r0") is None for one in world.nodes)
+        assert all(node.directory.find("r0") is None for node in world.nodes)
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_list_that_is_not_the_coordinators_is_not_confirmed() -> None:
+def test_replica_list_that_differs_from_the_coordinators_is_not_confirmed() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         node.directory.put(msgspec.structs.replace(world.replicas[0], slots=3, version=99))
         before = node.directory.confirmed_at
-        world.wire.lost_kinds.add(DirectoryUpdate)
+        world.wire.dropped_kinds.add(DirectoryUpdate)
         await world.run(2.0)
         assert node.directory.confirmed_at == before
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
-def test_a_lost_node_is_missed_and_its_restart_is_noticed() -> None:
+def test_registry_detects_lost_node_and_its_restart() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         incarnation = node.identity.incarnation
-        roster = world.coordinator.coordinator.registry
-        assert roster.is_reporting(incarnation)
+        registry = world.coordinator.coordinator.registry
+        assert registry.is_reporting(incarnation)
         world.kill(node)
         await world.run(NODE_TIMEOUT_S + 1.0)
-        assert not roster.is_reporting(incarnation)
-        assert not roster.is_superseded(incarnation)
-        again = FleetNode(node.number, world, run="0b")
-        world.nodes.append(again)
-        # It can't read the store; the coordinator finds it where it was.
+        assert not registry.is_reporting(incarnation)
+        assert not registry.is_superseded(incarnation)
+        restarted = FleetNode(node.number, world, run="0b")
+        world.nodes.append(restarted)
+        # It does not read the store; the coordinator sends the leadership to its former address.
         await world.run(2.5)
-        assert again.follows == world.coordinator.name
-        assert roster.is_superseded(incarnation)
-        assert roster.is_reporting(again.identity.incarnation)
+        assert restarted.follows == world.coordinator.name
+        assert registry.is_superseded(incarnation)
+        assert registry.is_reporting(restarted.identity.incarnation)
 
-    in_fleet(SMALL, test)
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
 # --- messages ---
 
 
 @given(st.binary(max_size=60))
-def test_any_datagram_is_a_message_or_an_error(data: bytes) -> None:
+def test_invalid_datagrams_raise_only_datagram_errors(data: bytes) -> None:
     try:
         decode_datagram(data)
     except DatagramError:
         return
 
 
-def test_messages_come_back_whole() -> None:
+def test_messages_survive_encoding_and_decoding() -> None:
     leadership = Leadership(Contact("n1", "h1"), "0a", 7, (Contact("n2", "h2"),))
     messages: list[Datagram] = [
         Report(
@@ -499,7 +503,7 @@
             1.5,
             {"r": NodeLoad(1, 2)},
             {"p": [WaitingGroup(3, 2, "r", 5)]},
-            placement_requests=[msgspec.structs.replace(ASK, number=4, avoid=["r"])],
+            placement_requests=[msgspec.structs.replace(REQUEST, number=4, avoid=["r"])],
         ),
         Orders(leadership, "n1.0a", 4, 7, 9, 11, 40, True, replica_loads={"r": NodeLoad(1, 2)}),
         Snapshot(leadership, 40, {"r": NodeLoad(1, 2)}, {}, [Contact("n3", "h3")]),
@@ -510,19 +514,19 @@
     assert messages[0].incarnation == "n1.0a"
 
 
-def test_a_request_asks_two_nodes_at_the_most_before_its_node_decides() -> None:
-    """The shortest objective of the known deployments is 0.2 s."""
+def test_node_decides_by_itself_after_two_placement_attempts() -> None:
+    """Both attempts take at most 0.25 s, as latency objectives can be as short as 0.2 s."""
 
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
-        asking = plain_node(world)
-        world.wire.silent.add(asking.host)
+        requester = follower_node(world)
+        world.wire.silent.add(requester.host)
         world.now += 1.0
-        assert (await place(world, asking)).verdict is PlacementVerdict.SEND
-        assert 1 <= world.wire.asks <= MOST_ASKED
+        assert (await request_placement(world, requester)).verdict is PlacementVerdict.SEND
+        assert 1 <= world.wire.placement_requests <= MAX_PLACEMENT_ATTEMPTS
 
-    assert MOST_ASKED * ASK_TIMEOUT_MAX_S <= 0.25
-    in_fleet(SMALL, test)
+    assert MAX_PLACEMENT_ATTEMPTS * MAX_PLACEMENT_TIMEOUT_S <= 0.25
+    in_fleet(SMALL_FLEET_NODES, test)
 
 
 MANY_NODES, MANY_REPLICAS = 300, 3000
@@ -542,7 +546,7 @@
     curio.run(main)
 
 
-def test_totals_of_many_replicas_are_told_rarely() -> None:
+def test_replica_totals_of_large_fleet_stay_within_bandwidth_limit() -> None:
     async def test(world: CoordinationWorld) -> None:
         await world.run(4.0)
         assert world.wire.bytes_by_kind[Orders] / 4.0 < 250_000
@@ -550,7 +554,7 @@
     in_large_fleet(test)
 
 
-def test_a_long_list_of_replicas_is_left_to_the_store() -> None:
+def test_long_replica_list_is_not_sent_to_nodes_that_the_store_serves() -> None:
     async def test(world: CoordinationWorld) -> None:
         for node in world.nodes:
             await node.store.read(ROLE_KEY.table, ROLE_KEY.part)
@@ -563,20 +567,20 @@
 
 
 @pytest.mark.parametrize("is_lost", [False, True])
-def test_a_long_list_reaches_a_node_that_the_store_refuses_in_parts(is_lost: bool) -> None:
+def test_long_replica_list_is_sent_in_parts_to_node_that_the_store_refuses(is_lost: bool) -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = plain_node(world)
+        node = follower_node(world)
         await node.health.record_failure()
         node.directory.remove("r0", 99)
         world.replicas = [
-            msgspec.structs.replace(one, slots=9, version=120) for one in world.replicas
+            msgspec.structs.replace(replica, slots=9, version=120) for replica in world.replicas
         ]
         coordinator = world.coordinator
         coordinator.directory.replace(world.replicas, 130)
-        coordinator.coordinator._copies.told_fingerprint = coordinator.directory.fingerprint
-        world.wire.lose_next = 1 if is_lost else 0
+        coordinator.coordinator._state_sender.sent_fingerprint = coordinator.directory.fingerprint
+        world.wire.directory_updates_to_drop = 1 if is_lost else 0
         await world.run(12.0)
         assert node.directory.fingerprint == coordinator.directory.fingerprint
-        assert world.wire.longest <= MAX_DATAGRAM_BYTES
+        assert world.wire.longest_datagram_bytes <= MAX_DATAGRAM_BYTES
 
     in_large_fleet(test)
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -1,4 +1,4 @@
-"""What a fleet knows of requests under which replicas have ended, whatever happens to its nodes."""
+"""Crash records of a fleet: merging, containment, and distribution despite failures of nodes."""
 
 from random import Random
 
@@ -28,10 +28,10 @@
 
 GUILTY = "a" * 20
 POPULAR = "b" * 20
-CONTACT_S = 3.0
-"""After the third crash and this time, at most ``MOST_RETRIES`` more may be sent (users' rules)."""
+SYNC_TIMEOUT_S = 3.0
+"""Once this time has passed after the third crash, at most ``MAX_RETRIES`` more may be sent."""
 
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 NODES = 5
 ASK_EVERY_S = 0.5
 
@@ -48,33 +48,33 @@
     ),
     seed=st.integers(0, 1000),
 )
-def test_the_order_in_which_cases_are_told_makes_no_difference(
+def test_merge_order_of_crash_records_makes_no_difference(
     events: list[tuple[str, float]], seed: int
 ) -> None:
-    """Repeated, late and swapped copies lead all nodes to the same number of crashes."""
+    """Repeated, late and reordered records lead to the same number of crashes at all nodes."""
     now = 50.0
-    copies = []
+    records = []
     for replica_id, at in events:
-        one = CrashLedger()
+        source = CrashLedger()
         if replica_id:
-            one.note_crash(GUILTY, replica_id, at)
+            source.note_crash(GUILTY, replica_id, at)
         else:
-            one.note_crash(GUILTY, "none", at - 1)
-            one.note_answer(GUILTY, at)
-        copies.append(one.record_of(GUILTY, now))
+            source.note_crash(GUILTY, "none", at - 1)
+            source.note_answer(GUILTY, at)
+        records.append(source.record_of(GUILTY, now))
     answered_at = max((at for replica_id, at in events if not replica_id), default=-1.0)
     first_at: dict[str, float] = {}
     for replica_id, at in events:
         if replica_id and at > answered_at:
             first_at[replica_id] = at
     ledger = CrashLedger()
-    Random(seed).shuffle(copies)
-    for copy in [*copies, *copies]:
-        ledger.merge(copy, now)
+    Random(seed).shuffle(records)
+    for record in [*records, *records]:
+        ledger.merge(record, now)
     assert ledger.crashes(GUILTY) == len(first_at)
 
 
-def test_trials_come_one_at_a_time_and_ever_more_rarely() -> None:
+def test_trials_run_one_at_a_time_with_growing_pauses() -> None:
     ledger = CrashLedger()
     for number in range(CONTAINED_FROM):
         ledger.note_crash(GUILTY, f"r{number}", 10.0)
@@ -83,7 +83,7 @@
     for step, pause_s in enumerate([*TRIAL_PAUSES_S, *(last_s for _ in range(MOST_INSTANCES))]):
         assert ledger.containment(GUILTY, now + pause_s - 0.1) is Containment.CONTAINED
         now += pause_s
-        # A node that does not coordinate sends it only with the coordinator's leave.
+        # Only the coordinator admits trials.
         assert not ledger.try_admit(GUILTY, now)
         ledger.grants_trials = True
         assert ledger.try_admit(GUILTY, now)
@@ -93,7 +93,7 @@
         ledger.grants_trials = False
 
 
-def test_a_flood_of_others_pushes_no_contained_request_out() -> None:
+def test_contained_request_survives_a_flood_of_other_records() -> None:
     ledger = CrashLedger()
     for number in range(CONTAINED_FROM):
         ledger.note_crash(GUILTY, f"r{number}", 1.0)
@@ -111,7 +111,7 @@
     assert len(encode_datagram(CrashCases(ledger.shared_records(3.0)))) < MAX_DATAGRAM_BYTES
 
 
-def test_old_cases_are_forgotten() -> None:
+def test_old_crash_records_expire() -> None:
     ledger = CrashLedger()
     for number in range(CONTAINED_FROM):
         ledger.note_crash(GUILTY, f"r{number}", 1.0)
@@ -129,7 +129,7 @@
         CrashRecord(GUILTY, {f"r{number}": 5 for number in range(100)}),
     ],
 )
-def test_a_case_that_makes_no_sense_is_refused(copy: CrashRecord) -> None:
+def test_invalid_crash_record_is_rejected(copy: CrashRecord) -> None:
     ledger = CrashLedger()
     with pytest.raises(InvalidCrashRecordError):
         ledger.merge(copy, 10.0)
@@ -140,44 +140,44 @@
 
 
 class Clients:
-    """Clients of a fleet: a guilty request at any node, and a popular one that is answered."""
+    """Clients that send a request which ends replicas, and a popular request that is answered."""
 
     def __init__(self, world: CoordinationWorld) -> None:
         self.world = world
         self.reached_at: list[float] = []
-        """When the guilty request reached a replica."""
+        """Times at which the guilty request reached a replica."""
 
-        self.in_touch_at: list[float] = []
-        """The same, of those that a node in touch with the others has sent."""
+        self.synchronized_at: list[float] = []
+        """The same, only of requests sent by nodes that had contact to the others."""
 
-        self.struck_at: dict[str, float] = {}
-        """When a node was last restarted or cut off, or messages were lost."""
+        self.disturbed_at: dict[str, float] = {}
+        """Time of the last restart, cut or message loss, by node."""
 
         self.refused_popular = 0
         self.ends = 0
-        """Replicas that ended while they ran the popular request."""
+        """Number of replicas that ended while they ran the popular request."""
 
     def _may_send(self, node: FleetNode, content: str) -> bool:
-        """Ask the node, and the coordinator that it follows, as the relay does."""
+        """Check the ledgers of the node and of the coordinator it follows, as the relay does."""
         now = self.world.now
         if node.ledger.containment(content, now) is Containment.CONTAINED:
             return False
         if not node.ledger.crashes(content):
             return True
-        deciding = [
-            one
-            for one in self.world.nodes
-            if one.name == node.follows and one.host not in self.world.wire.silent
+        deciders = [
+            peer
+            for peer in self.world.nodes
+            if peer.name == node.follows and peer.host not in self.world.wire.silent
         ]
-        decider = deciding[0] if deciding and node.host not in self.world.wire.silent else node
+        decider = deciders[0] if deciders and node.host not in self.world.wire.silent else node
         return decider.ledger.try_admit(content, now)
 
     async def ask_guilty(self, node: FleetNode) -> None:
         if self._may_send(node, GUILTY):
             now = self.world.now
             self.reached_at.append(now)
-            if now - self.struck_at.get(node.name, float("-inf")) > CONTACT_S:
-                self.in_touch_at.append(now)
+            if now - self.disturbed_at.get(node.name, float("-inf")) > SYNC_TIMEOUT_S:
+                self.synchronized_at.append(now)
             node.ledger.note_crash(GUILTY, f"e{len(self.reached_at)}", now)
             await self._report(node)
 
@@ -193,29 +193,29 @@
             await self._report(node)
 
     async def _report(self, node: FleetNode) -> None:
-        """A node reports at each end of a request; that takes milliseconds."""
+        """Send a report, as a node does within milliseconds of the end of a request."""
         await node.link._report()
         await self.world.deliver()
 
     async def pass_time(self, seconds: float) -> None:
-        """Let time pass; a node that has news reports at once."""
+        """Let time pass; nodes whose report was requested send it at once."""
         for _ in range(round(seconds / self.world.STEP_S)):
             await self.world.run(self.world.STEP_S)
             for node in self.world.nodes:
-                if node.link._wake.is_set():
-                    node.link._wake.clear()
+                if node.link._report_requested.is_set():
+                    node.link._report_requested.clear()
                     await self._report(node)
 
     def retries(self) -> int:
-        """Return how often it was sent later than ``CONTACT_S`` after the third crash."""
+        """Return how often it was sent more than ``SYNC_TIMEOUT_S`` after the third crash."""
         if len(self.reached_at) < CONTAINED_FROM:
             return 0
         third_at = self.reached_at[CONTAINED_FROM - 1]
-        return sum(at > third_at + CONTACT_S for at in self.in_touch_at)
+        return sum(at > third_at + SYNC_TIMEOUT_S for at in self.synchronized_at)
 
 
 class Trouble:
-    """Draws what happens to a fleet: restarts, cuts, lost messages."""
+    """Draws disturbances of a fleet: restarts, cuts, lost messages."""
 
     def __init__(self, world: CoordinationWorld, clients: Clients, seed: int) -> None:
         self.world = world
@@ -223,10 +223,10 @@
         self._clients = clients
 
     async def strike(self) -> None:
-        """End the last trouble and begin another one, or none."""
+        """End the current disturbance and begin a random one, or none."""
         world, random = self.world, self.random
         world.wire.silent.clear()
-        world.wire.lost_kinds.clear()
+        world.wire.dropped_kinds.clear()
         match random.randrange(6):
             case 0:
                 await self._restart(random.choice(world.active))
@@ -235,27 +235,27 @@
             case 2:
                 world.wire.silent.add(random.choice(world.nodes).host)
             case 3:
-                world.wire.lost_kinds.add(random.choice([CrashCases, Report]))
+                world.wire.dropped_kinds.add(random.choice([CrashCases, Report]))
             case _:
                 pass
 
     def note(self) -> None:
-        """Note which nodes are in trouble now."""
+        """Record the nodes that are cut off or lose messages now."""
         for node in self.world.nodes:
-            if node.host in self.world.wire.silent or self.world.wire.lost_kinds:
-                self._clients.struck_at[node.name] = self.world.now
+            if node.host in self.world.wire.silent or self.world.wire.dropped_kinds:
+                self._clients.disturbed_at[node.name] = self.world.now
 
     async def _restart(self, node: FleetNode) -> None:
-        again = self.world.replace(node)
-        self._clients.struck_at[again.name] = self.world.now
-        self.world.know_replicas(again)
-        await again.election._start()
-        await again.keeper.read()
+        restarted = self.world.replace(node)
+        self._clients.disturbed_at[restarted.name] = self.world.now
+        self.world.load_replicas(restarted)
+        await restarted.election._start()
+        await restarted.keeper.read()
 
 
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=40)
-def test_a_guilty_request_reaches_few_replicas_whatever_happens(seed: int) -> None:
+def test_crashing_request_reaches_few_replicas_despite_restarts_and_losses(seed: int) -> None:
     async def test() -> None:
         world = CoordinationWorld(NODES)
         await world.start()
@@ -269,7 +269,7 @@
             node = trouble.random.choice(world.nodes)
             await clients.ask_guilty(node)
             await clients.pass_time(ASK_EVERY_S)
-        assert clients.retries() <= MOST_RETRIES, clients.reached_at
+        assert clients.retries() <= MAX_RETRIES, clients.reached_at
 
     curio.run(test)
 
@@ -279,16 +279,16 @@
 
 
 @pytest.mark.parametrize(
-    ("crashed", "most_refused"),
+    ("crashed", "max_refused"),
     [(1, 0), (2, ROUNDS * RUNS // 20)],
     ids=["a quarter of its runs is lost: never", "half of them: one in twenty at the most"],
 )
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=50)
-def test_a_popular_request_is_not_contained_for_its_neighbour(
-    crashed: int, most_refused: int, seed: int
+def test_popular_request_is_rarely_contained_for_crashes_of_another(
+    crashed: int, max_refused: int, seed: int
 ) -> None:
-    """Each crash of it is of another replica, as by a guilty request that is always beside it."""
+    """Each crash is of another replica, as if a guilty request ran beside it each time."""
 
     async def test() -> None:
         world = CoordinationWorld(NODES)
@@ -300,30 +300,30 @@
             for number, node in enumerate(random.sample(world.nodes, RUNS)):
                 await clients.ask_popular(node, has_crashed=number < crashed)
             await clients.pass_time(ASK_EVERY_S)
-        assert clients.refused_popular <= most_refused
+        assert clients.refused_popular <= max_refused
 
     curio.run(test)
 
 
-def test_what_a_node_has_seen_is_told_until_the_coordinator_knows_it() -> None:
+def test_crash_records_are_reported_until_the_coordinator_has_them() -> None:
     async def test() -> None:
         world = CoordinationWorld(NODES)
         await world.start()
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
-        world.wire.lost_kinds.add(Report)
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
+        world.wire.dropped_kinds.add(Report)
         for number in range(CONTAINED_FROM):
             node.ledger.note_crash(GUILTY, f"r{number}", world.now)
         await world.run(TOLD_S - 1.0)
         assert world.coordinator.ledger.is_empty
-        world.wire.lost_kinds.clear()
+        world.wire.dropped_kinds.clear()
         await world.run(2.0)
-        assert [one.ledger.crashes(GUILTY) for one in world.nodes] == [CONTAINED_FROM] * NODES
+        assert [member.ledger.crashes(GUILTY) for member in world.nodes] == [CONTAINED_FROM] * NODES
 
     curio.run(test)
 
 
-def test_an_answer_that_clears_a_nodes_only_case_is_told_to_all() -> None:
-    """Its ledger is empty then; the coordinator and the others still have the case."""
+def test_answer_that_clears_the_only_crash_record_is_broadcast() -> None:
+    """The node's ledger is empty then, while the coordinator and the others have the record."""
 
     async def test() -> None:
         world = CoordinationWorld(NODES)
@@ -331,16 +331,18 @@
         for number in range(CONTAINED_FROM):
             world.coordinator.ledger.note_crash(POPULAR, f"r{number}", world.now)
         await world.run(2.0)
-        assert [one.ledger.crashes(POPULAR) for one in world.nodes] == [CONTAINED_FROM] * NODES
-        node = next(one for one in world.nodes if not one.coordinator.is_active)
+        assert [member.ledger.crashes(POPULAR) for member in world.nodes] == [
+            CONTAINED_FROM
+        ] * NODES
+        node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         node.ledger.note_answer(POPULAR, world.now)
         await world.run(2.0)
-        assert [one.ledger.crashes(POPULAR) for one in world.nodes] == [0] * NODES
+        assert [member.ledger.crashes(POPULAR) for member in world.nodes] == [0] * NODES
 
     curio.run(test)
 
 
-def test_a_quiet_fleet_tells_nothing_of_cases() -> None:
+def test_unchanged_crash_records_are_not_sent_again() -> None:
     async def test() -> None:
         world = CoordinationWorld(NODES)
         await world.start()
--- a/tests/serving/test_fleet_processes.py
+++ b/tests/serving/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the node program: killed, frozen and restarted from outside."""
+"""Fleets of real node processes that are killed, suspended and restarted."""
 
 import json
 import signal
@@ -16,13 +16,13 @@
 
 
 class ProcessFleet:
-    """Nodes as processes before a store and replicas in this one."""
+    """Node processes with a store and replicas that run in the test process."""
 
     def __init__(self, world: FleetWorld, nodes: list[NodeProcess]) -> None:
         self.world = world
         self.nodes = nodes
 
-    async def until_ready(self, node: NodeProcess) -> None:
+    async def wait_until_ready(self, node: NodeProcess) -> None:
         async with curio.timeout_after(READY_WITHIN_S):
             while not await self._is_ready(node):
                 await curio.sleep(0.1)
@@ -35,20 +35,20 @@
         return answer.status == 200
 
     def coordinator_name(self) -> str:
-        """Return the node that the store's row names, empty without a row."""
+        """Return the node named in the role row; empty if there is no row."""
         row = self.world.store.rows.values("role").get("coordinator")
         return "" if row is None else str(json.loads(row)["holder"][0])
 
     async def coordinator(self) -> NodeProcess:
         await self.world.until(lambda: bool(self.coordinator_name()))
         name = self.coordinator_name()
-        return next(one for one in self.nodes if one.node == name)
+        return next(node for node in self.nodes if node.node == name)
 
-    async def ask(self, node: NodeProcess) -> bool:
+    async def is_served(self, node: NodeProcess) -> bool:
         answer = await self.world.ask("/chat/a", address=node.client_address)
         return answer.status == 200 and answer.is_whole
 
-    async def until_followed_by_another(self, node: NodeProcess) -> None:
+    async def wait_until_superseded(self, node: NodeProcess) -> None:
         async with curio.timeout_after(READY_WITHIN_S):
             while self.coordinator_name() == node.node:
                 await curio.sleep(0.05)
@@ -63,40 +63,40 @@
         with node_processes(NODES, world.store_port) as nodes:
             fleet = ProcessFleet(world, nodes)
             for node in nodes:
-                await fleet.until_ready(node)
+                await fleet.wait_until_ready(node)
             await test(fleet)
 
     in_world(main)
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGSTOP])
-def test_requests_go_on_while_the_coordinator_is_gone_or_frozen(how: signal.Signals) -> None:
+def test_requests_are_served_while_coordinator_is_killed_or_suspended(how: signal.Signals) -> None:
     async def test(fleet: ProcessFleet) -> None:
         lost = await fleet.coordinator()
-        others = [one for one in fleet.nodes if one is not lost]
-        assert all([await fleet.ask(one) for one in others])
+        peers = [node for node in fleet.nodes if node is not lost]
+        assert all([await fleet.is_served(node) for node in peers])
         lost.send_signal(how)
-        assert all([await fleet.ask(one) for one in others for _ in range(3)])
-        await fleet.until_followed_by_another(lost)
-        assert all([await fleet.ask(one) for one in others])
+        assert all([await fleet.is_served(node) for node in peers for _ in range(3)])
+        await fleet.wait_until_superseded(lost)
+        assert all([await fleet.is_served(node) for node in peers])
         if how is signal.SIGSTOP:
             lost.send_signal(signal.SIGCONT)
-            assert await fleet.ask(lost)
+            assert await fleet.is_served(lost)
 
     in_process_fleet(test)
 
 
-def test_a_job_of_a_killed_process_goes_on_and_its_restart_is_found() -> None:
+def test_job_of_killed_process_is_completed_and_its_restart_serves_it() -> None:
     async def test(fleet: ProcessFleet) -> None:
         world = fleet.world
         holder = await fleet.coordinator()
-        owner = next(one for one in fleet.nodes if one is not holder)
+        owner = next(node for node in fleet.nodes if node is not holder)
         headers = [(names.REQUEST_ID.decode(), "j")]
         body = json.dumps(
             {"requests": [{"id": f"j-{n}", "path": f"/jobs/{n}", "tokens": 1} for n in range(6)]}
         ).encode()
-        taken = await world.call("POST", "/jobs/x", body, headers, address=owner.client_address)
-        assert taken.status == 202
+        accepted = await world.call("POST", "/jobs/x", body, headers, address=owner.client_address)
+        assert accepted.status == 202
         owner.restart()
         target = f"{names.JOB_PREFIX}j?since_revision=0"
         async with curio.timeout_after(READY_WITHIN_S):
@@ -105,8 +105,8 @@
                 if answer.status == 200 and len(json.loads(answer.body)["results"]) == 6:
                     break
                 await curio.sleep(0.1)
-        await fleet.until_ready(owner)
-        again = await world.call("GET", target, address=owner.client_address)
-        assert json.loads(again.body) == json.loads(answer.body)
+        await fleet.wait_until_ready(owner)
+        after_restart = await world.call("GET", target, address=owner.client_address)
+        assert json.loads(after_restart.body) == json.loads(answer.body)
 
     in_process_fleet(test)
--- a/tests/serving/test_return.py
+++ b/tests/serving/test_return.py
@@ -1,4 +1,4 @@
-"""A fleet whose processes all start at once serves soon, also where the store refuses many."""
+"""A restart of all processes at once: nodes serve soon, even if the store refuses many of them."""
 
 from random import Random
 
@@ -13,13 +13,13 @@
     node_host,
 )
 
-from cloverwalk.fleet.coordinator import TELL_RETURNED_EVERY_S
+from cloverwalk.fleet.coordinator import MIN_STORE_RETURNED_INTERVAL_S
 
 SERVES_WITHIN_S = 1.0
-"""Simulated time from the first start to the last node that serves."""
+"""Maximum simulated time from the first start until all nodes serve."""
 
 REFUSED_SERVES_WITHIN_S = 3.0
-"""The same where the store refuses or throttles many."""
+"""The same if the store refuses or throttles many nodes."""
 
 READS_PER_S = 6000.0
 WRITES_PER_S = 1200.0
@@ -28,7 +28,7 @@
 REFUSED_FOR_S = 6.0
 
 
-async def returned(
+async def restart_all_nodes(
     time: SimulatedTime,
     nodes: int,
     reads_per_s: float = READS_PER_S,
@@ -36,10 +36,10 @@
     within_s: float = SERVES_WITHIN_S,
     is_core_refused: bool = False,
 ) -> ReturningWorld:
-    """Kill a fleet that runs, and start it while the store refuses each third node."""
+    """Restart all nodes of a running fleet; with ``refusal`` the store refuses each third node."""
     world = ReturningWorld(time, nodes, 10 * nodes, reads_per_s, WRITES_PER_S)
     await world.start_all()
-    await world.until(lambda one: one.serves, 30.0)
+    await world.until(lambda node: node.serves, 30.0)
     await curio.sleep(5.0)
     core = world.core_hosts() if is_core_refused else set()
     await world.kill_all()
@@ -49,30 +49,30 @@
     world.store.forget_counts()
     began_at = time.now
     await world.start_all()
-    await world.until(lambda one: one.serves, began_at + within_s - time.now)
+    await world.until(lambda node: node.serves, began_at + within_s - time.now)
     return world
 
 
 @pytest.mark.parametrize("nodes", [MIDDLE, LARGE])
-def test_all_nodes_serve_soon_after_all_were_killed(nodes: int) -> None:
+def test_all_nodes_serve_soon_after_restart_of_all_nodes(nodes: int) -> None:
     async def test(time: SimulatedTime) -> None:
-        await returned(time, nodes)
+        await restart_all_nodes(time, nodes)
 
     in_simulated_time(test)
 
 
 @pytest.mark.parametrize("refusal", [429, 503, RESET, SILENT])
-def test_nodes_that_the_store_refuses_serve_soon_too(refusal: int) -> None:
+def test_nodes_that_the_store_refuses_serve_soon_after_restart(refusal: int) -> None:
     async def test(time: SimulatedTime) -> None:
-        await returned(time, MIDDLE, refusal=refusal, within_s=REFUSED_SERVES_WITHIN_S)
+        await restart_all_nodes(time, MIDDLE, refusal=refusal, within_s=REFUSED_SERVES_WITHIN_S)
 
     in_simulated_time(test)
 
 
 @pytest.mark.parametrize("refusal", [503, SILENT])
-def test_a_fleet_whose_coordinator_and_standbys_are_refused_serves_soon(refusal: int) -> None:
+def test_fleet_serves_soon_if_store_refuses_coordinator_and_standbys(refusal: int) -> None:
     async def test(time: SimulatedTime) -> None:
-        await returned(
+        await restart_all_nodes(
             time,
             MIDDLE,
             refusal=refusal,
@@ -83,7 +83,7 @@
     in_simulated_time(test)
 
 
-def test_a_store_that_refuses_many_calls_is_not_told_of_for_each_answer() -> None:
+def test_store_recovery_broadcasts_are_rate_limited() -> None:
     async def test(time: SimulatedTime) -> None:
         world = ReturningWorld(time, MIDDLE, MIDDLE, READS_PER_S, WRITES_PER_S)
         random = Random("refusals")
@@ -93,9 +93,9 @@
         )
         await world.start_all()
         await curio.sleep(REFUSED_FOR_S)
-        told = world.wire.sent["StoreReturned"]
+        broadcasts = world.wire.sent["StoreReturned"]
         by_nodes = sum(world.store.calls.values())
-        by_coordinator = MIDDLE * (1 + REFUSED_FOR_S / TELL_RETURNED_EVERY_S)
-        assert 0 < told <= by_nodes + by_coordinator
+        by_coordinator = MIDDLE * (1 + REFUSED_FOR_S / MIN_STORE_RETURNED_INTERVAL_S)
+        assert 0 < broadcasts <= by_nodes + by_coordinator
 
     in_simulated_time(test)
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off from the others, or lost: who serves it, and where its work goes."""
+"""Loss or isolation of a zone: which node serves it, and where its requests and items go."""
 
 from collections.abc import Awaitable, Callable
 
@@ -31,10 +31,10 @@
 from cloverwalk.tenants.directory import Tenant
 
 NODES = 12
-SERVED_WITHIN_S = 2.0
-"""A report each second, half a second without its answer, and a step of the world."""
+FAILOVER_TIMEOUT_S = 2.0
+"""One second between reports, half a second until their timeout, and steps of the world."""
 
-HEALED_WITHIN_S = 4.0
+RECOVERY_TIMEOUT_S = 4.0
 
 
 def in_zones(test: Callable[[CoordinationWorld], Awaitable[None]], lost_zones: int = 1) -> None:
@@ -54,7 +54,7 @@
 
 
 def zone_nodes(world: CoordinationWorld, zone: str) -> list[FleetNode]:
-    return [one for one in world.nodes if one.identity.zone == zone]
+    return [node for node in world.nodes if node.identity.zone == zone]
 
 
 def leadership_of(world: CoordinationWorld) -> Leadership:
@@ -64,12 +64,12 @@
 
 
 def other_zone(world: CoordinationWorld) -> str:
-    """The last zone that the coordinator doesn't stand in."""
+    """Return the last zone other than the coordinator's."""
     return max({"z1", "z2", "z3"} - {world.coordinator.identity.zone})
 
 
-def record(nodes: list[FleetNode]) -> list[Recorder]:
-    """Give nodes waiting items and note what they are granted."""
+def attach_recorders(nodes: list[FleetNode]) -> list[Recorder]:
+    """Give nodes waiting items and record the grants that they get."""
     recorders = []
     for node in nodes:
         node.link.waiting = {"model": [WaitingGroup(1, 2)]}
@@ -79,96 +79,106 @@
 
 
 def granted(recorders: list[Recorder]) -> set[str]:
-    return {key for one in recorders for grants in one.grants for key in grants}
+    return {key for recorder in recorders for grants in recorder.grants for key in grants}
 
 
-# --- who serves a zone ---
+# --- standbys of zones ---
 
 
-def test_each_other_zone_has_a_standby_and_its_place_is_filled_again() -> None:
+def test_each_other_zone_has_a_standby_that_is_replaced_if_killed() -> None:
     async def test(world: CoordinationWorld) -> None:
-        own = world.coordinator.identity.zone
+        coordinator_zone = world.coordinator.identity.zone
         standbys = leadership_of(world).standbys
-        others = {"z1", "z2", "z3"} - {own}
-        assert {one.zone for one in standbys} == others
-        gone = next(one for one in world.nodes if one.name == standbys[1].node)
-        world.kill(gone)
+        other_zones = {"z1", "z2", "z3"} - {coordinator_zone}
+        assert {standby.zone for standby in standbys} == other_zones
+        killed = next(node for node in world.nodes if node.name == standbys[1].node)
+        world.kill(killed)
         await world.run(5.0)
-        again = leadership_of(world).standbys
-        assert {one.zone for one in again} == others
-        assert gone.name not in {one.node for one in again}
+        replacements = leadership_of(world).standbys
+        assert {standby.zone for standby in replacements} == other_zones
+        assert killed.name not in {standby.node for standby in replacements}
 
     in_zones(test)
 
 
 @pytest.mark.parametrize("is_store_down", [True, False])
-def test_a_zone_that_is_cut_off_gets_slots_within_it_and_turns_back(is_store_down: bool) -> None:
+def test_zone_that_is_cut_off_is_granted_its_own_slots_and_rejoins(is_store_down: bool) -> None:
     async def test(world: CoordinationWorld) -> None:
         zone = other_zone(world)
         cut = zone_nodes(world, zone)
         world.store.is_down = is_store_down
         world.wire.cut_zones.add(zone)
-        await world.run(SERVED_WITHIN_S)
-        recorders = record(cut)
+        await world.run(FAILOVER_TIMEOUT_S)
+        recorders = attach_recorders(cut)
         await world.run(1.0)
-        assert all(one.grants for one in recorders)
-        near = {one.replica_id for one in world.replicas if one.zone == zone}
-        assert granted(recorders) <= near if is_store_down else granted(recorders) & near
-        assert len({one.follows for one in cut}) == 1
-        # What both sides give out of a quota is not more than the whole.
-        shares = [one.scheduler.quotas._share for one in world.nodes if one.coordinator.is_active]
-        serving = [one for one in cut if one.leader.serves_zone]
-        shares += [one.scheduler.quotas._share for one in serving]
-        assert len(shares) == 2
-        assert sum(shares) <= 1.0
+        assert all(recorder.grants for recorder in recorders)
+        zone_replicas = {replica.replica_id for replica in world.replicas if replica.zone == zone}
+        assert (
+            granted(recorders) <= zone_replicas
+            if is_store_down
+            else granted(recorders) & zone_replicas
+        )
+        assert len({node.follows for node in cut}) == 1
+        # Both sides together grant at most the whole quota.
+        fractions = [
+            node.scheduler.quotas._share for node in world.nodes if node.coordinator.is_active
+        ]
+        serving = [node for node in cut if node.leader.serves_zone]
+        fractions += [node.scheduler.quotas._share for node in serving]
+        assert len(fractions) == 2
+        assert sum(fractions) <= 1.0
         world.wire.cut_zones.clear()
         world.store.is_down = False
-        await world.run(HEALED_WITHIN_S)
-        assert {one.follows for one in world.nodes} == {world.coordinator.name}
+        await world.run(RECOVERY_TIMEOUT_S)
+        assert {node.follows for node in world.nodes} == {world.coordinator.name}
 
     in_zones(test)
 
 
-def test_the_zone_of_the_coordinator_may_be_cut_off() -> None:
+def test_all_nodes_are_granted_slots_while_coordinator_zone_is_cut_off() -> None:
     async def test(world: CoordinationWorld) -> None:
         zone = world.coordinator.identity.zone
         world.wire.cut_zones.add(zone)
-        await world.run(SERVED_WITHIN_S)
-        recorders = record(world.nodes)
+        await world.run(FAILOVER_TIMEOUT_S)
+        recorders = attach_recorders(world.nodes)
         await world.run(1.0)
-        assert all(one.grants for one in recorders)
+        assert all(recorder.grants for recorder in recorders)
         world.wire.cut_zones.clear()
-        await world.run(HEALED_WITHIN_S)
-        assert {one.follows for one in world.nodes} == {world.coordinator.name}
+        await world.run(RECOVERY_TIMEOUT_S)
+        assert {node.follows for node in world.nodes} == {world.coordinator.name}
 
     in_zones(test)
 
 
-def test_a_standby_that_missed_one_answer_is_turned_to_again() -> None:
+def test_node_returns_to_zone_standby_after_one_missed_answer() -> None:
     async def test(world: CoordinationWorld) -> None:
         zone = other_zone(world)
         world.store.is_down = True
         world.wire.cut_zones.add(zone)
-        await world.run(SERVED_WITHIN_S)
-        first = next(one for one in zone_nodes(world, zone) if one.leader.serves_zone)
-        node = next(one for one in zone_nodes(world, zone) if one is not first)
+        await world.run(FAILOVER_TIMEOUT_S)
+        first = next(
+            candidate for candidate in zone_nodes(world, zone) if candidate.leader.serves_zone
+        )
+        node = next(candidate for candidate in zone_nodes(world, zone) if candidate is not first)
         assert node.follows == first.name
-        node.leader.note_silent(first.host)
+        node.leader.mark_unresponsive(first.host)
         assert node.follows != first.name
-        node.link._try_silent()
+        node.link._report_to_unresponsive_nodes()
         await world.deliver()
         assert node.follows == first.name
 
     in_zones(test)
 
 
-def test_reports_that_need_no_word_back_tell_no_silence() -> None:
+def test_unacknowledged_report_right_after_an_answer_is_no_timeout() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in zone_nodes(world, other_zone(world)) if one.follows)
+        node = next(
+            candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
+        )
         holder = world.coordinator
         await node.link._report()
         await world.deliver()
-        # It was heard just now, so these are not acknowledged.
+        # The coordinator acknowledged a report just now, so it does not answer these.
         for pause_s in (0.1, 0.1, 0.15):
             world.now += pause_s
             await node.link._report()
@@ -182,32 +192,34 @@
     in_zones(test)
 
 
-def test_nodes_that_a_new_coordinator_serves_know_how_large_the_whole_fleet_is() -> None:
-    """Deciding alone after it, each gives out its part of quotas, and not that of a zone's node."""
+def test_nodes_of_new_coordinator_know_the_size_of_the_whole_fleet() -> None:
+    """A node that decides by itself later grants its fraction of the quotas of the whole fleet."""
 
     async def test(world: CoordinationWorld) -> None:
         cut = zone_nodes(world, other_zone(world))
         world.wire.cut_zones.add(other_zone(world))
-        await world.run(2 * SERVED_WITHIN_S)
-        assert any(one.coordinator.is_active for one in cut)
-        others = [one for one in cut if not one.coordinator.is_active]
-        assert {one.coordinator._fleet_size for one in others} == {NODES}
+        await world.run(2 * FAILOVER_TIMEOUT_S)
+        assert any(node.coordinator.is_active for node in cut)
+        followers = [node for node in cut if not node.coordinator.is_active]
+        assert {node.coordinator._fleet_size for node in followers} == {NODES}
 
     in_zones(test)
 
 
-def test_one_lost_answer_tells_no_silence() -> None:
-    """The coordinator takes it that it was told, and does not say so again at once."""
+def test_one_lost_answer_does_not_mark_coordinator_unresponsive() -> None:
+    """The coordinator counts the node as acknowledged and doesn't answer again at once."""
 
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in zone_nodes(world, other_zone(world)) if one.follows)
+        node = next(
+            candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
+        )
         await node.link._report()
         await world.deliver()
         world.now += 1.0
-        world.wire.lost_kinds.add(Orders)
+        world.wire.dropped_kinds.add(Orders)
         await node.link._report()
         await world.deliver()
-        world.wire.lost_kinds.clear()
+        world.wire.dropped_kinds.clear()
         for _ in range(3):
             world.now = max(world.now, node.link.report_due_at())
             await node.link._report()
@@ -217,43 +229,49 @@
     in_zones(test)
 
 
-def test_a_node_that_is_not_reported_to_any_more_hurries_no_report() -> None:
+def test_no_early_report_is_due_for_a_former_receiver() -> None:
     async def test(world: CoordinationWorld) -> None:
-        node = next(one for one in zone_nodes(world, other_zone(world)) if one.follows)
+        node = next(
+            candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
+        )
         world.wire.silent.add(node.host)
         world.now += 1.0
         await node.link._report()
-        assert node.link._unanswered is not None
-        for one in node.leader._contacts():
-            node.leader.note_silent(one.host)
+        assert node.link._unanswered_report is not None
+        for contact in node.leader._contacts():
+            node.leader.mark_unresponsive(contact.host)
         for _ in range(3):
             world.now += 1.0
             await node.link._report()
-            assert node.link._unanswered is None
+            assert node.link._unanswered_report is None
             assert node.link.report_due_at() > world.now
 
     in_zones(test)
 
 
-def test_a_standby_that_serves_itself_has_heard_nobody_by_that() -> None:
-    """A process that the store refuses goes on to look for others at the known hosts."""
+def test_orders_to_itself_are_no_contact_with_the_leadership() -> None:
+    """A process that the store refuses keeps reporting to the seed hosts."""
     view = LeaderView(Identity("n3", "0a", "h3", "z1"), now=0.0)
-    view.offer(Leadership(Contact("n1", "h1"), "0b", 7, (Contact("n3", "h3", "z1"),)), now=1.0)
-    view.note_silent("h1")
+    view.update_leadership(
+        Leadership(Contact("n1", "h1"), "0b", 7, (Contact("n3", "h3", "z1"),)), now=1.0
+    )
+    view.mark_unresponsive("h1")
     assert view.serves_zone
-    view.note_heard("h3", now=2.0)
-    assert view.is_unheard and view.heard_at == 1.0
+    view.mark_responsive("h3", now=2.0)
+    assert view.has_never_contacted_leader and view.last_seen_at == 1.0
 
 
-def test_orders_of_the_other_side_of_a_cut_change_no_items() -> None:
+def test_orders_from_the_other_side_of_a_cut_are_ignored() -> None:
     async def test(world: CoordinationWorld) -> None:
         zone = other_zone(world)
         old = world.coordinator
         world.store.is_down = True
         world.wire.cut_zones.add(zone)
-        await world.run(SERVED_WITHIN_S)
-        node = next(one for one in zone_nodes(world, zone) if not one.leader.serves_zone)
-        (recorder,) = record([node])
+        await world.run(FAILOVER_TIMEOUT_S)
+        node = next(
+            candidate for candidate in zone_nodes(world, zone) if not candidate.leader.serves_zone
+        )
+        (recorder,) = attach_recorders([node])
         orders = old.coordinator._orders(node.name, None, world.now)
         orders.sender, orders.number, orders.grants = "other.0c", 9, {"r0": 2}
         await node.link.handle_orders(orders, "h-other")
@@ -262,80 +280,86 @@
     in_zones(test)
 
 
-def test_without_the_switch_standbys_and_silence_are_as_before() -> None:
+def test_standbys_ignore_zones_if_zone_loss_is_not_tolerated() -> None:
     async def test(world: CoordinationWorld) -> None:
         standbys = leadership_of(world).standbys
-        own = world.coordinator.identity.zone
-        able = [one for one in world.nodes if one.identity.zone != own]
+        coordinator_zone = world.coordinator.identity.zone
+        candidates = [member for member in world.nodes if member.identity.zone != coordinator_zone]
         assert len(standbys) == 3
-        assert {one.zone for one in standbys} == {""}
-        found = world.coordinator.coordinator.registry.choose_standbys(world.coordinator.name, own)
-        assert [one.node for one in found] == sorted(one.name for one in able)[:3]
-        node = next(one for one in able if one.leader.standby_rank is None)
+        assert {standby.zone for standby in standbys} == {""}
+        chosen = world.coordinator.coordinator.registry.choose_standbys(
+            world.coordinator.name, coordinator_zone
+        )
+        assert [standby.node for standby in chosen] == sorted(member.name for member in candidates)[
+            :3
+        ]
+        node = next(candidate for candidate in candidates if candidate.leader.standby_rank is None)
         world.store.is_down = True
         world.wire.cut_zones.add(node.identity.zone)
-        await world.run(SERVED_WITHIN_S)
+        await world.run(FAILOVER_TIMEOUT_S)
         assert not node.leader.has_lost_coordinator
 
     in_zones(test, lost_zones=0)
 
 
-def test_the_row_of_an_earlier_version_names_no_zones() -> None:
+def test_contact_of_earlier_version_has_no_zone() -> None:
     assert msgspec.json.decode(b'["n1","h1"]', type=Contact) == Contact("n1", "h1")
 
 
-# --- which zones can be reached ---
+# --- reachability of zones ---
 
 
-def fail(reach: ZoneReachability, count: int, now: float, replicas: int = 30) -> None:
+def record_failures(
+    reachability: ZoneReachability, count: int, now: float, replicas: int = 30
+) -> None:
     for number in range(count):
-        reach.note_failure("a", "b", f"r{number}", replicas, now)
-
-
-def test_a_cut_zone_is_found_by_its_replicas_and_its_return_by_an_answer() -> None:
-    reach = ZoneReachability()
-    told: list[ReachabilityChange] = []
-    reach.on_change = told.append
-    fail(reach, FAILED_REPLICAS, 1.0)
-    assert not reach.may_send("a", "b", 1.1)
-    assert reach.may_send("c", "b", 1.1) and reach.may_send("b", "a", 1.1)
-    reach.note_sent("a", "b", 1.0 + PROBE_EVERY_S)
-    assert not reach.may_send("a", "b", 1.1 + PROBE_EVERY_S)
-    reach.note_answer("a", "b", 2.0)
-    assert told == [
+        reachability.note_failure("a", "b", f"r{number}", replicas, now)
+
+
+def test_failed_replicas_make_zone_unreachable_and_an_answer_reachable() -> None:
+    reachability = ZoneReachability()
+    changes: list[ReachabilityChange] = []
+    reachability.on_change = changes.append
+    record_failures(reachability, FAILED_REPLICAS, 1.0)
+    assert not reachability.may_send("a", "b", 1.1)
+    assert reachability.may_send("c", "b", 1.1) and reachability.may_send("b", "a", 1.1)
+    reachability.note_sent("a", "b", 1.0 + PROBE_EVERY_S)
+    assert not reachability.may_send("a", "b", 1.1 + PROBE_EVERY_S)
+    reachability.note_answer("a", "b", 2.0)
+    assert changes == [
         ReachabilityChange("a", "b", False, Evidence.FAILURES),
         ReachabilityChange("a", "b", True, Evidence.ANSWER),
     ]
 
 
-def test_a_probe_without_a_failure_opens_the_way_and_one_that_fails_does_not() -> None:
-    reach = ZoneReachability()
-    fail(reach, FAILED_REPLICAS, 1.0)
-    reach.note_sent("a", "b", 2.0)
-    reach.note_failure("a", "b", "r9", 30, 2.4)
-    reach.tick(2.0 + JUDGED_S)
-    assert reach.has_shut("a")
-    reach.note_sent("a", "b", 5.0)
-    reach.tick(5.0 + JUDGED_S)
-    assert not reach.has_shut("a")
-
-
-def test_silence_of_all_nodes_shuts_a_zone_once_until_one_is_heard() -> None:
-    reach = ZoneReachability()
-    heard = [10.0, 10.2, 10.4]
-    reach.record_last_seen("a", "b", heard[:2], 20.0)
-    reach.record_last_seen("a", "b", heard, 10.3 + SILENT_S)
-    assert not reach.has_shut("a")
-    reach.record_last_seen("a", "b", heard, 12.0)
-    assert reach.has_shut("a")
-    reach.note_answer("a", "b", 12.1)
-    reach.record_last_seen("a", "b", heard, 12.2)
-    assert not reach.has_shut("a")
-    reach.record_last_seen("a", "b", [*heard, 12.3], 12.3)
-    reach.record_last_seen("a", "b", [*heard, 12.3], 14.0)
-    assert reach.has_shut("a")
-    reach.record_last_seen("a", "b", [*heard, 14.1], 14.1)
-    assert not reach.has_shut("a")
+def test_successful_probe_makes_zone_reachable_and_failed_probe_does_not() -> None:
+    reachability = ZoneReachability()
+    record_failures(reachability, FAILED_REPLICAS, 1.0)
+    reachability.note_sent("a", "b", 2.0)
+    reachability.note_failure("a", "b", "r9", 30, 2.4)
+    reachability.tick(2.0 + JUDGED_S)
+    assert reachability.has_shut("a")
+    reachability.note_sent("a", "b", 5.0)
+    reachability.tick(5.0 + JUDGED_S)
+    assert not reachability.has_shut("a")
+
+
+def test_zone_without_reports_is_unreachable_until_a_node_reports() -> None:
+    reachability = ZoneReachability()
+    last_seen = [10.0, 10.2, 10.4]
+    reachability.record_last_seen("a", "b", last_seen[:2], 20.0)
+    reachability.record_last_seen("a", "b", last_seen, 10.3 + SILENT_S)
+    assert not reachability.has_shut("a")
+    reachability.record_last_seen("a", "b", last_seen, 12.0)
+    assert reachability.has_shut("a")
+    reachability.note_answer("a", "b", 12.1)
+    reachability.record_last_seen("a", "b", last_seen, 12.2)
+    assert not reachability.has_shut("a")
+    reachability.record_last_seen("a", "b", [*last_seen, 12.3], 12.3)
+    reachability.record_last_seen("a", "b", [*last_seen, 12.3], 14.0)
+    assert reachability.has_shut("a")
+    reachability.record_last_seen("a", "b", [*last_seen, 14.1], 14.1)
+    assert not reachability.has_shut("a")
 
 
 _events = st.lists(
@@ -351,35 +375,35 @@
 
 
 @given(_events, st.integers(0, 40))
-def test_few_failures_or_one_answer_between_them_shut_no_zone(
+def test_few_failures_or_an_answer_between_them_keep_zone_reachable(
     events: list[tuple[str, str, int, bool, float]], replicas: int
 ) -> None:
-    reach = ZoneReachability()
+    reachability = ZoneReachability()
     now = 0.0
     failed: dict[tuple[str, str], dict[int, float]] = {}
     needed = max(LEAST_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
     for source, zone, number, is_answer, pause_s in events:
         now += pause_s
-        way = failed.setdefault((source, zone), {})
-        was_open = reach.may_send(source, zone, now) and not reach.has_shut(source)
+        failed_at = failed.setdefault((source, zone), {})
+        was_open = reachability.may_send(source, zone, now) and not reachability.has_shut(source)
         if is_answer:
-            way.clear()
-            reach.note_answer(source, zone, now)
-            assert reach.may_send(source, zone, now)
+            failed_at.clear()
+            reachability.note_answer(source, zone, now)
+            assert reachability.may_send(source, zone, now)
             continue
-        way[number] = now
-        reach.note_failure(source, zone, f"r{number}", replicas, now)
-        recent = [one for one in way.values() if now - one <= WINDOW_S]
+        failed_at[number] = now
+        reachability.note_failure(source, zone, f"r{number}", replicas, now)
+        recent = [at for at in failed_at.values() if now - at <= WINDOW_S]
         if was_open and (len(recent) < needed or source == zone):
-            assert not reach.has_shut(source)
-    assert reach.may_send("a", "a", now) and reach.may_send("b", "b", now)
+            assert not reachability.has_shut(source)
+    assert reachability.may_send("a", "a", now) and reachability.may_send("b", "b", now)
 
 
-# --- where work goes ---
+# --- placement with an unreachable zone ---
 
 
 def cut_fleet(lost_zones: int = 1, replicas: int = 20) -> Fleet:
-    """Return a fleet of two zones whose node 0 saw replicas of the other zone fail."""
+    """Return a fleet of two zones in which replicas of the other zone failed at node 0."""
     fleet = Fleet(replicas=replicas, zones=2)
     features = fleet.scheduler.features = Features(
         fleet.scheduler._online._configuration, lost_zones=lost_zones
@@ -387,8 +411,8 @@
     fleet.scheduler._replicas._features = features
     fleet.scheduler._online._features = features
     fleet.tell(0)
-    far = [f"r{number}" for number in range(replicas) if number % 2]
-    fleet.nodes[0].suspects = far[:FAILED_REPLICAS]
+    other_zone_replicas = [f"r{number}" for number in range(replicas) if number % 2]
+    fleet.nodes[0].suspects = other_zone_replicas[:FAILED_REPLICAS]
     fleet.tell(0)
     return fleet
 
@@ -397,7 +421,7 @@
     return int(fleet.nodes[node].placements[number].replica_id[1:])
 
 
-def test_requests_and_items_avoid_a_cut_zone_while_others_have_room() -> None:
+def test_requests_and_items_avoid_unreachable_zone_while_others_have_free_slots() -> None:
     fleet = cut_fleet()
     chosen = [sent_to(fleet, 0, fleet.ask(0)) for _ in range(60)]
     assert all(number % 2 == 0 for number in chosen)
@@ -405,11 +429,11 @@
     fleet.tell(0)
     assert fleet.nodes[0].batch
     assert all(int(key[1:]) % 2 == 0 for key in fleet.nodes[0].batch)
-    # The nodes of the other zone reach its replicas.
+    # Nodes of the other zone still use its replicas.
     assert sent_to(fleet, 1, fleet.ask(1)) % 2 == 1
 
 
-def test_failures_of_a_node_that_returns_shut_no_zone() -> None:
+def test_failures_of_returning_node_keep_zone_reachable() -> None:
     fleet = cut_fleet(replicas=20)
     assert fleet.scheduler.reachability.unreachable_count == 1
     fleet.scheduler.remove_node("n0", fleet.now)
@@ -419,21 +443,21 @@
     assert fleet.scheduler.reachability.unreachable_count == 0
 
 
-def test_where_no_other_zone_has_room_a_cut_one_is_tried() -> None:
+def test_unreachable_zone_is_tried_if_no_other_has_free_slots() -> None:
     fleet = cut_fleet()
     fleet.nodes[0].online = {f"r{number}": 8 for number in range(0, 20, 2)}
     number = fleet.ask(0, must_place=True)
     assert sent_to(fleet, 0, number) % 2 == 1
 
 
-def test_without_the_switch_a_zone_is_not_avoided() -> None:
+def test_zone_is_not_avoided_if_zone_loss_is_not_tolerated() -> None:
     fleet = cut_fleet(lost_zones=0)
     chosen = [sent_to(fleet, 0, fleet.ask(0)) for _ in range(60)]
     assert any(number % 2 for number in chosen)
 
 
 def stream_fleet(is_resumable: bool, lost_zones: int = 1) -> Fleet:
-    """Return two zones with one replica each, the nearer one half full."""
+    """Return a fleet of two zones with one replica each; 6 of 8 slots of the nearer are busy."""
     fleet = cut_fleet(lost_zones, replicas=2)
     fleet.nodes[0].suspects = []
     fleet.tell(0)
@@ -442,7 +466,9 @@
     holder = fleet.scheduler._online._configuration
     before = holder.current
     assert before is not None
-    routes = tuple(msgspec.structs.replace(one, is_resumable=is_resumable) for one in before.routes)
+    routes = tuple(
+        msgspec.structs.replace(route, is_resumable=is_resumable) for route in before.routes
+    )
     assert routes[0].kind is RouteKind.STREAM
     holder.update_if_newer(Configuration(2, routes, {}, before.limits))
     fleet.nodes[0].online = {"r0": 6}
@@ -453,7 +479,7 @@
     ("is_resumable", "lost_zones", "left_ms", "expected"),
     [(False, 1, 300, 0), (True, 1, 300, 1), (False, 0, 300, 1), (False, 1, 60, 1)],
 )
-def test_a_stream_that_can_not_be_resumed_stays_near_unless_it_would_be_late(
+def test_stream_that_is_not_resumable_stays_in_its_zone_unless_late(
     is_resumable: bool, lost_zones: int, left_ms: int, expected: int
 ) -> None:
     fleet = stream_fleet(is_resumable, lost_zones)
@@ -461,7 +487,7 @@
     assert sent_to(fleet, 0, number) == expected
 
 
-def test_the_switch_is_on_where_a_zone_may_be_lost() -> None:
+def test_zone_loss_feature_follows_lost_zones_setting() -> None:
     fleet = cut_fleet(lost_zones=0)
     assert not fleet.scheduler.features.is_on(Feature.ZONE_LOSS)
     assert cut_fleet().scheduler.features.is_on(Feature.ZONE_LOSS)
