--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -90,14 +90,14 @@
         self._clock = clock
         self.registry = NodeRegistry()
         self.deliver_locally: DeliverLocally = _ignore_orders
-        self.on_tick: Callable[[float], None] = _ignore
+        self.on_tick: Callable[[float], None] = _ignore_tick
         """Called with the time at each tick while this node is active, not at a standby."""
 
         self.active_since: float | None = None
         """When this node took the role; None while it doesn't hold it."""
 
         self._state_sender = StateSender(transport, configuration, directory)
-        self._snapshots = SnapshotMaker(scheduler, health)
+        self._snapshot_maker = SnapshotMaker(scheduler, health)
         self._snapshot_sent_at = float("-inf")
         self._pinged_at = float("-inf")
         self._store_returned_sent_at = float("-inf")
@@ -151,7 +151,7 @@
         live_hosts = {entry.contact.host for entry in self.registry.live()}
         hosts = live_hosts | {contact.host for contact in nodes}
         for host in sorted(hosts - {self._identity.host}):
-            self._transport.send(host, self._orders("", None, now))
+            self._transport.send(host, self._make_orders("", None, now))
 
     def deactivate(self) -> None:
         """Give up the role because another node holds it."""
@@ -205,9 +205,9 @@
     def _update_fleet_fraction(self) -> None:
         """Grant quotas for the part of the fleet that reports here."""
         reporting = self.registry.count_seen_since(self._clock() - QUOTA_REPORT_TIMEOUT_S)
-        self._scheduler.quotas.set_fleet_fraction(reporting, self._fleet_nodes())
+        self._scheduler.quotas.set_fleet_fraction(reporting, self._count_fleet_nodes())
 
-    def _fleet_nodes(self) -> int:
+    def _count_fleet_nodes(self) -> int:
         """Return the number of nodes in the whole fleet; 0 if unknown."""
         nodes = len(self.registry.by_name) if self.is_active else self._fleet_size
         if self.active_since is not None and self.tolerates_zone_loss:
@@ -234,7 +234,7 @@
         """Send the scheduler's pending decisions to their nodes."""
         now = self._clock()
         for node, decisions in self._scheduler.pop_decisions().items():
-            orders = self._orders(node, decisions, now)
+            orders = self._make_orders(node, decisions, now)
             if node == self._identity.node:
                 await self.deliver_locally(orders)
                 continue
@@ -246,7 +246,7 @@
             self._transport.send(entry.contact.host, orders)
 
     def _acknowledge(self, entry: NodeEntry, now: float) -> None:
-        orders = self._orders(entry.contact.node, None, now)
+        orders = self._make_orders(entry.contact.node, None, now)
         orders.number = self._scheduler.last_decision_number(entry.contact.node)
         self._add_totals(orders, entry, now)
         entry.orders_sent_at = now
@@ -266,7 +266,7 @@
         last_sent_at = max(entry.totals_sent_at, entry.first_seen_at)
         return now - last_sent_at >= entry_count / MAX_TOTALS_ENTRIES_PER_S
 
-    def _orders(self, node: str, decisions: Decisions | None, now: float) -> Orders:
+    def _make_orders(self, node: str, decisions: Decisions | None, now: float) -> Orders:
         current = self._leader.current or Leadership(
             self._identity.contact, self._identity.run, self._leader.term
         )
@@ -282,7 +282,7 @@
         )
         orders.crash_digest = self._crash_records.ledger.digest
         if self.is_active:
-            orders.nodes = self._fleet_nodes()
+            orders.nodes = self._count_fleet_nodes()
             orders.near_limit = self._near_limit
             orders.zone_utilization_percent = self._zone_utilization(node)
         if decisions is not None:
@@ -367,7 +367,7 @@
         self._pinged_at = now
         for entry in self.registry.lost():
             node = entry.contact.node
-            self._transport.send(entry.contact.host, self._orders(node, None, now))
+            self._transport.send(entry.contact.host, self._make_orders(node, None, now))
 
     def _update_reachability(self, now: float) -> None:
         """Record when the nodes of each other zone last reported."""
@@ -389,7 +389,7 @@
         if current is None:
             return
         is_leaving = self.is_leaving or self._should_hand_over(current)
-        snapshot = self._snapshots.make(current, self.registry.live(), is_leaving, now)
+        snapshot = self._snapshot_maker.make(current, self.registry.live(), is_leaving, now)
         for standby in current.standbys:
             if standby.node != self._identity.node:
                 self._transport.send(standby.host, snapshot)
@@ -427,13 +427,13 @@
         entry = self.registry.by_name.get(incarnation.rpartition(".")[0])
         if entry is None or entry.report.incarnation != incarnation:
             return
-        orders = self._orders(entry.contact.node, None, self._clock())
+        orders = self._make_orders(entry.contact.node, None, self._clock())
         orders.number = self._scheduler.last_decision_number(entry.contact.node)
         orders.take_over = job_ids
         self._transport.send(entry.contact.host, orders)
 
     def broadcast_store_returned(self) -> None:
-        """Send all nodes that the store answers again, so that they needn't probe it."""
+        """Notify all nodes that the store answers again, so that they needn't probe it."""
         now = self._clock()
         self._must_broadcast_store_returned = (
             now - self._store_returned_sent_at < MIN_STORE_RETURNED_INTERVAL_S
@@ -451,7 +451,7 @@
     return
 
 
-def _ignore(now: float) -> None:
+def _ignore_tick(now: float) -> None:
     return
 
 
--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -68,7 +68,7 @@
 standby."""
 
 MAX_STORE_AGE_MS = 1_000_000
-"""Reported as the age of the store's last answer while the store is unavailable."""
+"""Upper bound of the reported age of the store's last answer; sent while it is unavailable."""
 
 
 class BatchOrderHandler:
@@ -106,14 +106,14 @@
     """A report whose receiver has sent nothing since."""
 
     target: Contact
-    since: float
+    sent_at: float
     resent_at: float | None = None
 
     @property
     def due_at(self) -> float:
         """When to repeat the report or, if that was done, to mark its receiver unresponsive."""
         if self.resent_at is None:
-            return self.since + REPORT_RETRY_DELAY_S
+            return self.sent_at + REPORT_RETRY_DELAY_S
         return self.resent_at + RESPONSE_TIMEOUT_S
 
 
@@ -149,7 +149,7 @@
         self._log = log
         self._clock = clock
         self.batch_handler = BatchOrderHandler()
-        self.on_placement: Callable[[], None] = _ignore
+        self.on_placement: Callable[[], None] = _ignore_placement
         """Called when the placement of an online request is known."""
 
         self.on_leadership_change: Callable[[], Awaitable[None]] = _ignore_leadership_change
@@ -187,23 +187,27 @@
     async def run(self) -> None:
         """Send reports after changes and at least once per heartbeat interval, until cancelled."""
         while True:
-            is_lost = self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
+            lacks_coordinator = (
+                self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
+            )
             remaining_s = self.report_due_at() - self._clock()
             if remaining_s > 0:
                 async with curio.ignore_after(remaining_s):
                     await self._report_requested.wait()
-            gap_s = self._report_sent_at + MIN_REPORT_INTERVAL_S - self._clock()
-            if gap_s > 0:
-                await curio.sleep(gap_s)
+            delay_s = self._report_sent_at + MIN_REPORT_INTERVAL_S - self._clock()
+            if delay_s > 0:
+                await curio.sleep(delay_s)
             self._report_requested.clear()
             await self._report()
-            if is_lost:
+            if lacks_coordinator:
                 self._report_to_unresponsive_nodes()
 
     def report_due_at(self) -> float:
         """Return when the next report is due if nothing changes before."""
-        is_lost = self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
-        interval_s = STANDBY_HEARTBEAT_INTERVAL_S if is_lost else HEARTBEAT_INTERVAL_S
+        lacks_coordinator = (
+            self._leader.has_lost_coordinator or self._leader.has_never_contacted_leader
+        )
+        interval_s = STANDBY_HEARTBEAT_INTERVAL_S if lacks_coordinator else HEARTBEAT_INTERVAL_S
         due_at = self._report_sent_at + interval_s
         return (
             due_at
@@ -297,7 +301,7 @@
         await self._coordinator.handle_report(report, host)
 
     def _make_report(
-        self, host: str, placement_requests: list[PlacementRequest], has_lost: bool
+        self, host: str, placement_requests: list[PlacementRequest], has_lost_coordinator: bool
     ) -> Report:
         self._sequence += 1
         self._report_sent_at = now = self._clock()
@@ -326,7 +330,7 @@
             self._placement_client.pop_withdrawn(),
             self._request_timings,
             self.is_leaving,
-            has_lost,
+            has_lost_coordinator,
             self._coordinator.local_grants(now),
             self._crash_records.for_report(),
             self._crash_records.ledger.digest,
@@ -401,7 +405,7 @@
                     await self._report_requested.set()
 
     def _record_response(self, host: str) -> None:
-        """Note a message from the node that is or was reported to."""
+        """Record that a message arrived from the node that is or was reported to."""
         if self._unanswered_report is not None and self._unanswered_report.target.host == host:
             self._unanswered_report = None
         target = self._leader.target()
@@ -486,7 +490,7 @@
     return
 
 
-def _ignore() -> None:
+def _ignore_placement() -> None:
     return
 
 
--- a/src/cloverwalk/fleet/crash_record_sync.py
+++ b/src/cloverwalk/fleet/crash_record_sync.py
@@ -29,7 +29,7 @@
         self._transport = transport
         self._log = log
         self._clock = clock
-        self.on_contained: Callable[[str, str], None] = _ignore
+        self.on_contained: Callable[[str, str], None] = _ignore_contained
         """Called with content hash and source if a received record makes a request contained."""
 
         self._sent_revision = 0
@@ -86,7 +86,7 @@
         self._transport.send(known.contact.host, CrashCases(self.ledger.shared_records(now)))
 
     def push(self, others: Callable[[], list[NodeEntry]]) -> None:
-        """Send all nodes the records if they have changed since the last call, at each tick."""
+        """Send all nodes the records if they changed since the last call; called at each tick."""
         if self._sent_revision == self.ledger.revision:
             return
         self._sent_revision = self.ledger.revision
@@ -97,5 +97,5 @@
             self._transport.send(entry.contact.host, message)
 
 
-def _ignore(_content: str, _source: str) -> None:
+def _ignore_contained(_content: str, _source: str) -> None:
     return
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -37,7 +37,7 @@
 ROLE_KEY = RowKey(ROLE_TABLE, "", "coordinator")
 CHECK_INTERVAL_S = 1.0
 ACTIVE_CHECK_INTERVAL_S = 0.25
-"""The same at the coordinator, its standbys, and processes that have not found a leader yet."""
+"""Interval of checks at the coordinator, its standbys, and processes without contact to either."""
 
 SNAPSHOT_TIMEOUT_S = 0.8
 """The first standby claims the role if nothing came from the coordinator for this time; four
@@ -47,7 +47,8 @@
 """Each further standby waits for this additional time."""
 
 LEADER_TIMEOUT_S = 3.0
-"""Any node claims the role after this time without a message from the coordinator or a standby."""
+"""Any node claims the role after this time, and up to 1 s of jitter, without a message from the
+coordinator or a standby."""
 
 STARTUP_LEADER_TIMEOUT_S = 2.0
 """The same for a process that has had no contact with them since its start. All processes may have
@@ -63,10 +64,10 @@
 SMALL_NODE_CLAIM_DELAY_S = 0.5
 """Additional delay before nodes with less than ``MIN_COORDINATOR_CORES`` claim the role."""
 
-VERIFY_INTERVAL_S = 1.0
+VERIFY_EVERY_S = 1.0
 MAX_HOLDER_STORE_AGE_MS = 2500
 """The first standby takes the role from a coordinator that the store has not answered for this
-time, if the store answers the standby."""
+time, if the store answered the standby within ``MAX_CLAIMANT_STORE_AGE_MS``."""
 
 MAX_CLAIMANT_STORE_AGE_MS = 1200
 CLAIM_TIMEOUT_S = 0.8
@@ -187,7 +188,7 @@
             self._leader.last_seen_at = self._leader.holder_last_seen_at = now
             self._scheduler.quotas.reset_after_pause(now)
         if self._coordinator.is_active:
-            if now - self._verified_at >= VERIFY_INTERVAL_S:
+            if now - self._verified_at >= VERIFY_EVERY_S:
                 self._verified_at = now
                 await self._verify()
         elif not self.is_leaving and self._should_claim(now):
@@ -260,8 +261,8 @@
         if found is not None and self._is_written_by_this_process(found):
             await self._adopt_role(found.term, found.standbys)
             return
-        is_news = found is not None and found.term > self._leader.term
-        if found is not None and is_news and found.holder.node != self._identity.node:
+        is_newer = found is not None and found.term > self._leader.term
+        if found is not None and is_newer and found.holder.node != self._identity.node:
             await self._client.update_leadership(found)
             return
         await self._write(row.version, self._standbys())
@@ -316,7 +317,8 @@
                 standbys=[standby.node for standby in standbys],
                 nodes=len(self._nodes),
             )
-        # The previous coordinator and its standbys are announced to as well, as nodes follow them.
+        # On a first claim, ``standbys`` may be the previous coordinator and its standbys, which
+        # other nodes follow, so they must learn of the new leadership too.
         await self._coordinator.activate([] if was_active else [*self._nodes, *standbys])
 
     async def _verify(self) -> None:
@@ -346,7 +348,7 @@
             return
         elif self._superseded_since is None:
             self._superseded_since = now
-        elif now - self._superseded_since >= VERIFY_INTERVAL_S and self._has_reporting_peers():
+        elif now - self._superseded_since >= VERIFY_EVERY_S and self._has_reporting_peers():
             await self._write(row.version, self._standbys())
 
     def _has_reporting_peers(self) -> bool:
--- a/src/cloverwalk/fleet/leader.py
+++ b/src/cloverwalk/fleet/leader.py
@@ -48,7 +48,10 @@
 
     @property
     def has_never_contacted_leader(self) -> bool:
-        """Whether no coordinator or standby has sent anything to this process since its start."""
+        """Whether no coordinator or standby has sent anything since the start of this process.
+
+        False if this process is the coordinator itself.
+        """
         return not self._has_contacted_leader and not self.is_holder
 
     @property
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -141,7 +141,7 @@
     """From its first event to its end; it occupies a slot for this time."""
 
     expected_wait_ms: int
-    """Expected wait for a slot, without the learnt correction."""
+    """Expected wait for a slot, before any correction."""
 
     events: int = 0
     """Number of events in its answer."""
@@ -202,7 +202,7 @@
 
     placement_requests: list[PlacementRequest] = []
     withdrawn: list[int] = []
-    """Queued placement requests whose client has disconnected or timed out."""
+    """Numbers of queued placement requests that no longer wait."""
 
     request_timings: list[RequestTiming] = []
     is_leaving: bool = False
@@ -246,7 +246,7 @@
     verdict: PlacementVerdict
     replica_id: str = ""
     wait_ms: int = 0
-    """Expected wait for a slot, without the learnt correction."""
+    """Expected wait for a slot, before any correction."""
 
     retry_after_s: float = 0.0
     """With RETRY_LATER and OVER_QUOTA: when the client should retry."""
--- a/src/cloverwalk/fleet/node_registry.py
+++ b/src/cloverwalk/fleet/node_registry.py
@@ -30,6 +30,8 @@
     """When orders were last sent to the node."""
 
     state_sent_at: float = float("-inf")
+    """When configuration or replica list were last sent; in the future after a long list."""
+
     totals_sent_at: float = float("-inf")
     crash_records_sent_at: float = float("-inf")
     """When crash records were last sent to the node."""
@@ -39,7 +41,7 @@
 
 
 class NodeRegistry:
-    """Nodes by name."""
+    """The last report and state of each node, by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, NodeEntry] = {}
@@ -114,7 +116,7 @@
         return [entry.report.incarnation for entry in self.live() if not entry.report.is_leaving]
 
     def choose_standbys(
-        self, own_node: str, own_zone: str, by_zone: bool = False
+        self, coordinator_node: str, coordinator_zone: str, by_zone: bool = False
     ) -> tuple[Contact, ...]:
         """Return standbys; nodes that have capacity, enough cores or another zone come first.
 
@@ -125,25 +127,25 @@
         candidates = [
             entry
             for entry in self.live()
-            if entry.contact.node != own_node and not entry.report.is_leaving
+            if entry.contact.node != coordinator_node and not entry.report.is_leaving
         ]
         candidates.sort(
             key=lambda entry: (
                 entry.report.is_full,
                 entry.report.cores < MIN_COORDINATOR_CORES,
-                entry.report.zone == own_zone,
+                entry.report.zone == coordinator_zone,
             )
         )
         if by_zone:
-            return _choose_by_zone(candidates, own_zone)
+            return _choose_by_zone(candidates, coordinator_zone)
         return tuple(entry.contact for entry in candidates[:STANDBY_COUNT])
 
 
-def _choose_by_zone(candidates: list[NodeEntry], own_zone: str) -> tuple[Contact, ...]:
+def _choose_by_zone(candidates: list[NodeEntry], coordinator_zone: str) -> tuple[Contact, ...]:
     """Return the first candidate of each other zone, then others up to ``STANDBY_COUNT``."""
     first_by_zone: dict[str, NodeEntry] = {}
     for entry in candidates:
-        if entry.report.zone != own_zone:
+        if entry.report.zone != coordinator_zone:
             first_by_zone.setdefault(entry.report.zone, entry)
     chosen = list(first_by_zone.values())[:MAX_ZONE_STANDBYS]
     remaining = [entry for entry in candidates if all(entry is not selected for selected in chosen)]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -674,7 +674,7 @@
     Mutant(
         "zones: standbys are chosen by name alone",
         "fleet/node_registry.py",
-        "            return _choose_by_zone(candidates, own_zone)",
+        "            return _choose_by_zone(candidates, coordinator_zone)",
         "            pass",
         "tests/serving/test_zone_loss.py::"
         "test_each_other_zone_has_a_standby_that_is_replaced_if_killed",
@@ -712,7 +712,7 @@
     Mutant(
         "serving: a claim of a node that nobody hears stands",
         "fleet/election.py",
-        "        elif now - self._superseded_since >= VERIFY_INTERVAL_S "
+        "        elif now - self._superseded_since >= VERIFY_EVERY_S "
         "and self._has_reporting_peers():",
         "        elif False:",
         COORDINATION + "test_isolated_node_does_not_keep_the_role_from_the_coordinator",
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -117,12 +117,12 @@
         await world.run(2.0)
         assert world.coordinator.leader.current is not None
         leadership = world.coordinator.leader.current
-        gone = {leadership.holder.node, *(standby.node for standby in leadership.standbys)}
-        for node in [member for member in world.nodes if member.name in gone]:
+        killed = {leadership.holder.node, *(standby.node for standby in leadership.standbys)}
+        for node in [member for member in world.nodes if member.name in killed]:
             world.kill(node)
         await world.run(LEADER_TIMEOUT_S + 4.0)
         name = world.coordinator.name
-        assert name not in gone
+        assert name not in killed
         assert {member.follows for member in world.nodes} == {name}
 
     in_fleet(SMALL_FLEET_NODES, test)
@@ -311,7 +311,9 @@
 
 def test_standby_has_the_replica_loads_of_the_fleet() -> None:
     async def test(world: CoordinationWorld) -> None:
-        requester = next(one for one in world.nodes if not one.coordinator.is_active)
+        requester = next(
+            candidate for candidate in world.nodes if not candidate.coordinator.is_active
+        )
         for _ in range(5):
             await request_placement(world, requester)
         await world.run(2.0)
@@ -326,7 +328,9 @@
 
 def test_cancelled_placement_request_leaves_no_load() -> None:
     async def test(world: CoordinationWorld) -> None:
-        requester = next(one for one in world.nodes if not one.coordinator.is_active)
+        requester = next(
+            candidate for candidate in world.nodes if not candidate.coordinator.is_active
+        )
         task = await curio.spawn(requester.link.request_placement, REQUEST, world.now + 1.5)
         await curio.sleep(0)
         await task.cancel()
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    "copy",
+    "record",
     [
         CrashRecord("short", {"r1": 1}),
         CrashRecord(GUILTY, {"r1": -5}),
@@ -129,10 +129,10 @@
         CrashRecord(GUILTY, {f"r{number}": 5 for number in range(100)}),
     ],
 )
-def test_invalid_crash_record_is_rejected(copy: CrashRecord) -> None:
+def test_invalid_crash_record_is_rejected(record: CrashRecord) -> None:
     ledger = CrashLedger()
     with pytest.raises(InvalidCrashRecordError):
-        ledger.merge(copy, 10.0)
+        ledger.merge(record, 10.0)
     assert ledger.is_empty
 
 
@@ -281,7 +281,7 @@
 @pytest.mark.parametrize(
     ("crashed", "max_refused"),
     [(1, 0), (2, ROUNDS * RUNS // 20)],
-    ids=["a quarter of its runs is lost: never", "half of them: one in twenty at the most"],
+    ids=["quarter of runs crash: never refused", "half of runs crash: at most 5 % refused"],
 )
 @given(seed=st.integers(0, 10_000))
 @settings(max_examples=50)
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -28,7 +28,7 @@
 
     def __init__(self, world: CoordinationWorld, tenant: str, per_step: int) -> None:
         self.world = world
-        self.ask = msgspec.structs.replace(REQUEST, tenant=tenant)
+        self.request = msgspec.structs.replace(REQUEST, tenant=tenant)
         self.per_step = per_step
         self.sent: list[float] = []
         self.verdicts: list[PlacementVerdict] = []
@@ -48,7 +48,7 @@
             await task.join()
 
     async def _send_request(self, node: FleetNode) -> None:
-        result = await node.link.request_placement(self.ask, self.world.now)
+        result = await node.link.request_placement(self.request, self.world.now)
         self.verdicts.append(result.verdict)
         if result.verdict is PlacementVerdict.SEND:
             self.sent.append(self.world.now)
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -272,7 +272,7 @@
             candidate for candidate in zone_nodes(world, zone) if not candidate.leader.serves_zone
         )
         (recorder,) = attach_recorders([node])
-        orders = old.coordinator._orders(node.name, None, world.now)
+        orders = old.coordinator._make_orders(node.name, None, world.now)
         orders.sender, orders.number, orders.grants = "other.0c", 9, {"r0": 2}
         await node.link.handle_orders(orders, "h-other")
         assert recorder.grants == []
@@ -280,7 +280,7 @@
     in_zones(test)
 
 
-def test_standbys_ignore_zones_if_zone_loss_is_not_tolerated() -> None:
+def test_zones_are_ignored_if_zone_loss_is_not_tolerated() -> None:
     async def test(world: CoordinationWorld) -> None:
         standbys = leadership_of(world).standbys
         coordinator_zone = world.coordinator.identity.zone
