--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -161,7 +161,7 @@
             self.directory,
             self.health,
             self.cases,
-            [f"h{number:03d}" for number in range(SEEDS)],
+            [f"h{seed:03d}" for seed in range(SEEDS)],
             log,
             clock,
         )
