--- a/src/cloverwalk/fleet/node_registry.py
+++ b/src/cloverwalk/fleet/node_registry.py
@@ -65,7 +65,10 @@
         return entry, is_new
 
     def expire(self, now: float, retention_s: float = LOST_NODE_RETENTION_S) -> list[NodeEntry]:
-        """Return the nodes lost since the last call; remove lost nodes not seen for ``retention_s``."""
+        """Return the nodes lost since the last call.
+
+        Lost nodes that have not reported for ``retention_s`` are removed.
+        """
         lost: list[NodeEntry] = []
         for name, entry in list(self.by_name.items()):
             unresponsive_s = now - entry.last_seen_at
