--- a/src/cloverwalk/core/error_response.py
+++ b/src/cloverwalk/core/error_response.py
@@ -70,7 +70,7 @@
     NOT_IMPLEMENTED = "not_implemented"
 
 
-_CALLERS_FAULT = {
+_CLIENT_ERROR_STATUSES = {
     Reason.INVALID: 400,
     Reason.NO_KEY: 401,
     Reason.NOT_FOUND: 404,
@@ -79,20 +79,20 @@
     Reason.HEADERS_TOO_LARGE: 431,
     Reason.NOT_IMPLEMENTED: 501,
 }
-_STATUSES = {
+_STATUS_BY_REASON = {
     WorkState.NOT_BEGUN: {
         Reason.UNAVAILABLE: 503,
         Reason.OVER_QUOTA: 429,
         Reason.OUT_OF_TIME: 503,
         Reason.INCOMPLETE: 408,
-        **_CALLERS_FAULT,
+        **_CLIENT_ERROR_STATUSES,
     },
     WorkState.MAY_HAVE_BEGUN: {
         Reason.UNAVAILABLE: 502,
         Reason.OVER_QUOTA: 502,
         Reason.OUT_OF_TIME: 504,
         Reason.INCOMPLETE: 502,
-        **_CALLERS_FAULT,
+        **_CLIENT_ERROR_STATUSES,
     },
 }
 
@@ -127,7 +127,7 @@
     @property
     def status(self) -> int:
         """The status; one of ``NOT_RUN_STATUSES`` only where the work has not begun."""
-        return _STATUSES[self.work][self.reason]
+        return _STATUS_BY_REASON[self.work][self.reason]
 
     @property
     def retry_after_s(self) -> float | None:
--- a/src/cloverwalk/platform/codec.py
+++ b/src/cloverwalk/platform/codec.py
@@ -32,7 +32,7 @@
         b"content-length",
     }
 )
-SET_ON_THE_WAY = frozenset(
+REPLACED_HEADERS = frozenset(
     {
         names.DEADLINE_MS.lower(),
         names.EXPECT_INSTANCE.lower(),
@@ -40,13 +40,13 @@
         names.TENANT.lower(),
     }
 )
-MOST_SLOWDOWN_PERCENT = 10_000
+MAX_SLOWDOWN_PERCENT = 10_000
 """A replica a hundred times slower than usual serves nobody: a larger figure is an error."""
 
-MOST_DIGITS = 9
+MAX_DIGITS = 9
 """Longer figures are no counts of tokens or requests; turning them into numbers would take time."""
 
-MALFORMED_KEY = ""
+MALFORMED_KEY_DIGEST = ""
 """Stands for the digest of a credential that is none; it belongs to no tenant."""
 
 
@@ -71,7 +71,7 @@
         return None
     scheme, _, key = values[0].decode("latin-1").strip().partition(" ")
     if len(values) > 1 or scheme.lower() != names.KEY_SCHEME or not key.strip():
-        return MALFORMED_KEY
+        return MALFORMED_KEY_DIGEST
     return digest_of(key.strip())
 
 
@@ -96,29 +96,29 @@
 
 
 def _load(text: str | None) -> ReplicaLoad | None:
-    figures = [one.strip() for one in (text or "").split(",")]
-    counts = figures[:3]
-    if len(counts) != 3 or not all(_is_count(one) for one in counts):
+    fields = [field.strip() for field in (text or "").split(",")]
+    counts = fields[:3]
+    if len(counts) != 3 or not all(_is_count(count) for count in counts):
         return None
-    running, waiting, slots = (int(one) for one in counts)
-    if len(figures) == 3:
+    running, waiting, slots = (int(count) for count in counts)
+    if len(fields) == 3:
         return ReplicaLoad(running, waiting, slots)
-    percent = int(figures[3]) if _is_count(figures[3]) else 0
-    if len(figures) > 4 or not 0 < percent <= MOST_SLOWDOWN_PERCENT:
+    percent = int(fields[3]) if _is_count(fields[3]) else 0
+    if len(fields) > 4 or not 0 < percent <= MAX_SLOWDOWN_PERCENT:
         return ReplicaLoad(running, waiting, slots, has_invalid_slowdown=True)
     return ReplicaLoad(running, waiting, slots, percent / 100)
 
 
 def _is_count(text: str) -> bool:
-    return text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
 
 
 def _token_usage(text: str | None) -> tuple[int, int]:
     """Return the tokens of the prompt and the most that may come out; zeros where not told."""
-    figures = [one.strip() for one in (text or "").split(",")]
-    if len(figures) != 2 or not all(_is_count(one) for one in figures):
+    fields = [field.strip() for field in (text or "").split(",")]
+    if len(fields) != 2 or not all(_is_count(field) for field in fields):
         return 0, 0
-    return int(figures[0]), int(figures[1])
+    return int(fields[0]), int(fields[1])
 
 
 def _length_hint(text: str | None) -> int:
@@ -143,7 +143,7 @@
         last_event = _number(headers, names.LAST_EVENT_ID)
         wait_ms = _number(headers, names.WAIT_MS)
         usage = _token_usage(_find(headers, names.TOKEN_USAGE))
-        prompt_tokens, most_output_tokens = usage
+        prompt_tokens, max_output_tokens = usage
         return RequestFields(
             _find(headers, names.REQUEST_ID) or "",
             None if deadline_ms is None else deadline_ms / 1000,
@@ -152,7 +152,7 @@
             wait_s=0.0 if wait_ms is None else wait_ms / 1000,
             key_digest=_key_digest(headers),
             prompt_tokens=prompt_tokens,
-            max_output_tokens=most_output_tokens,
+            max_output_tokens=max_output_tokens,
             hinted_output_tokens=_length_hint(_find(headers, names.LENGTH_HINT)),
         )
 
@@ -182,22 +182,22 @@
         last_event_id: int | None,
     ) -> RawHeaders:
         """Return the headers with which a request goes to a replica, without its length."""
-        kept = [
+        forwarded = [
             (name, value)
             for name, value in _without_connection_headers(request.headers)
-            if name.lower() not in SET_ON_THE_WAY
+            if name.lower() not in REPLACED_HEADERS
         ]
-        if _find(kept, names.REQUEST_ID) is None:
-            kept.append((names.REQUEST_ID, request.fields.request_id.encode("latin-1")))
+        if _find(forwarded, names.REQUEST_ID) is None:
+            forwarded.append((names.REQUEST_ID, request.fields.request_id.encode("latin-1")))
         if request.tenant:
-            kept.append((names.TENANT, request.tenant.encode()))
+            forwarded.append((names.TENANT, request.tenant.encode()))
         if remaining_s is not None:
             remaining_ms = max(1, int(remaining_s * 1000))
-            kept.append((names.DEADLINE_MS, str(remaining_ms).encode()))
+            forwarded.append((names.DEADLINE_MS, str(remaining_ms).encode()))
         if last_event_id is not None:
-            kept.append((names.LAST_EVENT_ID, str(last_event_id).encode()))
-        kept.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))
-        return kept
+            forwarded.append((names.LAST_EVENT_ID, str(last_event_id).encode()))
+        forwarded.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))
+        return forwarded
 
     def headers_to_client(self, headers: RawHeaders) -> RawHeaders:
         """Return a replica's headers without those of its connection and without its length."""
--- a/src/cloverwalk/platform/documents.py
+++ b/src/cloverwalk/platform/documents.py
@@ -27,17 +27,17 @@
 """Keys of the store have at most 200 bytes; an id goes into a header of requests."""
 
 ADDRESS = re.compile(r"(?:([0-9.]+)|\[([0-9A-Fa-f:.]+)\]):([0-9]{1,5})")
-MOST_PORT = 65_535
-MOST_SLOTS = 100_000
+MAX_PORT = 65_535
+MAX_SLOTS = 100_000
 """More requests at once than any engine runs; sums of slots stay small numbers."""
 
-LATEST_BORN_MS = 4_102_444_800_000
+MAX_STARTED_MS = 4_102_444_800_000
 """The year 2100: a time in another unit (microseconds) lies far beyond it."""
 
-STATES = {"ready": False, "draining": True}
+IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
 """Whether a replica is leaving, by its state."""
 
-KINDS = {
+ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAM,
@@ -45,7 +45,7 @@
 }
 
 
-class _Part(Struct):
+class _WeightedService(Struct):
     service: str
     weight: float = 1.0
 
@@ -59,7 +59,7 @@
     target_latency_ms: float = 1_000.0
     priority: int = 0
     service: str = ""
-    weighted_clusters: list[_Part] = []
+    weighted_clusters: list[_WeightedService] = []
     max_attempts: int = 1
     resumable: bool = False
     gap_aim_ms: float = 1_000.0
@@ -149,7 +149,7 @@
 _configuration_decoder = msgspec.json.Decoder(_Configuration)
 _replica_decoder = msgspec.json.Decoder(_Replica)
 _job_decoder = msgspec.json.Decoder(_Job)
-_STATES = {ItemState.SUCCEEDED: "succeeded", ItemState.DEAD: "dead_letter"}
+_RESULT_STATES = {ItemState.SUCCEEDED: "succeeded", ItemState.DEAD: "dead_letter"}
 
 
 def _decode(decoder: "msgspec.json.Decoder[Document]", raw: bytes) -> Document:
@@ -163,14 +163,14 @@
     """Return a configuration; raise ValueError when it is not valid."""
     wire = _decode(_configuration_decoder, raw)
     services = {
-        one.name: Service(
-            one.name,
-            one.engine.slots,
-            one.max_connections,
-            max(0, one.engine.kv_cache_tokens),
-            max(1, one.engine.stride),
+        service.name: Service(
+            service.name,
+            service.engine.slots,
+            service.max_connections,
+            max(0, service.engine.kv_cache_tokens),
+            max(1, service.engine.stride),
         )
-        for one in wire.services
+        for service in wire.services
     }
     limits = ClientLimits(
         wire.limits.max_header_bytes,
@@ -178,44 +178,44 @@
         wire.limits.header_timeout_ms / 1000,
         wire.limits.idle_timeout_ms / 1000,
     )
-    routes = tuple(_route(one) for one in wire.routes)
+    routes = tuple(_route(route) for route in wire.routes)
     tenants = None if wire.tenants is None else _tenants(wire.tenants)
     return Configuration(wire.version, routes, services, limits, tenants)
 
 
 def _tenants(entries: list[_Tenant]) -> tuple[Tenant, ...]:
     """Return the tenants; raise ValueError, which names the entry and never a key."""
-    tenants = [_tenant(number, one) for number, one in enumerate(entries)]
-    holders: dict[str, str] = {}
-    for number, one in enumerate(tenants):
-        if one.name in (earlier.name for earlier in tenants[:number]):
-            raise ValueError(f"tenants[{number}].name: {one.name!r} stands there twice")
-        for position, digest in enumerate(one.key_digests):
-            if holders.setdefault(digest, one.name) != one.name:
-                held = f"it is a key of {holders[digest]!r} too"
-                raise ValueError(f"tenants[{number}].api_keys[{position}]: {held}")
+    tenants = [_tenant(number, entry) for number, entry in enumerate(entries)]
+    owner_by_digest: dict[str, str] = {}
+    for number, tenant in enumerate(tenants):
+        if tenant.name in (earlier.name for earlier in tenants[:number]):
+            raise ValueError(f"tenants[{number}].name: {tenant.name!r} stands there twice")
+        for position, digest in enumerate(tenant.key_digests):
+            if owner_by_digest.setdefault(digest, tenant.name) != tenant.name:
+                reason = f"it is a key of {owner_by_digest[digest]!r} too"
+                raise ValueError(f"tenants[{number}].api_keys[{position}]: {reason}")
     return tuple(tenants)
 
 
 def _tenant(number: int, wire: _Tenant) -> Tenant:
     if not wire.name:
         raise ValueError(f"tenants[{number}].name: it is empty")
-    for field_name, figure in (("rate_per_s", wire.rate_per_s), ("burst", wire.burst)):
-        if not 0 <= figure < float("inf"):
-            raise ValueError(f"tenants[{number}].{field_name}: {figure} is no limit")
+    for field_name, value in (("rate_per_s", wire.rate_per_s), ("burst", wire.burst)):
+        if not 0 <= value < float("inf"):
+            raise ValueError(f"tenants[{number}].{field_name}: {value} is no limit")
     digests = tuple(digest_of(key) for key in wire.api_keys)
     return Tenant(wire.name, digests, wire.priority, wire.rate_per_s, wire.burst)
 
 
 def _route(wire: _Route) -> Route:
-    parts = tuple(RoutePart(one.service, one.weight) for one in wire.weighted_clusters)
+    parts = tuple(RoutePart(part.service, part.weight) for part in wire.weighted_clusters)
     if not parts:
         parts = (RoutePart(wire.service, 1.0),)
     return Route(
         wire.name,
         wire.host.lower(),
         wire.path_prefix,
-        KINDS.get(wire.route_kind, RouteKind.UNSAFE),
+        ROUTE_KINDS.get(wire.route_kind, RouteKind.UNSAFE),
         parts,
         wire.timeout_ms / 1000,
         wire.target_latency_ms / 1000,
@@ -237,9 +237,9 @@
         raise ValueError("the id is no name that a header can carry")
     if not wire.service:
         raise ValueError("service: it is empty")
-    if not 1 <= wire.slots <= MOST_SLOTS:
+    if not 1 <= wire.slots <= MAX_SLOTS:
         raise ValueError(f"slots: {str(wire.slots)[:20]}")
-    if wire.state not in STATES:
+    if wire.state not in IS_DRAINING_BY_STATE:
         raise ValueError(f"state: {wire.state[:20]!r} is not known")
     host, port = _address(wire.address)
     return Replica(
@@ -249,43 +249,46 @@
         port,
         wire.zone,
         wire.slots,
-        STATES[wire.state],
+        IS_DRAINING_BY_STATE[wire.state],
         version,
-        _born_ms(wire.born),
+        _started_ms(wire.born),
     )
 
 
-def _address(told: str) -> tuple[str, int]:
+def _address(text: str) -> tuple[str, int]:
     """Return host and port of an address that can be connected to."""
-    parts = ADDRESS.fullmatch(told)
+    parts = ADDRESS.fullmatch(text)
     if parts is None:
-        raise ValueError(f"address: {told[:60]!r}")
+        raise ValueError(f"address: {text[:60]!r}")
     host, port = parts[1] or parts[2], int(parts[3])
-    known = ipaddress.ip_address(host)
-    if known.is_unspecified or known.is_multicast or not 1 <= port <= MOST_PORT:
-        raise ValueError(f"address: {told[:60]!r}")
+    ip_address = ipaddress.ip_address(host)
+    if ip_address.is_unspecified or ip_address.is_multicast or not 1 <= port <= MAX_PORT:
+        raise ValueError(f"address: {text[:60]!r}")
     return host, port
 
 
-def _born_ms(told: int | UnsetType) -> int:
+def _started_ms(born: int | UnsetType) -> int:
     """Return the time of a start, 0 where it is not told."""
-    if isinstance(told, UnsetType):
+    if isinstance(born, UnsetType):
         return 0
-    if not 1 <= told < LATEST_BORN_MS:
-        raise ValueError(f"born: {str(told)[:20]}")
-    return told
+    if not 1 <= born < MAX_STARTED_MS:
+        raise ValueError(f"born: {str(born)[:20]}")
+    return born
 
 
 def decode_job(body: bytes) -> list[JobItem]:
     """Return the items of a job; raise ValueError when it is not valid."""
     wire = _decode(_job_decoder, body)
     return [
-        JobItem(one.id, one.path, list(one.headers.items()), one.body, one.tokens)
-        for one in wire.requests
+        JobItem(item.id, item.path, list(item.headers.items()), item.body, item.tokens)
+        for item in wire.requests
     ]
 
 
 def encode_results(page: ResultPage) -> bytes:
     """Return the body of an answer with results."""
-    results = [_Result(one.item_id, _STATES[one.state], one.text) for one in page.results]
+    results = [
+        _Result(result.item_id, _RESULT_STATES[result.state], result.text)
+        for result in page.results
+    ]
     return msgspec.json.encode(_Results(page.total, results, page.next_position))
--- a/src/cloverwalk/platform/store_client.py
+++ b/src/cloverwalk/platform/store_client.py
@@ -24,7 +24,7 @@
 READ_TIMEOUT_S = 1.2
 WAIT_MARGIN_S = 0.8
 PAGE_ROWS = 500
-REFUSING_STATUSES = (503, 507)
+NOT_DONE_STATUSES = (503, 507)
 """Of the store's failures these tell that nothing was done; of others that is not known."""
 
 JSON_HEADERS = {"Content-Type": "application/json"}
@@ -77,7 +77,7 @@
         except HttpError:
             return CommitOutcome(CommitStatus.NOT_DONE)
         if response.status not in (200, 412):
-            is_refused = response.status < 500 or response.status in REFUSING_STATUSES
+            is_refused = response.status < 500 or response.status in NOT_DONE_STATUSES
             return CommitOutcome(CommitStatus.NOT_DONE if is_refused else CommitStatus.UNKNOWN)
         try:
             answer = _rows_decoder.decode(response.body)
@@ -85,7 +85,7 @@
             return CommitOutcome(CommitStatus.UNKNOWN)
         if response.status == 200:
             return CommitOutcome(CommitStatus.COMMITTED, answer.ver, answer.now_ms)
-        rows = [_row(one) for one in answer.rows]
+        rows = [_row(row) for row in answer.rows]
         return CommitOutcome(CommitStatus.CONFLICT, answer.ver, answer.now_ms, rows)
 
     async def read(
@@ -179,7 +179,7 @@
 
 def _page(response: HttpResponse, table: str, part: str | None) -> RowPage:
     answer = _decode(_rows_decoder, response)
-    rows = [_row(one, table, part) for one in answer.rows]
+    rows = [_row(row, table, part) for row in answer.rows]
     return RowPage(rows, answer.ver, answer.now_ms, answer.more)
 
 
@@ -197,13 +197,14 @@
 def _wire_transaction(transaction: Transaction) -> dict[str, Any]:
     wire: dict[str, Any] = {
         "expected_revision": [
-            {**_wire_key(one.row_key), "ver": one.version} for one in transaction.expectations
+            {**_wire_key(expectation.row_key), "ver": expectation.version}
+            for expectation in transaction.expectations
         ],
         "put": [
-            {**_wire_key(one.row_key), "value": b64encode(one.value).decode()}
-            for one in transaction.puts
+            {**_wire_key(put.row_key), "value": b64encode(put.value).decode()}
+            for put in transaction.puts
         ],
-        "remove": [_wire_key(one) for one in transaction.removals],
+        "remove": [_wire_key(row_key) for row_key in transaction.removals],
     }
     if transaction.spans_parts:
         wire["across"] = True
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -34,7 +34,7 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 JOBS_PAUSE_S = 0.1
-REFUSED_FOR_MS = 500.0
+STORE_REFUSAL_THRESHOLD_MS = 500.0
 """A store that has not answered this node for so long, and answers others, turns it away: clients
 with jobs are sent on. A single lost answer is none."""
 
@@ -47,10 +47,10 @@
         adapter: Adapter,
         settings: ServingSettings,
         fleet: FleetParts,
-        knowledge: FleetState,
-        loads: InFlightTracker,
+        fleet_state: FleetState,
+        in_flight: InFlightTracker,
         pool: ReplicaPool,
-        witness: CrashDetector,
+        crash_detector: CrashDetector,
         store: Store,
         health: StoreHealth,
         store_clock: StoreClock,
@@ -65,13 +65,13 @@
         self.view = JobView()
         cache = ResultCache()
         committer = Committer(store, health, clock)
-        caller = ItemCaller(adapter.codec, pool, knowledge.directory, clock)
+        caller = ItemCaller(adapter.codec, pool, fleet_state.directory, clock)
         self.runner = BatchRunner(
-            knowledge.configuration,
-            knowledge.directory,
-            loads,
+            fleet_state.configuration,
+            fleet_state.directory,
+            in_flight,
             caller,
-            witness,
+            crash_detector,
             fleet.link,
             self._on_finished,
             self._on_orphans,
@@ -83,9 +83,9 @@
         )
         fleet.link.batch_handler = self.runner
         self._store_time = store_clock.now
-        fleet.scheduler.set_store_time(self._store_ms)
+        fleet.scheduler.set_store_time(self._earliest_store_ms)
         self.lister = ResultLister(committer, self.view, cache, self.runner.drop, log, clock)
-        self.reader = JobReader(store, self.view, self._is_run_here, cache, clock)
+        self.reader = JobReader(store, self.view, self._runs_job, cache, clock)
         self.verifier = JobVerifier(self.runner, self.reader, log)
         self.checkpointer = Checkpointer(self.runner, committer, health, self.verifier.verify)
         intake = JobIntake(
@@ -97,9 +97,9 @@
             store_clock.now,
             clock,
             log,
-            self._on_taken,
+            self._on_accepted,
             fleet.link.is_store_available_elsewhere,
-            lambda: health.unavailable_for_ms() > REFUSED_FOR_MS,
+            lambda: health.unavailable_for_ms() > STORE_REFUSAL_THRESHOLD_MS,
             random,
         )
         self.service = JobService(
@@ -120,8 +120,8 @@
             JOB_TABLE,
             store,
             health,
-            self._on_jobs,
-            self._on_jobs,
+            self._apply_job_rows,
+            self._apply_job_rows,
             JOBS_PAUSE_S,
             log,
             clock,
@@ -152,17 +152,17 @@
             self.sweeper.run,
         ]
 
-    def _store_ms(self) -> float | None:
+    def _earliest_store_ms(self) -> float | None:
         time = self._store_time()
         return None if time is None else time.earliest_ms
 
-    def _is_run_here(self, job_id: str) -> bool:
+    def _runs_job(self, job_id: str) -> bool:
         return job_id in self.runner.jobs
 
-    async def _on_jobs(self, page: RowPage) -> None:
+    async def _apply_job_rows(self, page: RowPage) -> None:
         await self.view.apply_page(page)
 
-    async def _on_taken(self, job: JobRun) -> None:
+    async def _on_accepted(self, job: JobRun) -> None:
         if not self._fleet.link.is_leaving and job.job_id not in self.runner.jobs:
             await self.runner.add(job)
 
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -27,7 +27,7 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.startup import Stage
 
-DIRECTORY_STALE_S = 1.5
+MAX_DIRECTORY_AGE_S = 1.5
 """A list of replicas that was not confirmed for so long is read from the store by the node itself.
 A replica may be sent requests for two seconds or more after it began to leave."""
 
@@ -41,8 +41,8 @@
         self,
         settings: ServingSettings,
         run: str,
-        knowledge: FleetState,
-        loads: InFlightTracker,
+        fleet_state: FleetState,
+        in_flight: InFlightTracker,
         store: Store,
         health: StoreHealth,
         log: ServingLog,
@@ -51,37 +51,39 @@
     ) -> None:
         host = settings.peer_address[0]
         self.identity = Identity(settings.node, run, host, settings.zone, settings.cores)
-        self._knowledge = knowledge
+        self._fleet_state = fleet_state
         self._health = health
         self._clock = clock
         self._log = log
         self.transport = DatagramTransport(settings.peer_address, log)
         self.leader = LeaderView(self.identity, clock())
         self.features = Features(
-            knowledge.configuration, settings.is_memory_scarce, settings.tolerance.zones
+            fleet_state.configuration, settings.is_memory_scarce, settings.tolerance.zones
         )
-        self.features.on_change = self._note_feature
+        self.features.on_change = self._log_feature
         self.scheduler = Scheduler(
-            knowledge.directory,
-            knowledge.configuration,
+            fleet_state.directory,
+            fleet_state.configuration,
             ServiceTimes(),
             settings.quota_bounds,
-            knowledge.crash_ledger,
+            fleet_state.crash_ledger,
             random,
             self.features,
         )
-        self.scheduler.reachability.on_change = self._note_reach
-        self.scheduler.slowdowns.on_change = self._note_pace
-        self.cases = CrashRecordSync(knowledge.crash_ledger, self.transport, log, clock)
+        self.scheduler.reachability.on_change = self._log_reachability
+        self.scheduler.slowdowns.on_change = self._log_slowdown
+        self.crash_record_sync = CrashRecordSync(
+            fleet_state.crash_ledger, self.transport, log, clock
+        )
         self.coordinator = Coordinator(
             self.identity,
             self.leader,
             self.transport,
             self.scheduler,
-            knowledge.configuration,
-            knowledge.directory,
+            fleet_state.configuration,
+            fleet_state.directory,
             health,
-            self.cases,
+            self.crash_record_sync,
             log,
             clock,
         )
@@ -90,21 +92,21 @@
             self.leader,
             self.coordinator,
             self.transport,
-            loads,
-            knowledge.configuration,
-            knowledge.directory,
+            in_flight,
+            fleet_state.configuration,
+            fleet_state.directory,
             health,
-            self.cases,
+            self.crash_record_sync,
             list(settings.seeds),
             log,
             clock,
         )
-        self.slots = SlotTimeReporter(self.scheduler, self._note_slot_time)
+        self.slot_time_reporter = SlotTimeReporter(self.scheduler, self._log_slot_time)
         shares, item_shares = self.scheduler.online_shares, self.scheduler.item_shares
-        self.shares = FairShareReporter(shares, item_shares, self._note_held_back)
+        self.fair_share_reporter = FairShareReporter(shares, item_shares, self._log_throttled)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
-        self.link.on_placement = knowledge.startup.record_placement
+        self.link.on_placement = fleet_state.startup.record_placement
         self.election = Election(
             self.identity,
             self.leader,
@@ -117,32 +119,34 @@
             clock,
             random,
         )
-        self._take_leadership = self.link.on_leadership_change
+        self._client_on_leadership = self.link.on_leadership_change
         self.link.on_leadership_change = self._on_leadership
 
     def _tick(self, now: float) -> None:
-        self.slots.tick(now)
-        self.shares.tick(now)
+        self.slot_time_reporter.tick(now)
+        self.fair_share_reporter.tick(now)
 
-    def _note_held_back(self, held_back: ThrottledRequests) -> None:
+    def _log_throttled(self, throttled: ThrottledRequests) -> None:
         self._log.write(
             catalogue.TENANTS_HELD_BACK,
-            tenants=held_back.by_tenant,
-            others=held_back.others,
-            bad_figures=held_back.invalid_count,
+            tenants=throttled.by_tenant,
+            others=throttled.others,
+            bad_figures=throttled.invalid_count,
         )
 
-    def _note_slot_time(self, uses: dict[SlotUse, float]) -> None:
-        told = {use.value: round(seconds, 2) for use, seconds in uses.items() if seconds > 0}
-        self._log.write(catalogue.SLOT_TIME, **told)
+    def _log_slot_time(self, seconds_by_use: dict[SlotUse, float]) -> None:
+        rounded = {
+            use.value: round(seconds, 2) for use, seconds in seconds_by_use.items() if seconds > 0
+        }
+        self._log.write(catalogue.SLOT_TIME, **rounded)
 
-    def _note_reach(self, change: ReachabilityChange) -> None:
+    def _log_reachability(self, change: ReachabilityChange) -> None:
         event = catalogue.ZONE_REACHABLE if change.is_reachable else catalogue.ZONE_UNREACHABLE
         self._log.write(
             event, zone=change.zone, source=change.source, evidence=change.evidence.value
         )
 
-    def _note_pace(self, replica_id: str, factor: float, is_unusual: bool) -> None:
+    def _log_slowdown(self, replica_id: str, factor: float, is_unusual: bool) -> None:
         self._log.write(
             catalogue.REPLICA_PACE_CHANGED,
             replica=replica_id,
@@ -150,13 +154,13 @@
             is_unusual=is_unusual,
         )
 
-    def _note_feature(self, state: FeatureState) -> None:
+    def _log_feature(self, state: FeatureState) -> None:
         self._log.write(
             catalogue.FEATURE_CHANGED,
             feature=state.feature.value,
             is_on=state.is_on,
             reason=state.reason,
-            configuration=self._knowledge.configuration.version,
+            configuration=self._fleet_state.configuration.version,
         )
 
     async def receive(self) -> None:
@@ -165,25 +169,25 @@
 
     async def handle_message(self, message: Datagram, host: str) -> None:
         """Pass a datagram to the part that it is for."""
-        self._knowledge.startup.record_stage(Stage.PEER)
+        self._fleet_state.startup.record_stage(Stage.PEER)
         match message:
             case Report():
                 await self.coordinator.handle_report(message, host)
             case Snapshot():
                 await self.election.handle_snapshot(message, host)
             case ConfigurationCopy():
-                self._knowledge.take_configuration(message.configuration, "peer")
+                self._fleet_state.apply_configuration(message.configuration, "peer")
             case StoreReturned():
                 await self._health.hint_recovery()
                 if self.coordinator.is_active and not self._health.is_unavailable:
                     self.coordinator.broadcast_store_returned()
             case _:
                 await self.link.handle_message(message, host)
-                self._knowledge.note_directory("peer")
+                self._fleet_state.record_directory_source("peer")
 
     async def _on_leadership(self) -> None:
-        self._knowledge.startup.record_stage(Stage.COORDINATOR)
-        await self._take_leadership()
+        self._fleet_state.startup.record_stage(Stage.COORDINATOR)
+        await self._client_on_leadership()
 
     async def _deliver_locally(self, orders: object) -> None:
         await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
@@ -191,10 +195,12 @@
     async def until_directory_needed(self) -> None:
         """Return when this node has to read the list of replicas itself."""
         while not self.coordinator.is_active:
-            rest_s = self._knowledge.directory.confirmed_at + DIRECTORY_STALE_S - self._clock()
-            if rest_s <= 0:
+            remaining_s = (
+                self._fleet_state.directory.confirmed_at + MAX_DIRECTORY_AGE_S - self._clock()
+            )
+            if remaining_s <= 0:
                 return
-            await self.coordinator.wait_until_active_or_timeout(rest_s)
+            await self.coordinator.wait_until_active_or_timeout(remaining_s)
 
     def leave(self) -> None:
         """A planned stop begins: others coordinate, and no more jobs come."""
--- a/src/cloverwalk/serving/fleet_state.py
+++ b/src/cloverwalk/serving/fleet_state.py
@@ -33,16 +33,16 @@
         self.metrics = ServingMetrics()
         """Counts entries that can't be read; set to the node's by who wires it."""
 
-        self._invalid: dict[str, int] = {}
+        self._invalid_versions: dict[str, int] = {}
         """Versions of entries that can't be read, by key: each is told once."""
 
     async def on_configuration(self, page: RowPage) -> None:
         """Take rows of the configuration's table."""
         for row in page.rows:
             if row.row_key.key == self._adapter.configuration_key and row.value is not None:
-                self._take_stored(row.value)
+                self._apply_stored_configuration(row.value)
 
-    def _take_stored(self, raw: bytes) -> None:
+    def _apply_stored_configuration(self, raw: bytes) -> None:
         try:
             configuration = self._adapter.decode_configuration(raw)
         except ValueError as error:
@@ -52,9 +52,9 @@
                 kept=self.configuration.version,
             )
             return
-        self.take_configuration(configuration, "store")
+        self.apply_configuration(configuration, "store")
 
-    def take_configuration(self, configuration: Configuration, source: str) -> None:
+    def apply_configuration(self, configuration: Configuration, source: str) -> None:
         """Take a configuration if it is newer; ``source`` tells in the log where it came from."""
         if not self.configuration.update_if_newer(configuration):
             return
@@ -69,9 +69,9 @@
 
     async def on_all_replicas(self, page: RowPage) -> None:
         """Take the whole list of replicas; entries that can't be read are not in it."""
-        replicas = [one for row in page.rows if (one := self._decode(row)) is not None]
+        replicas = [replica for row in page.rows if (replica := self._decode(row)) is not None]
         for key in self.directory.replace(replicas, page.version):
-            self._forget_replica(key, page.version)
+            self._log_removed_replica(key, page.version)
         self._confirm_directory(page)
 
     async def on_replicas(self, page: RowPage) -> None:
@@ -81,27 +81,27 @@
             if replica is not None:
                 self._put_replica(replica)
             elif self.directory.remove(row.row_key.key, row.version):
-                self._forget_replica(row.row_key.key, row.version)
+                self._log_removed_replica(row.row_key.key, row.version)
         self._confirm_directory(page)
 
     def _decode(self, row: Row) -> Replica | None:
         """Return the replica that a row names to use, None where it names none."""
         key = row.row_key.key
         if row.value is None:
-            self._invalid.pop(key, None)
+            self._invalid_versions.pop(key, None)
             return None
         try:
             replica = self._adapter.decode_replica(key, row.value, row.version)
         except ValueError as error:
-            self._note_invalid(key, row.version, str(error))
+            self._record_invalid_entry(key, row.version, str(error))
             return None
-        self._invalid.pop(key, None)
+        self._invalid_versions.pop(key, None)
         return replica
 
-    def _note_invalid(self, key: str, version: int, error: str) -> None:
-        if self._invalid.get(key) == version:
+    def _record_invalid_entry(self, key: str, version: int, error: str) -> None:
+        if self._invalid_versions.get(key) == version:
             return
-        self._invalid[key] = version
+        self._invalid_versions[key] = version
         self.metrics.replica_entry_invalid()
         self._log.write(
             catalogue.REPLICA_INVALID, replica=key[:200], version=version, error=error[:300]
@@ -118,15 +118,15 @@
             version=replica.version,
         )
 
-    def _forget_replica(self, replica_id: str, version: int) -> None:
+    def _log_removed_replica(self, replica_id: str, version: int) -> None:
         self._log.write(catalogue.REPLICA_REMOVED, replica=replica_id, version=version)
 
     def _confirm_directory(self, page: RowPage) -> None:
         self.directory.version = max(self.directory.version, page.version)
         self.directory.confirmed_at = self._clock()
-        self.note_directory("store")
+        self.record_directory_source("store")
 
-    def note_directory(self, source: str) -> None:
+    def record_directory_source(self, source: str) -> None:
         """The list of replicas was told; ``source`` tells in the log by whom."""
         if not self.directory.is_empty:
             self.startup.record_stage(Stage.REPLICAS, source)
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -41,17 +41,17 @@
 from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 CONFIGURATION_PAUSE_S = 0.05
-HOUSEKEEPING_S = 2.0
-LEAVE_VISIBLE_S = 2.6
+HOUSEKEEPING_INTERVAL_S = 2.0
+STOP_PROPAGATION_S = 2.6
 """After an order to stop, new connections come for about this long."""
 
 STOP_MARGIN_S = 0.7
-LAST_BEGIN_SHARE = 0.35
+NO_NEW_WORK_FRACTION = 0.35
 """Share of the grace time, before the end, in which nothing new begins: 2.8 of 8 s, more than most
 requests take. The platform sends requests to leaving nodes where few of a zone are ready."""
 
 RESERVED_DESCRIPTORS = 800
-SIDE_CONNECTIONS = 32
+MAX_INTERNAL_CONNECTIONS = 32
 
 
 class ServingNode:
@@ -68,8 +68,8 @@
         self._log = ServingLog(settings.node, self._clock, log_descriptor)
         self._metrics = ServingMetrics()
         # Loading the program takes processor time, and nothing else yet.
-        began_at = self._clock() - time.process_time()
-        self._startup = StartupLog(self._log, self._clock, began_at)
+        started_at = self._clock() - time.process_time()
+        self._startup = StartupLog(self._log, self._clock, started_at)
         self._stop = curio.UniversalEvent()
         self._reload = curio.UniversalEvent()
         self._stop_flag = OnceFlag()
@@ -89,8 +89,8 @@
         self._directory = self._knowledge.directory
         self._loads = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
         self._health = StoreHealth(Clock(self._clock))
-        self._health.on_call = self._note_store_call
-        self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
+        self._health.on_call = self._record_store_call
+        self._store_clock = StoreClock(Clock(self._clock), self._log_store_clock_jump)
         self._store = MonitoredStore(
             self._adapter.create_store(self._settings), self._health, self._store_clock
         )
@@ -104,11 +104,11 @@
             self._clock,
         )
 
-        self._restarts = RestartHandler(
+        self._restart_handler = RestartHandler(
             self._directory, self._pool, self._witness, self._log, self._metrics, self._clock
         )
 
-    def _note_store_clock(self, jump_ms: float) -> None:
+    def _log_store_clock_jump(self, jump_ms: float) -> None:
         self._log.write(catalogue.STORE_CLOCK_JUMPED, jump_ms=round(jump_ms, 1))
 
     def _build_fleet(self) -> None:
@@ -123,9 +123,9 @@
             self._clock,
             self._random,
         )
-        self._fleet.cases.on_contained = self._witness.record_contained
+        self._fleet.crash_record_sync.on_contained = self._witness.record_contained
         self._witness.on_crash = self._fleet.link.trigger_report
-        self._store_watch = StoreProbe(self._store, self._health, self._fleet)
+        self._store_probe = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
             self._settings,
@@ -144,7 +144,7 @@
             self._random,
         )
         self._case_keeper = CrashRecordStore(
-            self._fleet.cases,
+            self._fleet.crash_record_sync,
             self._fleet.coordinator,
             self._store,
             self._health,
@@ -178,7 +178,7 @@
 
     def _build_gateway(self) -> None:
         settings = self._settings
-        self._refusals = QuotaRefusalCache(self._log, self._clock)
+        self._quota_refusals = QuotaRefusalCache(self._log, self._clock)
         relay = OnlineRelay(
             self._adapter.codec,
             self._directory,
@@ -188,13 +188,13 @@
             self._metrics,
             self._clock,
             self._fleet.link,
-            self._refusals,
+            self._quota_refusals,
             ContainmentGate(self._witness, self._metrics),
         )
-        most = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
-        self._clients = self._server(settings.client_address, self._handle, most)
-        self._room = self._watch_room(most)
-        self._calls = RequestHandler(
+        max_connections = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
+        self._clients = self._create_server(settings.client_address, self._handle, max_connections)
+        self._resource_monitor = self._create_resource_monitor(max_connections)
+        self._request_handler = RequestHandler(
             self._adapter,
             self._configuration,
             relay,
@@ -202,22 +202,24 @@
             self._log,
             self._metrics,
             lambda: self._clock() < self._last_begin_at,
-            self._room,
+            self._resource_monitor,
+        )
+        self._ready = self._create_server(
+            settings.ready_address, self._answer_ready, MAX_INTERNAL_CONNECTIONS
         )
-        self._ready = self._server(settings.ready_address, self._answer_ready, SIDE_CONNECTIONS)
         self._metrics_server: GatewayServer | None = None
         if settings.metrics_address is not None:
-            self._metrics_server = self._server(
-                settings.metrics_address, self._answer_metrics, SIDE_CONNECTIONS
+            self._metrics_server = self._create_server(
+                settings.metrics_address, self._answer_metrics, MAX_INTERNAL_CONNECTIONS
             )
 
-    def _watch_room(self, most_connections: int) -> ResourceMonitor | None:
+    def _create_resource_monitor(self, max_connections: int) -> ResourceMonitor | None:
         """Return what watches this machine's room, where the settings call for it."""
         if not self._fleet.features.is_on(Feature.NODE_CAPACITY):
             return None
-        room = ResourceMonitor(
+        monitor = ResourceMonitor(
             self._settings,
-            most_connections,
+            max_connections,
             self._clients,
             self._batch.runner,
             self._fleet.link,
@@ -225,13 +227,13 @@
             self._clock,
             time.process_time,
         )
-        self._fleet.coordinator.must_hand_over = room.must_hand_over
-        return room
+        self._fleet.coordinator.must_hand_over = monitor.must_hand_over
+        return monitor
 
     async def _handle(self, request: ClientRequest, reply: Reply) -> None:
-        await self._calls.handle(request, reply)
+        await self._request_handler.handle(request, reply)
 
-    def _server(
+    def _create_server(
         self,
         address: tuple[str, int],
         on_request: Callable[[ClientRequest, Reply], Awaitable[None]],
@@ -255,10 +257,10 @@
         self._log.write(catalogue.SERVING_STARTED, incarnation=incarnation)
         async with curio.TaskGroup(wait=None) as tasks:
             for loop in self._loops():
-                await tasks.spawn(self._guarded, loop)
+                await tasks.spawn(self._run_restarting, loop)
             await tasks.spawn(self._reload_loop)
             await self._stop.wait()
-            await self._leave()
+            await self._shut_down()
         self._log.write(catalogue.SERVING_STOPPED, serving=self._clients.serving_count)
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
@@ -271,18 +273,18 @@
             self._fleet.election.run,
             self._configuration_follower.run,
             self._replica_follower.run,
-            self._store_watch.run,
+            self._store_probe.run,
             self._case_keeper.run,
             self._housekeeping,
             *self._batch.loops(),
         ]
-        if self._room is not None:
-            loops.append(self._room.run)
+        if self._resource_monitor is not None:
+            loops.append(self._resource_monitor.run)
         if self._metrics_server is not None:
             loops.append(self._metrics_server.serve)
         return loops
 
-    async def _guarded(self, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Start a loop again when it fails: no single fault ends the process."""
         while True:
             try:
@@ -321,24 +323,24 @@
             self._fleet.link.use_seeds(list(settings.seeds))
             self._log.write(catalogue.SETTINGS_RELOADED, seeds=len(settings.seeds))
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         """Planned stop: no longer ready, hand jobs over, finish what is in hand, go."""
-        began_at = self._clock()
-        until = began_at + self._settings.grace_s - STOP_MARGIN_S
-        self._last_begin_at = until - LAST_BEGIN_SHARE * self._settings.grace_s
+        started_at = self._clock()
+        deadline = started_at + self._settings.grace_s - STOP_MARGIN_S
+        self._last_begin_at = deadline - NO_NEW_WORK_FRACTION * self._settings.grace_s
         self._log.write(catalogue.SERVING_STOPPING, serving=self._clients.serving_count)
         self.is_leaving = True
         self._fleet.leave()
         self._clients.is_stopping = True
         await self._fleet.link.trigger_report()
-        handing_over = await curio.spawn(self._batch.takeover.hand_over)
-        while self._clock() < until:
+        handover = await curio.spawn(self._batch.takeover.hand_over)
+        while self._clock() < deadline:
             await curio.sleep(0.1)
             await self._clients.close_idle()
-            is_visible = self._clock() - began_at < LEAVE_VISIBLE_S
-            if not is_visible and self._clients.serving_count == 0 and handing_over.terminated:
+            is_visible = self._clock() - started_at < STOP_PROPAGATION_S
+            if not is_visible and self._clients.serving_count == 0 and handover.terminated:
                 break
-        await handing_over.cancel()
+        await handover.cancel()
 
     # --- readiness and metrics ---
 
@@ -349,12 +351,12 @@
             not self.is_leaving
             and self._configuration.current is not None
             and not self._directory.is_empty
-            and (self._room is None or self._room.overload_monitor.is_ready)
+            and (self._resource_monitor is None or self._resource_monitor.overload_monitor.is_ready)
         )
 
     async def _answer_ready(self, request: ClientRequest, reply: Reply) -> None:
-        is_asked = self._adapter.is_readiness_probe(request.target)
-        status = 404 if not is_asked else 200 if self.is_ready else 503
+        is_probe = self._adapter.is_readiness_probe(request.target)
+        status = 404 if not is_probe else 200 if self.is_ready else 503
         await reply.respond(status, [], b"")
 
     async def _answer_metrics(self, request: ClientRequest, reply: Reply) -> None:
@@ -369,25 +371,30 @@
         metrics.gauge("cloverwalk_jobs_owned", "Jobs run here", len(self._batch.runner.jobs))
         metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
         coordinator = self._fleet.coordinator
-        known = len(coordinator.registry.live()) if coordinator.is_active else 0
-        uses = self._fleet.slots.slot_time.seconds
-        paces = self._fleet.scheduler.slowdowns
-        metrics.replica_slowdowns = paces.counts_by_class()
-        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.invalid_count)
-        metrics.slot_seconds = {use.value: seconds for use, seconds in uses.items()}
-        metrics.share_ms = self._fleet.shares.slot_ms()
+        node_count = len(coordinator.registry.live()) if coordinator.is_active else 0
+        seconds_by_use = self._fleet.slot_time_reporter.slot_time.seconds
+        slowdowns = self._fleet.scheduler.slowdowns
+        metrics.replica_slowdowns = slowdowns.counts_by_class()
+        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", slowdowns.invalid_count)
+        metrics.slot_seconds = {use.value: seconds for use, seconds in seconds_by_use.items()}
+        metrics.share_ms = self._fleet.fair_share_reporter.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
-        shut = self._fleet.scheduler.reachability.unreachable_count
-        metrics.gauge("cloverwalk_zones_unreachable", "Pairs of zones, as seen here", shut)
-        metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", known)
-        if self._room is not None:
-            self._room.update_metrics(metrics)
+        unreachable_count = self._fleet.scheduler.reachability.unreachable_count
+        metrics.gauge(
+            "cloverwalk_zones_unreachable", "Pairs of zones, as seen here", unreachable_count
+        )
+        metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", node_count)
+        if self._resource_monitor is not None:
+            self._resource_monitor.update_metrics(metrics)
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         await reply.respond(200, [content_type], metrics.render())
 
-    def _on_refused(self, answer: ErrorResponse) -> None:
+    def _on_refused(self, response: ErrorResponse) -> None:
         self._log.write(
-            catalogue.CALL_REFUSED, status=answer.status, code=answer.code, work=answer.work.value
+            catalogue.CALL_REFUSED,
+            status=response.status,
+            code=response.code,
+            work=response.work.value,
         )
 
     def _limits(self) -> ClientLimits:
@@ -396,17 +403,17 @@
 
     # --- housekeeping ---
 
-    def _note_store_call(self, is_answered: bool) -> None:
+    def _record_store_call(self, is_answered: bool) -> None:
         stage = Stage.STORE_ANSWER if is_answered else Stage.STORE_REFUSAL
         self._startup.record_stage(stage)
 
     async def _housekeeping(self) -> None:
         while True:
-            await curio.sleep(HOUSEKEEPING_S)
+            await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._fleet.features.notify_changes()
-            self._restarts.abort_stale()
+            self._restart_handler.abort_stale()
             await self._pool.close_expired()
-            self._refusals.expire()
+            self._quota_refusals.expire()
             self._witness.expire()
             slept_s = self._suspensions.check()
             if slept_s > 0:
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -20,8 +20,8 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
 
-LONGEST_WAIT_S = 1.0
-STARTING_S = 1.0
+MAX_WAIT_S = 1.0
+STARTING_RETRY_S = 1.0
 """A process that has just started has its configuration by then, as a rule."""
 
 STOPPING_RETRY_AFTER_S = 0.02
@@ -39,8 +39,8 @@
         jobs: JobService,
         log: ServingLog,
         metrics: ServingMetrics,
-        may_begin: Callable[[], bool],
-        room: ResourceMonitor | None = None,
+        accepts_requests: Callable[[], bool],
+        resource_monitor: ResourceMonitor | None = None,
     ) -> None:
         self._adapter = adapter
         self._codec = adapter.codec
@@ -49,8 +49,8 @@
         self._jobs = jobs
         self._log = log
         self._metrics = metrics
-        self._may_begin = may_begin
-        self._room = room
+        self._accepts_requests = accepts_requests
+        self._resource_monitor = resource_monitor
 
     async def handle(self, request: ClientRequest, reply: Reply) -> None:
         """Serve one request to its final answer."""
@@ -67,20 +67,20 @@
             # The relay knows what it sends, and makes the final answer by that.
             await self._relay.handle(request, route, reply)
 
-    async def _refuse(self, request: ClientRequest, reply: Reply, answer: ErrorResponse) -> None:
+    async def _refuse(self, request: ClientRequest, reply: Reply, response: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED,
             request=request.fields.request_id,
             target=request.target[:80],
             tenant=request.tenant,
-            status=answer.status,
-            code=answer.code,
-            work=answer.work.value,
+            status=response.status,
+            code=response.code,
+            work=response.work.value,
             configuration=self._configuration.version,
         )
-        self._metrics.request_ended("call", answer.code, 0.0)
-        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
-        await reply.respond(answer.status, headers, answer.body)
+        self._metrics.request_ended("call", response.code, 0.0)
+        headers = self._codec.local_reply_headers(request.fields.request_id, response.retry_after_s)
+        await reply.respond(response.status, headers, response.body)
 
     async def _dispatch(
         self, request: ClientRequest, reply: Reply, writes: JobWriteTracker
@@ -88,17 +88,17 @@
         """Serve a call on a job or a hand-in; return the route of an online request."""
         if self._configuration.current is None:
             message = "this node is starting"
-            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_S)
+            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_S)
         call = self._codec.job_call(request.method, request.target)
         self._identify(request, is_job_call=call is not None)
         if call is not None:
             await self._job_call(request, call, reply, writes)
             return None
-        if not self._may_begin():
+        if not self._accepts_requests():
             message = "this node ends too soon"
             raise GatewayError(Reason.UNAVAILABLE, "stopping", message, STOPPING_RETRY_AFTER_S)
-        if self._room is not None and self._room.is_over:
-            raise _node_full("this node's machine is full")
+        if self._resource_monitor is not None and self._resource_monitor.is_overloaded:
+            raise _node_full_error("this node's machine is full")
         route = self._route(request)
         if route.kind is not RouteKind.BATCH:
             return route
@@ -125,7 +125,7 @@
     ) -> None:
         match call:
             case ReadJob():
-                wait_s = min(LONGEST_WAIT_S, request.fields.wait_s)
+                wait_s = min(MAX_WAIT_S, request.fields.wait_s)
                 page = await self._jobs.read(call.job_id, request.tenant, call.position, wait_s)
                 body = self._adapter.encode_result_page(page)
                 await reply.respond(200, self._adapter.json_headers, body)
@@ -153,14 +153,16 @@
             raise GatewayError(Reason.INVALID, "job_invalid", str(error)) from error
         if not items or len(items) > MAX_ITEMS:
             raise GatewayError(Reason.INVALID, "job_invalid", f"a job has 1 to {MAX_ITEMS} items")
-        if len({one.item_id for one in items}) != len(items):
+        if len({item.item_id for item in items}) != len(items):
             raise GatewayError(Reason.INVALID, "job_invalid", "two items have the same id")
         if self._configuration.has_tenants:
             for item in items:
                 item.headers = self._without_key(item.headers)
-        size = sum(len(one.body) for one in items)
-        if self._room is not None and not self._room.takes_job(size):
-            raise _node_full("this node has no room for the job")
+        size = sum(len(item.body) for item in items)
+        if self._resource_monitor is not None and not self._resource_monitor.reserve_job_memory(
+            size
+        ):
+            raise _node_full_error("this node has no room for the job")
         submission = Submission(
             request.fields.request_id,
             request.host,
@@ -175,5 +177,5 @@
         await reply.respond(202, headers, b"{}")
 
 
-def _node_full(message: str) -> GatewayError:
+def _node_full_error(message: str) -> GatewayError:
     return GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -19,7 +19,7 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-LOOK_EVERY_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """The platform asks once a second whether a node is ready."""
 
 HAND_OVER_AFTER_S = 3.0
@@ -33,39 +33,39 @@
     def __init__(
         self,
         settings: ServingSettings,
-        most_connections: int,
+        max_connections: int,
         clients: GatewayServer,
         runner: BatchRunner,
-        link: CoordinatorClient,
+        coordinator_client: CoordinatorClient,
         log: ServingLog,
         clock: Callable[[], float],
         processor_s: Callable[[], float],
     ) -> None:
-        held_bytes = int(BUDGET_SHARE * settings.machine.memory_bytes)
-        size = MachineCapacity(
-            most_connections,
+        budget_bytes = int(BUDGET_SHARE * settings.machine.memory_bytes)
+        capacity = MachineCapacity(
+            max_connections,
             settings.machine.link_bytes_per_s,
             min(1.0, settings.cores),
-            held_bytes,
+            budget_bytes,
         )
-        self.memory_budget = MemoryBudget(held_bytes)
-        self.overload_monitor = OverloadMonitor(size, clock())
+        self.memory_budget = MemoryBudget(budget_bytes)
+        self.overload_monitor = OverloadMonitor(capacity, clock())
         self._clients = clients
         self._runner = runner
-        self._link = link
+        self._coordinator_client = coordinator_client
         self._log = log
         self._clock = clock
         self._processor_s = processor_s
-        self._is_told_full = False
+        self._is_logged_full = False
         clients.memory_budget = self.memory_budget
-        link.on_zone_utilization = self._note_peers
+        coordinator_client.on_zone_utilization = self._on_zone_utilization
 
     @property
-    def is_over(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether new requests and jobs are refused."""
         return self.overload_monitor.state is OverloadState.OVERLOADED
 
-    def takes_job(self, size: int) -> bool:
+    def reserve_job_memory(self, size: int) -> bool:
         """Whether there is memory for a job with so many bytes of bodies; counts it if so."""
         if not self.memory_budget.has_capacity_for_job(size):
             return False
@@ -80,19 +80,19 @@
     def update_metrics(self, metrics: ServingMetrics) -> None:
         """Set the figures of this machine's room."""
         metrics.utilization = {
-            one.value: share for one, share in self.overload_monitor.by_resource.items()
+            resource.value: share for resource, share in self.overload_monitor.by_resource.items()
         }
         metrics.gauge(
             "cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes
         )
-        given_up = self.memory_budget.dropped_readers_total
-        metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
+        dropped_readers = self.memory_budget.dropped_readers_total
+        metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", dropped_readers)
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            due_at = self._clock() + LOOK_EVERY_S
-            await curio.sleep(LOOK_EVERY_S)
+            due_at = self._clock() + CHECK_INTERVAL_S
+            await curio.sleep(CHECK_INTERVAL_S)
             self.check(max(0.0, self._clock() - due_at))
 
     def check(self, late_s: float) -> None:
@@ -108,40 +108,42 @@
         if not self.overload_monitor.update(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
         # 0 would say that nobody measures it.
-        self._link.utilization_percent = max(1, round(100 * self.overload_monitor.utilization))
-        self._tell_full()
-        self._tell_given_up()
+        self._coordinator_client.utilization_percent = max(
+            1, round(100 * self.overload_monitor.utilization)
+        )
+        self._log_fullness_change()
+        self._log_dropped_readers()
 
-    def _note_peers(self, percent: int) -> None:
+    def _on_zone_utilization(self, percent: int) -> None:
         if not self.overload_monitor.set_peer_utilization(percent, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, zone_percent=percent)
 
-    def _tell_full(self) -> None:
+    def _log_fullness_change(self) -> None:
         is_full = self.overload_monitor.state is not OverloadState.NORMAL
-        if is_full == self._is_told_full:
+        if is_full == self._is_logged_full:
             return
-        self._is_told_full = is_full
+        self._is_logged_full = is_full
         self._log.write(
             catalogue.NODE_FULL if is_full else catalogue.NODE_TAKES_AGAIN,
             verdict=self.overload_monitor.state.value,
             scarcest=self.overload_monitor.scarcest.value,
-            percent=self._link.utilization_percent,
+            percent=self._coordinator_client.utilization_percent,
             **{
-                one.value: round(100 * share)
-                for one, share in self.overload_monitor.by_resource.items()
+                resource.value: round(100 * share)
+                for resource, share in self.overload_monitor.by_resource.items()
             },
         )
 
-    def _tell_given_up(self) -> None:
+    def _log_dropped_readers(self) -> None:
         """One line for all clients that were given up since the last look."""
-        told = self.memory_budget.take_dropped_readers()
-        if told.count == 0:
+        dropped = self.memory_budget.take_dropped_readers()
+        if dropped.count == 0:
             return
         self._log.write(
             catalogue.READERS_GIVEN_UP,
-            clients=told.count,
-            most_bytes=told.max_bytes,
-            longest_s=round(told.max_stalled_s, 2),
+            clients=dropped.count,
+            most_bytes=dropped.max_bytes,
+            longest_s=round(dropped.max_stalled_s, 2),
             held_bytes=self.memory_budget.total_bytes,
             limit_bytes=self.memory_budget.limit,
         )
--- a/src/cloverwalk/serving/store_probe.py
+++ b/src/cloverwalk/serving/store_probe.py
@@ -9,10 +9,10 @@
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import Store, StoreError
 
-PROBE_EVERY_MS = 100.0
+COORDINATOR_PROBE_INTERVAL_MS = 100.0
 """How often the coordinator asks a lost store whether it is back; it tells the other nodes."""
 
-FAR_PROBE_EVERY_MS = 400.0
+NODE_PROBE_INTERVAL_MS = 400.0
 """The same at other nodes, which may be the only ones that the store turned away."""
 
 PROBE_TIMEOUT_S = 0.3
@@ -30,20 +30,22 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            await self._health.wait_until_lost()
+            await self._health.wait_until_unavailable()
             while self._health.is_unavailable:
-                is_near = self._fleet.coordinator.is_active
-                pause_ms = PROBE_EVERY_MS if is_near else FAR_PROBE_EVERY_MS
-                await self._health.wait_for_recovery_hint(pause_ms)
+                is_coordinator = self._fleet.coordinator.is_active
+                interval_ms = (
+                    COORDINATOR_PROBE_INTERVAL_MS if is_coordinator else NODE_PROBE_INTERVAL_MS
+                )
+                await self._health.wait_for_recovery_hint(interval_ms)
                 await self._probe()
-            self._tell_returned()
+            self._send_store_returned()
 
     async def _probe(self) -> None:
         async with curio.ignore_after(PROBE_TIMEOUT_S):
             with contextlib.suppress(StoreError):
                 await self._store.read(PROBE_TABLE, "", "coordinator", "", 1)
 
-    def _tell_returned(self) -> None:
+    def _send_store_returned(self) -> None:
         """Tell the nodes at once, or the coordinator, which tells them."""
         if self._fleet.coordinator.is_active:
             self._fleet.coordinator.broadcast_store_returned()
--- a/src/cloverwalk/store/clock.py
+++ b/src/cloverwalk/store/clock.py
@@ -6,7 +6,7 @@
 
 from cloverwalk.core.clock import Clock
 
-MOST_DRIFT = 200e-6
+MAX_DRIFT = 200e-6
 """How much faster or slower than the store's a machine's steady clock may run; twice what quartz
 clocks are specified for (100 ppm)."""
 
@@ -46,29 +46,29 @@
     def __init__(self, clock: Clock, on_jump: Callable[[float], None] = _ignore) -> None:
         self._clock = clock
         self._on_jump = on_jump
-        self._least_ahead_ms = float("-inf")
-        self._most_ahead_ms = float("inf")
-        self._told_at_ms: float | None = None
+        self._min_offset_ms = float("-inf")
+        self._max_offset_ms = float("inf")
+        self._answered_at_ms: float | None = None
 
-    def steady_ms(self) -> float:
+    def monotonic_ms(self) -> float:
         """Return this machine's steady time, to be noted before a call."""
         return self._clock.now_ms()
 
-    def record_answer(self, store_ms: float, asked_at_ms: float) -> None:
-        """Take the time that the answer to a call sent at ``asked_at_ms`` (steady) told."""
+    def record_answer(self, store_ms: float, sent_at_ms: float) -> None:
+        """Take the time that the answer to a call sent at ``sent_at_ms`` (steady) told."""
         at_ms = self._clock.now_ms()
-        least_ms, most_ms = store_ms - at_ms, store_ms - asked_at_ms
-        if self._told_at_ms is not None:
-            drift_ms = MOST_DRIFT * (at_ms - self._told_at_ms)
-            self._least_ahead_ms -= drift_ms
-            self._most_ahead_ms += drift_ms
-        jump_ms = max(least_ms - self._most_ahead_ms, self._least_ahead_ms - most_ms)
+        min_offset_ms, max_offset_ms = store_ms - at_ms, store_ms - sent_at_ms
+        if self._answered_at_ms is not None:
+            drift_ms = MAX_DRIFT * (at_ms - self._answered_at_ms)
+            self._min_offset_ms -= drift_ms
+            self._max_offset_ms += drift_ms
+        jump_ms = max(min_offset_ms - self._max_offset_ms, self._min_offset_ms - max_offset_ms)
         if jump_ms > 0:
             self._on_jump(jump_ms)
-            self._least_ahead_ms, self._most_ahead_ms = least_ms, most_ms
-        self._least_ahead_ms = max(self._least_ahead_ms, least_ms)
-        self._most_ahead_ms = min(self._most_ahead_ms, most_ms)
-        self._told_at_ms = at_ms
+            self._min_offset_ms, self._max_offset_ms = min_offset_ms, max_offset_ms
+        self._min_offset_ms = max(self._min_offset_ms, min_offset_ms)
+        self._max_offset_ms = min(self._max_offset_ms, max_offset_ms)
+        self._answered_at_ms = at_ms
 
     def now(self) -> StoreTime | None:
         """Return the store's time, None before any answer told it.
@@ -76,13 +76,13 @@
         >>> clock = StoreClock(Clock(lambda: 2.0))
         >>> clock.now() is None
         True
-        >>> clock.record_answer(500.0, asked_at_ms=1990.0)
+        >>> clock.record_answer(500.0, sent_at_ms=1990.0)
         >>> clock.now()
         StoreTime(earliest_ms=500.0, latest_ms=510.0)
         """
-        if self._told_at_ms is None:
+        if self._answered_at_ms is None:
             return None
         now_ms = self._clock.now_ms()
-        drift_ms = MOST_DRIFT * (now_ms - self._told_at_ms)
-        earliest_ms = now_ms + self._least_ahead_ms - drift_ms
-        return StoreTime(earliest_ms, now_ms + self._most_ahead_ms + drift_ms)
+        drift_ms = MAX_DRIFT * (now_ms - self._answered_at_ms)
+        earliest_ms = now_ms + self._min_offset_ms - drift_ms
+        return StoreTime(earliest_ms, now_ms + self._max_offset_ms + drift_ms)
--- a/src/cloverwalk/store/types.py
+++ b/src/cloverwalk/store/types.py
@@ -60,9 +60,9 @@
     @property
     def spans_parts(self) -> bool:
         """Whether rows of more than one part are named."""
-        parts = {one.row_key.part for one in self.expectations}
-        parts |= {one.row_key.part for one in self.puts}
-        parts |= {one.part for one in self.removals}
+        parts = {expectation.row_key.part for expectation in self.expectations}
+        parts |= {put.row_key.part for put in self.puts}
+        parts |= {row_key.part for row_key in self.removals}
         return len(parts) > 1
 
 
--- a/src/cloverwalk/telemetry/lateness.py
+++ b/src/cloverwalk/telemetry/lateness.py
@@ -48,7 +48,7 @@
     expected_wait_ms: float
     """What it was expected to wait at its replica for a slot."""
 
-    usual_start_ms: float
+    baseline_start_ms: float
     """What requests of its route usually take from sending to their first event."""
 
     was_queued: bool = False
@@ -69,14 +69,14 @@
         return None
     if times.failures:
         return LateCause.REPLICA_FAILED
-    if times.objective_ms < times.usual_start_ms:
+    if times.objective_ms < times.baseline_start_ms:
         return LateCause.CAME_LATE
     if times.was_queued or times.expected_wait_ms > 0:
         return LateCause.NO_SLOT
     start_ms = times.took_ms - times.placed_after_ms
     if times.placed_after_ms > start_ms:
         return LateCause.COORDINATOR
-    if start_ms > SLOW_START_FACTOR * times.usual_start_ms:
+    if start_ms > SLOW_START_FACTOR * times.baseline_start_ms:
         return LateCause.SLOW_REPLICA
     return LateCause.OTHER
 
@@ -88,7 +88,7 @@
     late_ms: float
     """How long after it was due its result was ready; below zero: in time."""
 
-    given_ms: float
+    available_ms: float
     """From its hand-in to its due time."""
 
     ran_ms: float
@@ -109,12 +109,12 @@
     """
     if times.late_ms <= 0:
         return None
-    if times.given_ms < times.last_run_ms:
+    if times.available_ms < times.last_run_ms:
         return LateCause.CAME_LATE
     if times.failures:
         return LateCause.REPLICA_FAILED
     if times.suspensions and times.ran_ms > times.last_run_ms:
         return LateCause.PREEMPTED
-    if times.last_run_ms > times.given_ms / 2:
+    if times.last_run_ms > times.available_ms / 2:
         return LateCause.SLOW_REPLICA
     return LateCause.NO_SLOT
--- a/src/cloverwalk/telemetry/load_report.py
+++ b/src/cloverwalk/telemetry/load_report.py
@@ -32,15 +32,15 @@
 
 def slot_seconds_of(lines: Iterable[LogLine]) -> list[SlotSecond]:
     """Return what coordinators told, in order of time; figures that are no numbers are left out."""
-    told: dict[int, Counter[str]] = {}
+    uses_by_second: dict[int, Counter[str]] = {}
     for line in lines:
         if line.number != catalogue.SLOT_TIME:
             continue
-        uses = told.setdefault(int(line.time_s // 1), Counter())
+        uses = uses_by_second.setdefault(int(line.time_s // 1), Counter())
         for use, seconds in line.fields.items():
             if isinstance(seconds, int | float):
                 uses[use] += seconds  # type: ignore[assignment]
-    return [SlotSecond(at_s, dict(uses)) for at_s, uses in sorted(told.items())]
+    return [SlotSecond(at_s, dict(uses)) for at_s, uses in sorted(uses_by_second.items())]
 
 
 def late_counts_of(lines: Iterable[LogLine]) -> list[LateCount]:
--- a/src/cloverwalk/telemetry/log.py
+++ b/src/cloverwalk/telemetry/log.py
@@ -27,13 +27,13 @@
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self.lost = 0
+        self.failed_writes = 0
 
     def msg(self, line: str) -> None:
         try:
             os.write(self._descriptor, line.encode() + b"\n")
         except OSError:
-            self.lost += 1
+            self.failed_writes += 1
 
     info = warning = error = msg
 
@@ -66,8 +66,8 @@
     def write(self, number: int, **fields: Any) -> None:
         """Write one event, or count it when the budget is used up."""
         now = self._clock()
-        known = CATALOGUE[number]
-        is_problem = known.level is not LogLevel.INFO
+        event = CATALOGUE[number]
+        is_problem = event.level is not LogLevel.INFO
         needed = 1.0 if is_problem else 1.0 + RESERVED_LINES
         if not self._budget.has(now, needed):
             self._dropped[number] = self._dropped.get(number, 0) + 1
@@ -75,18 +75,18 @@
             return
         self._budget.take(now)
         if self._dropped:
-            self._summarise(now)
-        self._emit(known.level.value, known.name, number, now, fields)
+            self._write_dropped_counts(now)
+        self._emit(event.level.value, event.name, number, now, fields)
 
-    def _summarise(self, now: float) -> None:
+    def _write_dropped_counts(self, now: float) -> None:
         dropped, self._dropped = self._dropped, {}
         counts = {str(number): count for number, count in sorted(dropped.items())}
         summary = CATALOGUE[LINES_DROPPED]
         self._emit(summary.level.value, summary.name, LINES_DROPPED, now, {"counts": counts})
 
     def _emit(self, level: str, name: str, number: int, now: float, fields: Any) -> None:
-        lost = self._writer.lost
+        failed_writes = self._writer.failed_writes
         write = getattr(self._log, level)
         at = round(time.time(), 4)
         write(name, number=number, level=level, at=at, t=round(now, 4), **fields)
-        self.lines_dropped += self._writer.lost - lost
+        self.lines_dropped += self._writer.failed_writes - failed_writes
--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -30,7 +30,7 @@
     >>> latencies = Latencies()
     >>> latencies.observe(0.02), latencies.observe(9.0)
     (None, None)
-    >>> latencies.cumulated()[:3], latencies.cumulated()[-1]
+    >>> latencies.cumulative_counts()[:3], latencies.cumulative_counts()[-1]
     ([('0.01', 0), ('0.025', 1), ('0.05', 1)], ('+Inf', 2))
     """
 
@@ -42,9 +42,9 @@
         self.sum_s += took_s
         self.counts[bisect_left(LATENCY_BUCKETS_S, took_s)] += 1
 
-    def cumulated(self) -> list[tuple[str, int]]:
+    def cumulative_counts(self) -> list[tuple[str, int]]:
         """Return the number of times up to each bound."""
-        bounds = [*(str(one) for one in LATENCY_BUCKETS_S), "+Inf"]
+        bounds = [*(str(bound) for bound in LATENCY_BUCKETS_S), "+Inf"]
         sums = [sum(self.counts[: index + 1]) for index in range(len(bounds))]
         return list(zip(bounds, sums, strict=True))
 
@@ -70,11 +70,11 @@
         self._requests: Counter[tuple[str, str]] = Counter()
         self._failures: Counter[str] = Counter()
         self._items: Counter[str] = Counter()
-        self._broken_off: Counter[str] = Counter()
+        self._connection_closes: Counter[str] = Counter()
         self._containments: Counter[str] = Counter()
         self._invalid_entries = 0
         self._restarts = 0
-        self._odd_figures: Counter[str] = Counter()
+        self._invalid_values: Counter[str] = Counter()
         self.replica_slowdowns: Mapping[str, int] = {}
         """Replicas by pace class, as this node has learnt it while it coordinated."""
 
@@ -102,7 +102,7 @@
 
     def replica_broke_off(self, found: str) -> None:
         """A replica broke connections off, and its address was looked at."""
-        self._broken_off[found] += 1
+        self._connection_closes[found] += 1
 
     def containment_changed(self, event: str) -> None:
         """A request was contained, was refused for it, or is free again."""
@@ -123,7 +123,7 @@
     def replica_load(self, replica_id: str, load: ReplicaLoad) -> None:
         """A replica told its load."""
         self._running[replica_id] = load.running
-        self._odd_figures["slowdown"] += load.has_invalid_slowdown
+        self._invalid_values["slowdown"] += load.has_invalid_slowdown
 
     def gauge(self, name: str, help_text: str, value: float) -> None:
         """Set a plain figure."""
@@ -164,18 +164,18 @@
             shares.add_metric([work, share], slot_ms)
         yield shares
         if self.utilization:
-            fullness = GaugeMetricFamily(
+            utilization = GaugeMetricFamily(
                 "cloverwalk_machine_fullness", "Part in use, by resource", labels=["resource"]
             )
-            for resource, part in self.utilization.items():
-                fullness.add_metric([resource], part)
-            yield fullness
+            for resource, fraction in self.utilization.items():
+                utilization.add_metric([resource], fraction)
+            yield utilization
         for name, help_text, counts, label in (
             ("cloverwalk_attempt_failures", "Failed attempts", self._failures, "code"),
             ("cloverwalk_items", "Ended runs of items", self._items, "outcome"),
-            ("cloverwalk_broken_off", "Replicas that broke off", self._broken_off, "found"),
+            ("cloverwalk_broken_off", "Replicas that broke off", self._connection_closes, "found"),
             ("cloverwalk_containments", "Requests contained", self._containments, "event"),
-            ("cloverwalk_odd_figures", "Replicas' figures dropped", self._odd_figures, "figure"),
+            ("cloverwalk_odd_figures", "Replicas' figures dropped", self._invalid_values, "figure"),
         ):
             counter = CounterMetricFamily(name, help_text, labels=[label])
             for value, count in counts.items():
@@ -200,7 +200,7 @@
         ):
             histogram = HistogramMetricFamily(name, help_text, labels=["route"])
             for route, latencies in by_route.items():
-                histogram.add_metric([route], latencies.cumulated(), latencies.sum_s)
+                histogram.add_metric([route], latencies.cumulative_counts(), latencies.sum_s)
             yield histogram
         running = GaugeMetricFamily(
             "cloverwalk_replica_running",
@@ -210,12 +210,14 @@
         for replica_id, count in self._running.items():
             running.add_metric([replica_id], count)
         yield running
-        paces = GaugeMetricFamily("cloverwalk_replica_paces", "Replicas by pace", labels=["pace"])
+        slowdowns = GaugeMetricFamily(
+            "cloverwalk_replica_paces", "Replicas by pace", labels=["pace"]
+        )
         for name, count in self.replica_slowdowns.items():
-            paces.add_metric([name], count)
-        yield paces
-        for name, (help_text, figure) in self._gauges.items():
-            yield GaugeMetricFamily(name, help_text, value=figure)
+            slowdowns.add_metric([name], count)
+        yield slowdowns
+        for name, (help_text, gauge_value) in self._gauges.items():
+            yield GaugeMetricFamily(name, help_text, value=gauge_value)
         yield from self.tenants.collect(self.tenant_directory)
 
     def render(self) -> bytes:
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -10,10 +10,10 @@
 from cloverwalk.core import catalogue
 from cloverwalk.core.error_response import NOT_RUN_STATUSES, WorkState
 
-BEFORE_S = 3.0
+HISTORY_LEAD_S = 3.0
 """Changes of belief this long before a request's first line belong to its story."""
 
-BELIEFS = frozenset(
+CONTEXT_EVENTS = frozenset(
     {
         catalogue.SERVING_STARTED,
         catalogue.SERVING_STOPPING,
@@ -32,8 +32,8 @@
         catalogue.LINES_DROPPED,
     }
 )
-REFUSALS = frozenset({catalogue.REQUEST_ENDED, catalogue.CALL_REFUSED})
-COMMON = frozenset({"at", "t", "node", "number", "event", "level"})
+REFUSAL_EVENTS = frozenset({catalogue.REQUEST_ENDED, catalogue.CALL_REFUSED})
+COMMON_FIELDS = frozenset({"at", "t", "node", "number", "event", "level"})
 _LEADING_TIME = re.compile(r"^\s*(-?\d+\.\d+)\s")
 
 
@@ -47,10 +47,10 @@
     level: str
     fields: dict[str, Any]
 
-    def names(self, wanted: str) -> bool:
+    def mentions(self, wanted_id: str) -> bool:
         """Whether the line is about a request, item or job."""
         named = (self.fields.get("request"), self.fields.get("job"))
-        return wanted in named or wanted in self.fields.get("requests", ())
+        return wanted_id in named or wanted_id in self.fields.get("requests", ())
 
     def text(self) -> str:
         """Return the line for a reader."""
@@ -69,20 +69,20 @@
     'the work had not begun: nothing was sent; 503 promises that it never will'
     """
     work = line.fields.get("work")
-    if line.number not in REFUSALS or work is None:
+    if line.number not in REFUSAL_EVENTS or work is None:
         return ""
-    begun = work != WorkState.NOT_BEGUN.value
+    may_have_begun = work != WorkState.NOT_BEGUN.value
     status = line.fields.get("status", 0)
     promise = f"{status} promises nothing"
     if status in NOT_RUN_STATUSES:
         promise = f"{status} promises that it never will"
-    state = "may have begun" if begun else "had not begun"
-    return f"the work {state}: {_what_was_sent(line, begun)}; {promise}"
+    state = "may have begun" if may_have_begun else "had not begun"
+    return f"the work {state}: {_describe_attempts(line, may_have_begun)}; {promise}"
 
 
-def _what_was_sent(line: LogLine, begun: bool) -> str:
+def _describe_attempts(line: LogLine, may_have_begun: bool) -> str:
     tried, refused = line.fields.get("tried", 0), line.fields.get("refused", 0)
-    if not begun:
+    if not may_have_begun:
         return f"{refused} replicas did not take it" if refused else "nothing was sent"
     if not tried:
         return "it was sent, and no final answer came"
@@ -108,44 +108,48 @@
     if not isinstance(raw, dict) or "number" not in raw:
         return None
     leading = _LEADING_TIME.match(text)
-    told_at: float = raw.get("at") or raw.get("t") or 0.0
-    time_s = float(leading.group(1)) if leading else told_at
-    fields = {key: value for key, value in raw.items() if key not in COMMON}
+    logged_at: float = raw.get("at") or raw.get("t") or 0.0
+    time_s = float(leading.group(1)) if leading else logged_at
+    fields = {key: value for key, value in raw.items() if key not in COMMON_FIELDS}
     node, event, level = (str(raw.get(name, "")) for name in ("node", "event", "level"))
     return LogLine(time_s, node, int(raw["number"]), event, level, fields)
 
 
-def request_history(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
+def request_history(lines: Iterable[LogLine], wanted_id: str) -> list[LogLine]:
     """Return the lines about ``wanted`` and what its nodes learned meanwhile, in order of time.
 
     An item's story has the lines of its job as far as they name no other item. Where replicas have
     ended under the request, the lines about its content are there too, of whatever request.
     """
-    known = list(lines)
-    own = [line for line in known if line.names(wanted)]
-    jobs = {str(line.fields["job"]) for line in own if "job" in line.fields} - {wanted}
-    own += [line for line in known if _is_of_job(line, jobs)]
-    contents = {content for line in own for content in _contents(line, wanted)}
-    told = {id(line) for line in own}
-    own += [line for line in known if id(line) not in told and contents & _contents(line)]
-    if not own:
+    all_lines = list(lines)
+    matching = [line for line in all_lines if line.mentions(wanted_id)]
+    jobs = {str(line.fields["job"]) for line in matching if "job" in line.fields} - {wanted_id}
+    matching += [line for line in all_lines if _is_of_job(line, jobs)]
+    contents = {content for line in matching for content in _contents(line, wanted_id)}
+    matching_ids = {id(line) for line in matching}
+    matching += [
+        line for line in all_lines if id(line) not in matching_ids and contents & _contents(line)
+    ]
+    if not matching:
         return []
-    first = min(line.time_s for line in own) - BEFORE_S
-    last = max(line.time_s for line in own)
-    nodes = {line.node for line in own}
-    beliefs = [
+    first = min(line.time_s for line in matching) - HISTORY_LEAD_S
+    last = max(line.time_s for line in matching)
+    nodes = {line.node for line in matching}
+    context = [
         line
-        for line in known
-        if line.number in BELIEFS and line.node in nodes and first <= line.time_s <= last
+        for line in all_lines
+        if line.number in CONTEXT_EVENTS and line.node in nodes and first <= line.time_s <= last
     ]
-    return sorted([*own, *beliefs], key=lambda line: line.time_s)
+    return sorted([*matching, *context], key=lambda line: line.time_s)
 
 
-def _contents(line: LogLine, wanted: str | None = None) -> set[str]:
+def _contents(line: LogLine, wanted_id: str | None = None) -> set[str]:
     """Return the contents that a line names; of ``wanted`` alone where it names many requests."""
     requests, contents = line.fields.get("requests", []), line.fields.get("contents", [])
-    if requests and wanted is not None:
-        return {one for name, one in zip(requests, contents, strict=False) if name == wanted}
+    if requests and wanted_id is not None:
+        return {
+            content for name, content in zip(requests, contents, strict=False) if name == wanted_id
+        }
     single = line.fields.get("content")
     return {*contents, *([single] if single else [])}
 
--- a/src/cloverwalk/telemetry/startup.py
+++ b/src/cloverwalk/telemetry/startup.py
@@ -40,7 +40,7 @@
         self.is_ready = False
         """Whether what serving needs was known once."""
 
-        self._has_placed = False
+        self._has_logged_placement = False
 
     def record_stage(self, stage: Stage, source: str = "") -> None:
         """A stage is reached; only its first time counts."""
@@ -48,14 +48,14 @@
             return
         self._after_ms[stage] = self._elapsed_ms()
         self._source_by_stage[stage] = source
-        if not self.is_ready and all(one in self._after_ms for one in NEEDED_TO_SERVE):
+        if not self.is_ready and all(needed in self._after_ms for needed in NEEDED_TO_SERVE):
             self.is_ready = True
             self._write(catalogue.NODE_READY)
 
     def record_placement(self) -> None:
         """An online request got its place."""
-        if not self._has_placed:
-            self._has_placed = True
+        if not self._has_logged_placement:
+            self._has_logged_placement = True
             self._write(catalogue.FIRST_REQUEST_PLACED)
 
     def _elapsed_ms(self) -> int:
--- a/src/cloverwalk/telemetry/startup_report.py
+++ b/src/cloverwalk/telemetry/startup_report.py
@@ -10,7 +10,7 @@
 
 PERCENT = 100
 READY = "ready"
-FIRST_PLACE = "first_request_placed"
+FIRST_PLACEMENT = "first_request_placed"
 
 
 @attrs.frozen
@@ -39,19 +39,19 @@
     ready, such as the coordinator, are counted where the line of the first place tells them.
     """
     starts: dict[tuple[str, int], dict[str, float]] = {}
-    numbers: dict[str, int] = {}
+    start_counts: dict[str, int] = {}
     for line in lines:
         if line.number == catalogue.SERVING_STARTED:
-            numbers[line.node] = numbers.get(line.node, 0) + 1
+            start_counts[line.node] = start_counts.get(line.node, 0) + 1
         elif line.number in (catalogue.NODE_READY, catalogue.FIRST_REQUEST_PLACED):
-            start = starts.setdefault((line.node, numbers.get(line.node, 0)), {})
+            start = starts.setdefault((line.node, start_counts.get(line.node, 0)), {})
             start.update(_stages(line))
     after_ms: dict[str, list[float]] = {}
     for start in starts.values():
         for stage, stage_ms in start.items():
             after_ms.setdefault(stage, []).append(stage_ms)
-    found = [StageTimes(stage, tuple(sorted(times))) for stage, times in after_ms.items()]
-    return sorted(found, key=lambda one: (one.quantile(0.5), one.stage))
+    stage_times = [StageTimes(stage, tuple(sorted(times))) for stage, times in after_ms.items()]
+    return sorted(stage_times, key=lambda stage_time: (stage_time.quantile(0.5), stage_time.stage))
 
 
 def _stages(line: LogLine) -> dict[str, float]:
@@ -63,6 +63,6 @@
     for name, stage_ms in line.fields.get("stages_ms", {}).items():
         source = sources.get(name)
         stages[f"{name} from {source}" if source else name] = float(stage_ms)
-    own = READY if line.number == catalogue.NODE_READY else FIRST_PLACE
-    stages[own] = float(line.fields.get("after_ms", 0.0))
+    milestone = READY if line.number == catalogue.NODE_READY else FIRST_PLACEMENT
+    stages[milestone] = float(line.fields.get("after_ms", 0.0))
     return stages
--- a/src/cloverwalk/telemetry/tenant_metrics.py
+++ b/src/cloverwalk/telemetry/tenant_metrics.py
@@ -16,7 +16,7 @@
 """Tenants told by name, those with the most requests; the others are told as one. A node's answer
 grows by some 3 KB at this number, whatever the number of tenants."""
 
-OTHERS = "(others)"
+OTHER_TENANTS = "(others)"
 """Stands for the tenants that are not told by name."""
 
 
@@ -35,7 +35,7 @@
 
     >>> metrics = TenantMetrics()
     >>> metrics.request_ended("quiz", TenantOutcome.ANSWERED)
-    >>> metrics.counts(most=1)
+    >>> metrics.counts(max_named=1)
     {('quiz', 'answered'): 1}
     """
 
@@ -48,13 +48,13 @@
             self._counts[tenant, outcome] += 1
             self._totals[tenant] += 1
 
-    def counts(self, most: int = MAX_LABELS) -> dict[tuple[str, str], int]:
+    def counts(self, max_named: int = MAX_LABELS) -> dict[tuple[str, str], int]:
         """Return counts by tenant and outcome, of the ``most`` largest tenants by name."""
-        named = {name for name, _ in self._totals.most_common(most)}
-        told: Counter[tuple[str, str]] = Counter()
+        named = {name for name, _ in self._totals.most_common(max_named)}
+        counts: Counter[tuple[str, str]] = Counter()
         for (tenant, outcome), count in self._counts.items():
-            told[tenant if tenant in named else OTHERS, outcome] += count
-        return dict(sorted(told.items()))
+            counts[tenant if tenant in named else OTHER_TENANTS, outcome] += count
+        return dict(sorted(counts.items()))
 
     def collect(self, directory: TenantDirectory) -> "Iterator[Metric]":
         """Return counts and quotas in the client library's form."""
@@ -73,10 +73,10 @@
         for (tenant, outcome), count in counts.items():
             requests.add_metric([tenant, outcome], count)
         for name in sorted({tenant for tenant, _ in counts}):
-            tenant_known = directory.by_name.get(name)
-            if tenant_known is not None and tenant_known.has_limit:
-                rates.add_metric([name], tenant_known.rate_per_s)
-                bursts.add_metric([name], tenant_known.burst)
+            configured = directory.by_name.get(name)
+            if configured is not None and configured.has_limit:
+                rates.add_metric([name], configured.rate_per_s)
+                bursts.add_metric([name], configured.burst)
         yield requests
         yield rates
         yield bursts
--- a/src/cloverwalk/telemetry/timeline.py
+++ b/src/cloverwalk/telemetry/timeline.py
@@ -43,7 +43,7 @@
         return cuts[round(share * PERCENT) - 1]
 
 
-class _Fleet:
+class _WorkInFlight:
     """Work in flight, followed line by line. What a node had is gone with its process."""
 
     def __init__(self) -> None:
@@ -51,14 +51,14 @@
         self.batch: set[tuple[str, str]] = set()
         self.unlisted_by_job: dict[str, int] = {}
 
-    def take(self, line: LogLine) -> None:
+    def apply(self, line: LogLine) -> None:
         """Follow one line."""
         request = str(line.fields.get("request", ""))
         key = (line.node, request)
         match line.number:
             case catalogue.SERVING_STARTED:
-                self.online = {one for one in self.online if one[0] != line.node}
-                self.batch = {one for one in self.batch if one[0] != line.node}
+                self.online = {entry for entry in self.online if entry[0] != line.node}
+                self.batch = {entry for entry in self.batch if entry[0] != line.node}
             case catalogue.REPLICA_CHOSEN:
                 self.online.add(key)
             case catalogue.REPLICA_FAILED | catalogue.REQUEST_ANSWERED | catalogue.REQUEST_ENDED:
@@ -85,19 +85,19 @@
     ordered = sorted(lines, key=lambda line: line.time_s)
     if not ordered:
         return []
-    fleet = _Fleet()
+    fleet = _WorkInFlight()
     seconds = [SecondStats(int(ordered[0].time_s // 1))]
     for line in ordered:
         while line.time_s >= seconds[-1].at_s + 1:
             _close(seconds[-1], fleet)
             seconds.append(SecondStats(seconds[-1].at_s + 1))
-        fleet.take(line)
+        fleet.apply(line)
         _count(seconds[-1], line)
     _close(seconds[-1], fleet)
     return seconds
 
 
-def _close(second: SecondStats, fleet: _Fleet) -> None:
+def _close(second: SecondStats, fleet: _WorkInFlight) -> None:
     second.online = len(fleet.online)
     second.batch = len(fleet.batch)
     second.unlisted = sum(fleet.unlisted_by_job.values())
--- a/src/cloverwalk/tenants/directory.py
+++ b/src/cloverwalk/tenants/directory.py
@@ -57,12 +57,12 @@
     """
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
-        self.by_name = {one.name: one for one in tenants}
+        self.by_name = {tenant.name: tenant for tenant in tenants}
         self.by_digest = {
-            digest: one for one in self.by_name.values() for digest in one.key_digests
+            digest: tenant for tenant in self.by_name.values() for digest in tenant.key_digests
         }
 
-    def priority(self, name: str, otherwise: int) -> int:
-        """Return the rank of a tenant's requests; ``otherwise`` where it has none of its own."""
+    def priority(self, name: str, default: int) -> int:
+        """Return the rank of a tenant's requests; ``default`` where it has none of its own."""
         tenant = self.by_name.get(name)
-        return otherwise if tenant is None or tenant.priority is None else tenant.priority
+        return default if tenant is None or tenant.priority is None else tenant.priority
--- a/src/cloverwalk/tenants/identification.py
+++ b/src/cloverwalk/tenants/identification.py
@@ -13,7 +13,7 @@
 """The tenant's name of a caller that needs no key."""
 
 
-def identify(request: ClientRequest, known: ConfigurationHolder, is_job_call: bool) -> str:
+def identify(request: ClientRequest, configurations: ConfigurationHolder, is_job_call: bool) -> str:
     """Return the name of the tenant that sends a request; raise GatewayError (no key).
 
     A configuration without tenants knows anonymous callers only. A caller of a public route needs
@@ -21,16 +21,16 @@
     since it goes nowhere. ``is_job_call`` tells that the request is a call on a job, which has the
     host of its route and a path of its own.
     """
-    configuration = known.current
+    configuration = configurations.current
     if configuration is None or configuration.tenants is None:
         return ANONYMOUS
     digest = request.fields.key_digest
-    tenant = None if digest is None else known.tenants.by_digest.get(digest)
+    tenant = None if digest is None else configurations.tenants.by_digest.get(digest)
     if tenant is not None:
         return tenant.name
     if is_job_call:
         needs_key = not any(
-            _takes_jobs_of_anybody(one, request.host) for one in configuration.routes
+            _accepts_anonymous_jobs(candidate, request.host) for candidate in configuration.routes
         )
     else:
         route = configuration.find_route(request.host, request.path)
@@ -42,6 +42,6 @@
     raise GatewayError(Reason.NO_KEY, "key_unknown", "this key is not known")
 
 
-def _takes_jobs_of_anybody(route: Route, host: str) -> bool:
-    is_here = route.host == host.rsplit(":", 1)[0].lower()
-    return is_here and route.is_public and route.kind is RouteKind.BATCH
+def _accepts_anonymous_jobs(route: Route, host: str) -> bool:
+    is_same_host = route.host == host.rsplit(":", 1)[0].lower()
+    return is_same_host and route.is_public and route.kind is RouteKind.BATCH
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -355,7 +355,7 @@
     Mutant(
         "serving: the instance is not expected",
         "platform/codec.py",
-        '        kept.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))\n',
+        '        forwarded.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))\n',
         "",
         ONLINE + "test_another_instance_at_the_address_does_not_run_it",
     ),
@@ -867,8 +867,8 @@
     Mutant(
         "serving: the time of the store is set back by an answer that lay unread",
         "store/clock.py",
-        "max(self._least_ahead_ms, least_ms)",
-        "least_ms",
+        "max(self._min_offset_ms, min_offset_ms)",
+        "min_offset_ms",
         HEALTH + "test_an_answer_that_lay_unread_does_not_set_the_time_back",
     ),
     Mutant(
@@ -994,7 +994,7 @@
     Mutant(
         "serving: refusals: any failure of the store says that nothing was done",
         "platform/store_client.py",
-        "            is_refused = response.status < 500 or response.status in REFUSING_STATUSES",
+        "            is_refused = response.status < 500 or response.status in NOT_DONE_STATUSES",
         "            is_refused = True",
         JOB_REFUSALS + "test_a_failure_of_the_store_does_not_say_that_nothing_was_done",
     ),
@@ -1269,10 +1269,10 @@
     Mutant(
         "entries: a state that is not known counts as leaving",
         "platform/documents.py",
-        "    if wire.state not in STATES:",
+        "    if wire.state not in IS_DRAINING_BY_STATE:",
         "    if not wire.state:",
         ENTRIES + "test_an_odd_entry_names_no_replica_to_use",
-        (("platform/documents.py", "STATES[wire.state]", 'wire.state != "ready"'),),
+        (("platform/documents.py", "IS_DRAINING_BY_STATE[wire.state]", 'wire.state != "ready"'),),
     ),
     Mutant(
         "restarts: exchanges at the start before are left to silence",
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -32,15 +32,15 @@
 read."""
 
 
-class NoRoom:
+class FixedOverloadState:
     """Room of a node that is as the test says."""
 
-    def __init__(self, world: FleetWorld, verdict: OverloadState, is_ready: bool) -> None:
-        watch = world.nodes[0]._room
-        assert watch is not None
-        room = watch.overload_monitor
-        room.update = lambda usage, now: True  # type: ignore[method-assign]
-        room.state, room.is_ready = verdict, is_ready
+    def __init__(self, world: FleetWorld, state: OverloadState, is_ready: bool) -> None:
+        resource_monitor = world.nodes[0]._resource_monitor
+        assert resource_monitor is not None
+        overload_monitor = resource_monitor.overload_monitor
+        overload_monitor.update = lambda usage, now: True  # type: ignore[method-assign]
+        overload_monitor.state, overload_monitor.is_ready = state, is_ready
 
 
 async def start_with_long_answers(
@@ -73,15 +73,15 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Load: 200 clients read nothing of answers of 0.7 MB each, beside one that reads.
-    most_held = 0
-    note_waiting = MemoryBudget.note_waiting
+    max_buffered_bytes = 0
+    original = MemoryBudget.note_waiting
 
-    def watched(held: MemoryBudget, *args: Any) -> None:
-        nonlocal most_held
-        note_waiting(held, *args)
-        most_held = max(most_held, held.total_bytes)
+    def recording(budget: MemoryBudget, *args: Any) -> None:
+        nonlocal max_buffered_bytes
+        original(budget, *args)
+        max_buffered_bytes = max(max_buffered_bytes, budget.total_bytes)
 
-    monkeypatch.setattr(MemoryBudget, "note_waiting", watched)
+    monkeypatch.setattr(MemoryBudget, "note_waiting", recording)
 
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
@@ -93,16 +93,16 @@
                 answer = await world.ask("/once/a")
                 assert (answer.status, answer.is_whole) == (200, True)
         node = world.nodes[0]
-        await world.until(lambda: not any(one.running for one in world.replicas))
+        await world.until(lambda: not any(replica.running for replica in world.replicas))
         await world.until(lambda: not node._loads.by_replica)
-        assert node._room is not None
-        held = node._room.memory_budget
-        assert 0 < held.answers <= most_held <= LIMIT_BYTES
+        assert node._resource_monitor is not None
+        budget = node._resource_monitor.memory_budget
+        assert 0 < budget.answers <= max_buffered_bytes <= LIMIT_BYTES
         # The answers together are many times the limit.
-        assert held.dropped_readers_total > 10
+        assert budget.dropped_readers_total > 10
         for sock in socks:
             await sock.close()
-        await world.until(lambda: held.total_bytes == 0)
+        await world.until(lambda: budget.total_bytes == 0)
 
     in_world(test)
 
@@ -141,20 +141,20 @@
         # The stream goes on for much longer than the client is waited for.
         await start_with_long_answers(world, replicas=1, events=400, event_s=0.05)
         replica, node = world.replicas[0], world.nodes[0]
-        assert node._room is not None
-        held = node._room.memory_budget
+        assert node._resource_monitor is not None
+        budget = node._resource_monitor.memory_budget
         sock = await slow_client(world, "/chat/a")
-        await world.until(lambda: held.dropped_readers_total == 1)
+        await world.until(lambda: budget.dropped_readers_total == 1)
         await world.until(lambda: node._clients.connection_count == 0)
-        assert held.total_bytes == 0
+        assert budget.total_bytes == 0
         await sock.close()
         address = node._settings.metrics_address
-        told = (await world.call("GET", "/metrics", address=address)).body.decode()
-        assert 'cloverwalk_machine_fullness{resource="memory"}' in told
-        assert "cloverwalk_readers_given_up 1.0" in told
+        metrics = (await world.call("GET", "/metrics", address=address)).body.decode()
+        assert 'cloverwalk_machine_fullness{resource="memory"}' in metrics
+        assert "cloverwalk_readers_given_up 1.0" in metrics
         lines = [line for text in log.read_text().splitlines() if (line := parse_line(text))]
-        ends = [one for one in lines if one.number == catalogue.REQUEST_ENDED]
-        assert [one.fields["outcome"] for one in ends] == ["client_stalled"]
+        ends = [entry for entry in lines if entry.number == catalogue.REQUEST_ENDED]
+        assert [end.fields["outcome"] for end in ends] == ["client_stalled"]
         assert not replica.arrivals[0].is_finished
         assert replica.running == 0
         await world.until(lambda: str(catalogue.READERS_GIVEN_UP) in log.read_text())
@@ -168,18 +168,18 @@
         await world.start(replicas=2, events=10, event_s=0.05)
         task = await curio.spawn(world.ask, "/once/a")
         assert (await world.hand_in("j")).status == 202
-        await world.until(lambda: any(one.running for one in world.replicas))
-        NoRoom(world, OverloadState.OVERLOADED, is_ready=False)
+        await world.until(lambda: any(replica.running for replica in world.replicas))
+        FixedOverloadState(world, OverloadState.OVERLOADED, is_ready=False)
         assert not await is_ready(world)
         for refused in (await world.ask("/once/a", "new"), await world.hand_in("k")):
             assert refused.status == 503
             assert "retry-after" in refused.headers
             # On the same connection its client would come back to this node.
             assert refused.headers["connection"] == "close"
-        assert sum(one.runs("new") for one in world.replicas) == 0
+        assert sum(replica.runs("new") for replica in world.replicas) == 0
         assert (await task.join()).is_whole
-        assert {one["state"] for one in await world.until_done("j", 3)} == {"succeeded"}
-        NoRoom(world, OverloadState.FULL, is_ready=False)
+        assert {item["state"] for item in await world.until_done("j", 3)} == {"succeeded"}
+        FixedOverloadState(world, OverloadState.FULL, is_ready=False)
         # It asks for no new clients, and serves those that come.
         assert not await is_ready(world)
         assert (await world.ask("/once/a")).status == 200
@@ -192,8 +192,8 @@
         world.scarce_memory_bytes = MEMORY_BYTES
         await world.start(replicas=1)
         node = world.nodes[0]
-        assert node._room is not None
-        node._room.memory_budget.bodies = LIMIT_BYTES // 2
+        assert node._resource_monitor is not None
+        node._resource_monitor.memory_budget.bodies = LIMIT_BYTES // 2
         sock = await world.connect()
         head = f"POST /chat/a HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 100000\r\n\r\n"
         await sock.sendall(head.encode())
@@ -204,9 +204,9 @@
         assert answer.status == 503
         assert "retry-after" in answer.headers
         await sock.close()
-        node._room.memory_budget.bodies = 0
-        node._room.memory_budget.job_bytes = LIMIT_BYTES
-        node._room.check = lambda late_s: None  # type: ignore[method-assign]
+        node._resource_monitor.memory_budget.bodies = 0
+        node._resource_monitor.memory_budget.job_bytes = LIMIT_BYTES
+        node._resource_monitor.check = lambda late_s: None  # type: ignore[method-assign]
         assert (await world.hand_in("j")).status == 503
         assert not world.replicas[0].arrivals
 
@@ -218,12 +218,12 @@
         await world.start(replicas=1, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         for node in world.nodes:
-            assert node._room is None
+            assert node._resource_monitor is None
             assert node._clients.memory_budget is None
         coordinator = world.coordinator()
         assert coordinator is not None
-        roster = coordinator._fleet.coordinator.registry
-        assert {one.report.utilization_percent for one in roster.live()} == {0}
+        registry = coordinator._fleet.coordinator.registry
+        assert {node.report.utilization_percent for node in registry.live()} == {0}
         assert coordinator._fleet.coordinator._fullness_by_zone == {}
         assert (await world.ask("/chat/a")).is_whole
 
@@ -244,13 +244,13 @@
 
 def test_nodes_are_told_how_full_their_zone_is() -> None:
     async def test(world: CoordinationWorld) -> None:
-        told: dict[str, int] = {}
+        percent_by_node: dict[str, int] = {}
 
-        def note(name: str, percent: int) -> None:
-            told[name] = percent
+        def record_percent(name: str, percent: int) -> None:
+            percent_by_node[name] = percent
 
         for node in world.nodes:
-            node.link.on_zone_utilization = partial(note, node.name)
+            node.link.on_zone_utilization = partial(record_percent, node.name)
         full_zone = world.nodes[0].identity.zone
         for node in world.nodes:
             node.link.utilization_percent = 90 if node.identity.zone == full_zone else 20
@@ -258,28 +258,28 @@
         for node in world.nodes:
             if node is not world.coordinator:
                 expected = 90 if node.identity.zone == full_zone else 20
-                assert told[node.name] == expected
+                assert percent_by_node[node.name] == expected
 
     in_fleet(9, test)
 
 
 def test_a_coordinator_that_is_over_its_machine_gives_the_role_to_a_standby_with_room() -> None:
     async def test(world: CoordinationWorld) -> None:
-        old = world.coordinator
+        old_coordinator = world.coordinator
         await world.run(2.0)
-        assert old.leader.current is not None
-        first = old.leader.current.standbys[0].node
-        standby = next(one for one in world.nodes if one.name == first)
-        old.link.utilization_percent = 100
+        assert old_coordinator.leader.current is not None
+        first_standby = old_coordinator.leader.current.standbys[0].node
+        standby = next(node for node in world.nodes if node.name == first_standby)
+        old_coordinator.link.utilization_percent = 100
         standby.link.utilization_percent = FULL_PERCENT
         await world.run(1.5)
-        old.coordinator.must_hand_over = lambda: True
+        old_coordinator.coordinator.must_hand_over = lambda: True
         await world.run(HAND_OVER_AFTER_S)
-        assert world.coordinator is old
+        assert world.coordinator is old_coordinator
         standby.link.utilization_percent = FULL_PERCENT - 1
         await world.run(2.0)
         assert world.coordinator is standby
-        assert {one.follows for one in world.nodes} == {first}
+        assert {node.follows for node in world.nodes} == {first_standby}
         # It stays there.
         await world.run(5.0)
         assert world.coordinator is standby
@@ -290,21 +290,24 @@
 def test_a_full_node_is_the_last_to_stand_by_and_to_get_a_job_without_owner() -> None:
     async def test(world: CoordinationWorld) -> None:
         coordinator = world.coordinator
-        roster = coordinator.coordinator.registry
+        registry = coordinator.coordinator.registry
         names_before = [
-            one.node for one in roster.choose_standbys(coordinator.name, coordinator.identity.zone)
+            node.node
+            for node in registry.choose_standbys(coordinator.name, coordinator.identity.zone)
         ]
-        heirs = roster.live_incarnations()
+        heirs = registry.live_incarnations()
         heir = rendezvous_owner("job", heirs)
         assert heir is not None
         for node in world.nodes:
             if node.name in (names_before[0], heir.partition(".")[0]):
                 node.link.utilization_percent = FULL_PERCENT
         await world.run(1.5)
-        standbys = roster.choose_standbys(coordinator.name, coordinator.identity.zone)
-        assert names_before[0] not in [one.node for one in standbys]
+        standbys = registry.choose_standbys(coordinator.name, coordinator.identity.zone)
+        assert names_before[0] not in [node.node for node in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
-        assert assigner._heirs() == [one for one in heirs if not is_full(world, one)]
+        assert assigner._heirs() == [
+            heir_incarnation for heir_incarnation in heirs if not is_full(world, heir_incarnation)
+        ]
         for node in world.nodes:
             node.link.utilization_percent = 99
         await world.run(1.5)
@@ -315,4 +318,4 @@
 
 def is_full(world: CoordinationWorld, incarnation: str) -> bool:
     name = incarnation.partition(".")[0]
-    return any(one.name == name and one.link.utilization_percent > 0 for one in world.nodes)
+    return any(node.name == name and node.link.utilization_percent > 0 for node in world.nodes)
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -22,7 +22,7 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.telemetry.startup import StartupLog
 
-GOOD: dict[str, Any] = {
+VALID_ENTRY: dict[str, Any] = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "z",
@@ -36,10 +36,12 @@
 
 def entry(**changed: Any) -> bytes:
     """Return an entry with some fields changed; those that are None are left out."""
-    return msgspec.json.encode({k: v for k, v in {**GOOD, **changed}.items() if v is not None})
+    return msgspec.json.encode(
+        {k: v for k, v in {**VALID_ENTRY, **changed}.items() if v is not None}
+    )
 
 
-ODD_VALUES: dict[str, list[Any]] = {
+INVALID_VALUES: dict[str, list[Any]] = {
     "service": ["", [], 5],
     "address": ["", "10.0.0.1", ":80", "10.0.0.1:", "10.0.0.1:x", "10.0.0.1:0", "10.0.0.1:65536"]
     + ["10.0.0.1:-1", "a b:80", "0.0.0.0:80", "10.0.0.1:\u0661", "10.0.0.1: 80", []]
@@ -52,19 +54,19 @@
     "seq": ["1", 1.5, []],
     "born": [0, -1, 1.5, True, "1790000000000", 10**30, 1_790_000_000_000_000, []],
 }
-ODD = [
+INVALID_ENTRIES = [
     b"",
     b"\xff\x00\xfe",
     b"null",
     b"[]",
     b'{"service": "s"',
     b'{"x":' + b"[" * 20_000,
-    *(entry(**{name: None}) for name in GOOD),
-    *(entry(**{name: value}) for name, values in ODD_VALUES.items() for value in values),
+    *(entry(**{name: None}) for name in VALID_ENTRY),
+    *(entry(**{name: value}) for name, values in INVALID_VALUES.items() for value in values),
 ]
 
 
-class Known:
+class NodeState:
     """What a node knows of replicas, fed with rows."""
 
     def __init__(self) -> None:
@@ -73,21 +75,21 @@
         self.lines: list[int] = []
         log.write = lambda number, **_: self.lines.append(number)  # type: ignore[method-assign]
         self.metrics = ServingMetrics()
-        self.knowledge = FleetState(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
-        self.knowledge.metrics = self.metrics
-        self.directory = self.knowledge.directory
+        self.fleet_state = FleetState(PlatformAdapter(), log, clock, StartupLog(log, clock, 0.0))
+        self.fleet_state.metrics = self.metrics
+        self.directory = self.fleet_state.directory
 
     def change(self, version: int, key: str, value: bytes | None) -> None:
         """Take one change."""
-        curio.run(self.knowledge.on_replicas, _page(version, [(key, value, version)]))
+        curio.run(self.fleet_state.on_replicas, _page(version, [(key, value, version)]))
 
     def read(self, version: int, rows: list[tuple[str, bytes | None, int]]) -> None:
         """Take a whole list."""
-        curio.run(self.knowledge.on_all_replicas, _page(version, rows))
+        curio.run(self.fleet_state.on_all_replicas, _page(version, rows))
 
-    def used(self) -> list[str]:
+    def usable_ids(self) -> list[str]:
         """Return the replicas that new requests may go to."""
-        return [one.replica_id for one in self.directory.usable("s")]
+        return [replica.replica_id for replica in self.directory.usable("s")]
 
 
 def _page(version: int, rows: list[tuple[str, bytes | None, int]]) -> RowPage:
@@ -96,27 +98,27 @@
     )
 
 
-@pytest.mark.parametrize("odd", ODD)
+@pytest.mark.parametrize("odd", INVALID_ENTRIES)
 def test_an_odd_entry_names_no_replica_to_use(odd: bytes) -> None:
-    known = Known()
-    known.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
-    assert known.used() == ["r1", "r2"]
-    known.change(3, "r1", odd)
-    assert known.used() == ["r2"] and known.directory.find("r1") is None
-    assert known.lines.count(catalogue.REPLICA_INVALID) == 1
-    assert b"cloverwalk_replica_entries_invalid_total 1.0" in known.metrics.render()
-    known.read(4, [("r1", odd, 3), ("r2", entry(), 2)])
-    assert known.used() == ["r2"]
-    assert known.lines.count(catalogue.REPLICA_INVALID) == 1, "the same entry is told once"
-    known.change(5, "r1", entry())
-    assert known.used() == ["r1", "r2"]
+    state = NodeState()
+    state.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
+    assert state.usable_ids() == ["r1", "r2"]
+    state.change(3, "r1", odd)
+    assert state.usable_ids() == ["r2"] and state.directory.find("r1") is None
+    assert state.lines.count(catalogue.REPLICA_INVALID) == 1
+    assert b"cloverwalk_replica_entries_invalid_total 1.0" in state.metrics.render()
+    state.read(4, [("r1", odd, 3), ("r2", entry(), 2)])
+    assert state.usable_ids() == ["r2"]
+    assert state.lines.count(catalogue.REPLICA_INVALID) == 1, "the same entry is told once"
+    state.change(5, "r1", entry())
+    assert state.usable_ids() == ["r1", "r2"]
 
 
 @pytest.mark.parametrize("key", ["", "r 1", "r\r\nX: 1", "r\u00fc", "r" * 201])
 def test_an_odd_id_names_no_replica(key: str) -> None:
-    known = Known()
-    known.read(2, [(key, entry(), 1), ("r2", entry(), 2)])
-    assert known.used() == ["r2"]
+    state = NodeState()
+    state.read(2, [(key, entry(), 1), ("r2", entry(), 2)])
+    assert state.usable_ids() == ["r2"]
 
 
 def test_an_entry_without_the_time_of_its_start_is_good() -> None:
@@ -126,52 +128,56 @@
 
 def test_peers_hear_that_an_entry_can_t_be_read() -> None:
     """What the coordinator tells them takes the replica out of their lists, and back in."""
-    known, peer = Known(), ReplicaDirectory()
+    state, peer = NodeState(), ReplicaDirectory()
     clock = HandClock(step_s=0.0)
     log = ServingLog("n2", clock, os.open(os.devnull, os.O_WRONLY))
     sync = DirectorySync(peer, log, clock)
-    known.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
-    peer.replace(known.directory.all(), 2)
-    since = known.directory.fingerprint
-    known.change(3, "r1", b"\xff")
-    gone = [RemovedReplica("r1", known.directory.version)]
-    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 3, 0, [], gone))
-    assert [one.replica_id for one in peer.all()] == ["r2"]
-    since = known.directory.fingerprint
-    known.change(4, "r1", entry())
-    back = [one for one in known.directory.all() if one.replica_id == "r1"]
-    assert sync.apply(DirectoryUpdate(since, known.directory.fingerprint, 4, 0, back))
+    state.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
+    peer.replace(state.directory.all(), 2)
+    since = state.directory.fingerprint
+    state.change(3, "r1", b"\xff")
+    removed = [RemovedReplica("r1", state.directory.version)]
+    assert sync.apply(DirectoryUpdate(since, state.directory.fingerprint, 3, 0, [], removed))
+    assert [replica.replica_id for replica in peer.all()] == ["r2"]
+    since = state.directory.fingerprint
+    state.change(4, "r1", entry())
+    returned = [replica for replica in state.directory.all() if replica.replica_id == "r1"]
+    assert sync.apply(DirectoryUpdate(since, state.directory.fingerprint, 4, 0, returned))
     assert peer.find("r1") is not None
 
 
-NEWS = st.lists(
+CHANGES = st.lists(
     st.tuples(
         st.sampled_from(["r1", "r2", "r3"]),
         st.one_of(
-            st.none(), st.just(entry()), st.sampled_from(ODD), st.binary(max_size=40), st.just(b"!")
+            st.none(),
+            st.just(entry()),
+            st.sampled_from(INVALID_ENTRIES),
+            st.binary(max_size=40),
+            st.just(b"!"),
         ),
     ),
     max_size=20,
 )
 
 
-@given(NEWS, st.integers(0, 20))
+@given(CHANGES, st.integers(0, 20))
 def test_changes_and_a_whole_read_tell_the_same(
-    news: list[tuple[str, bytes | None]], read_at: int
+    changes: list[tuple[str, bytes | None]], read_at: int
 ) -> None:
     """The newest entry of each replica alone decides, however a node came to know it."""
-    by_changes, by_reads = Known(), Known()
+    by_changes, by_reads = NodeState(), NodeState()
     newest: dict[str, tuple[bytes | None, int]] = {}
-    for version, (key, value) in enumerate(news, start=1):
+    for version, (key, value) in enumerate(changes, start=1):
         newest[key] = (value, version)
         by_changes.change(version, key, value)
         if version == read_at:
-            rows = [(one, *newest[one]) for one in sorted(newest)]
+            rows = [(key, *newest[key]) for key in sorted(newest)]
             by_reads.read(version, rows)
             by_changes.read(version, rows)
         elif version > read_at:
             by_reads.change(version, key, value)
-    expected = [one for one in sorted(newest) if newest[one][0] == entry()]
-    assert by_changes.used() == expected
-    if read_at <= 1 or len(news) >= read_at:
-        assert by_reads.used() == expected
+    expected = [key for key in sorted(newest) if newest[key][0] == entry()]
+    assert by_changes.usable_ids() == expected
+    if read_at <= 1 or len(changes) >= read_at:
+        assert by_reads.usable_ids() == expected
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -22,12 +22,12 @@
 from cloverwalk.store.types import CommitStatus, Put, RowKey, StoreError, Transaction
 
 HOUR_MS = 3_600_000.0
-LIMIT_S = 5.0
+TEST_TIMEOUT_S = 5.0
 
 
-def in_time(test: object) -> None:
+def run_with_timeout(test: object) -> None:
     async def main() -> None:
-        async with curio.timeout_after(LIMIT_S):
+        async with curio.timeout_after(TEST_TIMEOUT_S):
             await test()  # type: ignore[operator]
 
     curio.run(main)
@@ -44,7 +44,7 @@
         await task.join()
         assert not health.is_unavailable
 
-    in_time(test)
+    run_with_timeout(test)
 
 
 def have_all_feeds_failed(node: ServingNode) -> bool:
@@ -56,8 +56,8 @@
 
 def test_a_node_that_learns_of_the_return_first_tells_its_peers(monkeypatch: object) -> None:
     async def test(world: FleetWorld) -> None:
-        monkeypatch.setattr(store_probe, "PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(store_probe, "FAR_PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "COORDINATOR_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "NODE_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "FIRST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "LONGEST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(election, "VERIFY_EVERY_S", HOUR_MS)  # type: ignore[attr-defined]
@@ -67,12 +67,12 @@
         healths = [node._health for node in world.nodes]
         # A feed that was under way is answered, after another one of its node may have failed.
         await world.until(lambda: all(have_all_feeds_failed(node) for node in world.nodes))
-        assert all(one.is_unavailable for one in healths)
+        assert all(health.is_unavailable for health in healths)
         world.store.is_busy = False
         # One that is no coordinator learns it first: the others hear of it by way of that one.
-        first = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
+        first = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await first._health.hint_recovery()
-        await world.until(lambda: not any(one.is_unavailable for one in healths))
+        await world.until(lambda: not any(health.is_unavailable for health in healths))
 
     in_world(test)
 
@@ -97,14 +97,14 @@
             await call()
             assert not health.is_unavailable
 
-    in_time(test)
+    run_with_timeout(test)
 
 
 def test_every_answer_tells_the_time_of_the_store() -> None:
     async def test() -> None:
         inner = MemoryStore()
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
-        told = []
+        times = []
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
             time = StoreClock(Clock(lambda: 1.0))
@@ -117,10 +117,10 @@
                 "changes": ("t", 0, 0.01),
             }
             await getattr(store, call)(*arguments[call])
-            told.append(time.now())
-        assert told == [exactly(at_ms) for at_ms in (5000.0, 10000.0, 15000.0, 20000.0)]
+            times.append(time.now())
+        assert times == [exactly(at_ms) for at_ms in (5000.0, 10000.0, 15000.0, 20000.0)]
 
-    in_time(test)
+    run_with_timeout(test)
 
 
 def test_a_call_without_an_answer_tells_no_time() -> None:
@@ -133,15 +133,15 @@
         await store.commit(put, 1.0)
         assert time.now() is None
 
-    in_time(test)
+    run_with_timeout(test)
 
 
 def test_an_answer_that_lay_unread_does_not_set_the_time_back() -> None:
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 4.0
-    time.record_answer(1100.0, asked_at_ms=time.steady_ms() - 3900.0)
+    time.record_answer(1100.0, sent_at_ms=time.monotonic_ms() - 3900.0)
     estimate = time.now()
     assert estimate is not None and 4990.0 < estimate.earliest_ms <= 5000.0
     assert 5000.0 <= estimate.latest_ms < 5010.0
@@ -151,14 +151,14 @@
     """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 1.0
-    time.record_answer(32_000.0, asked_at_ms=time.steady_ms() - 4.0)
-    known = time.now()
-    assert known is not None
-    assert (known.earliest_ms, known.latest_ms) == (32_000.0, 32_004.0)
+    time.record_answer(32_000.0, sent_at_ms=time.monotonic_ms() - 4.0)
+    estimate = time.now()
+    assert estimate is not None
+    assert (estimate.earliest_ms, estimate.latest_ms) == (32_000.0, 32_004.0)
     now.now += 1.0
-    time.record_answer(1_000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1_000.0, sent_at_ms=time.monotonic_ms())
     assert time.now() == exactly(1_000.0)
 
 
@@ -177,19 +177,19 @@
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
     store_ms = zero_ms
-    for out_s, back_s, rest_s, drift in calls:
-        asked_at_ms = time.steady_ms()
+    for out_s, back_s, idle_s, drift in calls:
+        asked_at_ms = time.monotonic_ms()
         now.now += out_s
         store_ms += out_s * 1000
-        told_ms = store_ms
+        reported_ms = store_ms
         now.now += back_s
         store_ms += back_s * 1000
-        time.record_answer(told_ms, asked_at_ms)
-        now.now += rest_s
-        store_ms += rest_s * 1000 * (1 + drift)
-        known = time.now()
-        assert known is not None
-        assert known.earliest_ms - 0.01 <= store_ms <= known.latest_ms + 0.01
+        time.record_answer(reported_ms, asked_at_ms)
+        now.now += idle_s
+        store_ms += idle_s * 1000 * (1 + drift)
+        estimate = time.now()
+        assert estimate is not None
+        assert estimate.earliest_ms - 0.01 <= store_ms <= estimate.latest_ms + 0.01
 
 
 def test_a_transaction_in_a_long_pause_is_repeated_at_once(monkeypatch: object) -> None:
@@ -209,7 +209,7 @@
         outcome = await task.join()
         assert outcome.status is CommitStatus.COMMITTED
 
-    in_time(test)
+    run_with_timeout(test)
 
 
 def test_output_of_running_items_is_saved_when_the_store_is_back(monkeypatch: object) -> None:
@@ -241,4 +241,4 @@
             await curio.sleep(0)
         await task.cancel()
 
-    in_time(test)
+    run_with_timeout(test)
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -27,7 +27,7 @@
 from cloverwalk.platform import names
 from cloverwalk.telemetry.tenant_metrics import (
     MAX_LABELS,
-    OTHERS,
+    OTHER_TENANTS,
     TenantMetrics,
     TenantOutcome,
 )
@@ -37,8 +37,8 @@
 FIRST, SECOND, OTHER = "first-key-of-quiz", "second-key-of-quiz", "key-of-the-archive"
 
 
-def tenant(name: str, keys: list[str], **more: Any) -> dict[str, Any]:
-    return {"name": name, "api_keys": keys, **more}
+def tenant(name: str, keys: list[str], **fields: Any) -> dict[str, Any]:
+    return {"name": name, "api_keys": keys, **fields}
 
 
 def with_tenants(version: int, quiz_keys: list[str] | None = None, **limits: Any) -> dict[str, Any]:
@@ -54,15 +54,17 @@
     return configuration(version, routes, tenants)
 
 
-async def started(world: FleetWorld, replicas: int = 1, nodes: int = 1, **limits: Any) -> None:
+async def start_with_tenants(
+    world: FleetWorld, replicas: int = 1, nodes: int = 1, **limits: Any
+) -> None:
     await world.start(replicas=replicas, nodes=nodes)
-    await put(world, with_tenants(2, **limits))
+    await put_configuration(world, with_tenants(2, **limits))
 
 
-async def put(world: FleetWorld, document: dict[str, Any]) -> None:
+async def put_configuration(world: FleetWorld, document: dict[str, Any]) -> None:
     world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, document)
     version = document["version"]
-    await world.until(lambda: all(one._configuration.version == version for one in world.nodes))
+    await world.until(lambda: all(node._configuration.version == version for node in world.nodes))
 
 
 async def call_on_job(world: FleetWorld, method: str, job_id: str, key: str) -> Answer:
@@ -82,7 +84,7 @@
 )
 def test_a_request_without_a_known_key_is_refused_at_once(headers: list[tuple[str, str]]) -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         request = [(names.REQUEST_ID.decode(), "id-1"), *headers]
         answer = await world.call("POST", "/chat/a", b"prompt", request)
         assert (answer.status, answer.is_whole) == (401, True)
@@ -99,7 +101,7 @@
 
 def test_a_replica_gets_the_name_of_the_tenant_and_no_key() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         headers = [
             (names.REQUEST_ID.decode(), "id-1"),
             (names.TENANT.decode(), "archive"),
@@ -118,7 +120,7 @@
 
 def test_a_public_route_needs_no_key() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         for key, name in (("", None), ("no-such-key", None), (OTHER, "archive")):
             assert (await world.ask("/open/a", key=key)).status == 200
             arrival = world.replicas[0].arrivals[-1]
@@ -142,7 +144,7 @@
 
 def test_a_key_that_was_taken_away_is_refused_on_a_kept_connection() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         sock = await world.connect()
         http = h11.Connection(h11.CLIENT)
 
@@ -160,7 +162,7 @@
             return answer.status
 
         assert await ask(FIRST) == 200
-        await put(world, with_tenants(3, [SECOND, "a-new-key"]))
+        await put_configuration(world, with_tenants(3, [SECOND, "a-new-key"]))
         assert [await ask(FIRST), await ask(SECOND), await ask("a-new-key")] == [401, 200, 200]
 
     in_world(test)
@@ -168,30 +170,30 @@
 
 def test_a_node_that_the_store_refuses_learns_of_keys_from_its_peers() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2)
+        await start_with_tenants(world, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        await other._configuration_follower._health.record_failure()
-        other._configuration_follower._on_changes = nothing
-        other._configuration_follower._on_whole = nothing
-        await put(world, with_tenants(3, [SECOND]))
-        index = world.nodes.index(other)
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        await follower._configuration_follower._health.record_failure()
+        follower._configuration_follower._on_changes = ignore_page
+        follower._configuration_follower._on_whole = ignore_page
+        await put_configuration(world, with_tenants(3, [SECOND]))
+        index = world.nodes.index(follower)
         assert (await world.ask("/chat/a", key=FIRST, node=index)).status == 401
         assert (await world.ask("/chat/a", key=SECOND, node=index)).status == 200
 
     in_world(test)
 
 
-async def nothing(_page: object) -> None:
+async def ignore_page(_page: object) -> None:
     return
 
 
 def test_a_bad_tenant_keeps_the_version_before_in_force() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
-        bad = with_tenants(3, [SECOND], rate_per_s=-1)
-        world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, bad)
-        await put(world, with_tenants(4, [FIRST]))
+        await start_with_tenants(world)
+        invalid = with_tenants(3, [SECOND], rate_per_s=-1)
+        world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, invalid)
+        await put_configuration(world, with_tenants(4, [FIRST]))
         assert (await world.ask("/chat/a", key=FIRST)).status == 200
 
     in_world(test)
@@ -202,7 +204,7 @@
 
 def test_a_job_belongs_to_its_tenant() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2)
+        await start_with_tenants(world, nodes=2)
         assert (await world.hand_in("j", key=FIRST)).status == 202
         for method in ("GET", "DELETE"):
             theirs = await call_on_job(world, method, "j", OTHER)
@@ -212,12 +214,12 @@
         item = f"{names.ITEM_PREFIX}j?id=j-0"
         assert (await world.call("GET", item, headers=with_key(OTHER))).status == 404
         # Another key of the same tenant will do, also once the first is gone.
-        await put(world, with_tenants(3, [SECOND]))
+        await put_configuration(world, with_tenants(3, [SECOND]))
         results = await world.until_done("j", 3, node=1, key=SECOND)
-        assert {one["state"] for one in results} == {"succeeded"}
+        assert {result["state"] for result in results} == {"succeeded"}
         assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
         assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
-        assert {one.headers.get(TENANT) for one in world.replicas[0].arrivals} == {"quiz"}
+        assert {arrival.headers.get(TENANT) for arrival in world.replicas[0].arrivals} == {"quiz"}
 
     in_world(test)
 
@@ -225,22 +227,22 @@
 def test_items_go_on_in_the_name_of_their_tenant_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=30, event_s=0.05)
-        await put(world, with_tenants(2))
+        await put_configuration(world, with_tenants(2))
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         assert (await world.hand_in("j", node=0, key=FIRST)).status == 202
-        await world.until(lambda: any(one.arrivals for one in world.replicas))
+        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
         await world.kill_node(0)
         await world.until_done("j", 3, node=1, key=FIRST)
-        arrivals = [one for replica in world.replicas for one in replica.arrivals]
+        arrivals = [arrival for replica in world.replicas for arrival in replica.arrivals]
         assert len(arrivals) > 3
-        assert {one.headers.get(TENANT) for one in arrivals} == {"quiz"}
+        assert {arrival.headers.get(TENANT) for arrival in arrivals} == {"quiz"}
 
     in_world(test)
 
 
 def test_the_waiting_tokens_of_one_tenant_are_not_anothers() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         world.replicas[0].event_s = 5.0
         assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST)).status == 202
         assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST)).status == 429
@@ -254,15 +256,17 @@
 
 def test_a_tenant_beyond_its_quota_is_refused_at_once_and_the_others_are_served() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2, rate_per_s=2.0, burst=4)
+        await start_with_tenants(world, nodes=2, rate_per_s=2.0, burst=4)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         answers = [await world.ask("/chat/a", key=FIRST, node=number % 2) for number in range(40)]
-        refused = [one for one in answers if one.status == 429]
-        assert {one.status for one in answers} == {200, 429}
+        refused = [answer for answer in answers if answer.status == 429]
+        assert {answer.status for answer in answers} == {200, 429}
         assert 0 < len(answers) - len(refused) <= (4 + 2 * 5) * 1.1 + 20
-        assert all(0 <= float(one.headers["retry-after"]) <= 0.5 for one in refused)
+        assert all(0 <= float(answer.headers["retry-after"]) <= 0.5 for answer in refused)
         assert (await world.ask("/chat/a", key=OTHER)).status == 200
-        served = len([one for one in world.replicas[0].arrivals if one.headers[TENANT] == "quiz"])
+        served = len(
+            [arrival for arrival in world.replicas[0].arrivals if arrival.headers[TENANT] == "quiz"]
+        )
         assert served == len(answers) - len(refused)
 
     in_world(test)
@@ -270,23 +274,23 @@
 
 def test_refusals_by_quota_cost_the_coordinator_little() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2, rate_per_s=0.2, burst=1)
+        await start_with_tenants(world, nodes=2, rate_per_s=0.2, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        index = world.nodes.index(other)
-        asked = 0
-        send_ask = other._fleet.link.send_ask
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        index = world.nodes.index(follower)
+        request_count = 0
+        send_request = follower._fleet.link.send_ask
 
-        async def counting(ask: messages.PlacementRequest) -> messages.Contact | None:
-            nonlocal asked
-            asked += 1
-            return await send_ask(ask)
+        async def counting_send(ask: messages.PlacementRequest) -> messages.Contact | None:
+            nonlocal request_count
+            request_count += 1
+            return await send_request(ask)
 
-        other._fleet.link.send_ask = counting  # type: ignore[method-assign]
+        follower._fleet.link.send_ask = counting_send  # type: ignore[method-assign]
         answers = [await world.ask("/chat/a", key=FIRST, node=index) for _ in range(60)]
-        refused = sum(one.status == 429 for one in answers)
+        refused = sum(answer.status == 429 for answer in answers)
         assert refused > 30
-        assert asked - (len(answers) - refused) < refused / 2
+        assert request_count - (len(answers) - refused) < refused / 2
 
     in_world(test)
 
@@ -309,19 +313,19 @@
         log = tmp_path / "log"
         log.touch()
         world.log_path = str(log)
-        await started(world, nodes=2, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, nodes=2, rate_per_s=1.0, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        held = [await world.hand_in("j", key=FIRST)]
+        answers = [await world.hand_in("j", key=FIRST)]
         for number in range(30):
-            held.append(await world.ask("/chat/a", key=FIRST, node=number % 2))
-        held.append(await world.ask("/chat/a", key="no-such-key"))
-        held.append(await call_on_job(world, "GET", "j", OTHER))
+            answers.append(await world.ask("/chat/a", key=FIRST, node=number % 2))
+        answers.append(await world.ask("/chat/a", key="no-such-key"))
+        answers.append(await call_on_job(world, "GET", "j", OTHER))
         await world.until_done("j", 3, key=FIRST)
         # A process that has just started is sent the configuration by its peer.
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        other._configuration.current = None
-        await world.until(lambda: other._configuration.current is not None)
-        assert any(b'"configuration"' in one for one in datagrams)
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        follower._configuration.current = None
+        await world.until(lambda: follower._configuration.current is not None)
+        assert any(b'"configuration"' in datagram for datagram in datagrams)
         metrics = await world.call(
             "GET", "/metrics", address=world.nodes[0]._settings.metrics_address
         )
@@ -330,11 +334,11 @@
             for key, row in world.store.rows._rows.items()
             if key.table != names.OPERATOR_TABLE
         ]
-        sent = [str(one.raw_headers) for one in world.replicas[0].arrivals]
+        sent = [str(arrival.raw_headers) for arrival in world.replicas[0].arrivals]
         outputs = {
             "log": log.read_text(),
             "datagrams": str(datagrams),
-            "answers": str(held),
+            "answers": str(answers),
             "metrics": str(metrics.body),
             "store": str(rows),
             "replica": str(sent),
@@ -358,13 +362,13 @@
         log = tmp_path / "log"
         log.touch()
         world.log_path = str(log)
-        await started(world, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
             await world.ask("/chat/a", key=FIRST)
 
         def events(number: int) -> list[dict[str, Any]]:
             lines = [json.loads(line) for line in log.read_text().splitlines()]
-            return [one for one in lines if one["number"] == number]
+            return [line for line in lines if line["number"] == number]
 
         await world.until(lambda: len(events(catalogue.TENANT_WITHIN_QUOTA)) == 1)
         (refused,) = events(catalogue.TENANT_REFUSED)
@@ -395,7 +399,7 @@
     texts: dict[str, str] = {}
 
     async def test(world: FleetWorld) -> None:
-        await started(world, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
             await world.ask("/chat/a", key=FIRST)
         await world.ask("/chat/a", key=OTHER)
@@ -409,9 +413,9 @@
         return texts[address]
 
     monkeypatch.setattr(tenants_command, "_fetch", fetch)
-    told = CliRunner().invoke(cli, ["tenants", "127.0.0.2:7735", "--json"])
-    assert told.exit_code == 0
-    by_tenant = {one["tenant"]: one for one in json.loads(told.output)}
+    result = CliRunner().invoke(cli, ["tenants", "127.0.0.2:7735", "--json"])
+    assert result.exit_code == 0
+    by_tenant = {entry["tenant"]: entry for entry in json.loads(result.output)}
     quiz = by_tenant["quiz"]
     assert (quiz["rate_per_s"], quiz["burst"]) == (1.0, 1.0)
     assert quiz["counts"]["answered"] + quiz["counts"]["over_quota"] == 30
@@ -423,9 +427,9 @@
 
 
 def test_the_command_says_which_address_is_none() -> None:
-    told = CliRunner().invoke(cli, ["tenants", "nowhere"])
-    assert told.exit_code == EXIT_USAGE
-    assert "'nowhere' is not an address" in told.output
+    result = CliRunner().invoke(cli, ["tenants", "nowhere"])
+    assert result.exit_code == EXIT_USAGE
+    assert "'nowhere' is not an address" in result.output
 
 
 def test_metrics_name_the_largest_tenants_only() -> None:
@@ -436,4 +440,4 @@
     counts = metrics.counts()
     assert len(counts) == MAX_LABELS + 1
     assert counts["t99", TenantOutcome.ANSWERED] == 100
-    assert counts[OTHERS, TenantOutcome.ANSWERED] == sum(range(1, 81))
+    assert counts[OTHER_TENANTS, TenantOutcome.ANSWERED] == sum(range(1, 81))
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -22,7 +22,7 @@
         log = ServingLog(node, lambda: self.now, descriptor)
         self.startup = StartupLog(log, lambda: self.now, self.now)
 
-    def note(self, at_ms: int, stage: Stage, source: str = "") -> None:
+    def reach(self, at_ms: int, stage: Stage, source: str = "") -> None:
         self.now = 50.0 + at_ms / 1000
         self.startup.record_stage(stage, source)
 
@@ -34,12 +34,12 @@
 def test_one_line_tells_how_a_node_became_ready(tmp_path: Path) -> None:
     path = tmp_path / "log"
     start = Start("n1", path)
-    start.note(300, Stage.STORE_REFUSAL)
-    start.note(500, Stage.CONFIGURATION, "peer")
+    start.reach(300, Stage.STORE_REFUSAL)
+    start.reach(500, Stage.CONFIGURATION, "peer")
     assert not path.read_text()
-    start.note(700, Stage.REPLICAS, "store")
-    start.note(900, Stage.REPLICAS, "peer")
-    start.note(950, Stage.CONFIGURATION, "store")
+    start.reach(700, Stage.REPLICAS, "store")
+    start.reach(900, Stage.REPLICAS, "peer")
+    start.reach(950, Stage.CONFIGURATION, "store")
     (line,) = lines_of(path)
     assert line["event"] == "node_ready"
     assert line["after_ms"] == 700
@@ -50,7 +50,7 @@
 def test_only_the_first_place_is_told(tmp_path: Path) -> None:
     path = tmp_path / "log"
     start = Start("n1", path)
-    start.note(40, Stage.COORDINATOR)
+    start.reach(40, Stage.COORDINATOR)
     for _ in range(3):
         start.startup.record_placement()
     (line,) = lines_of(path)
@@ -62,14 +62,14 @@
     path = tmp_path / "log"
     for number, ready_ms in enumerate((100, 200, 900)):
         start = Start(f"n{number}", path)
-        start.note(ready_ms // 2, Stage.CONFIGURATION, "store")
-        start.note(ready_ms, Stage.REPLICAS, "peer" if number == 2 else "store")
+        start.reach(ready_ms // 2, Stage.CONFIGURATION, "store")
+        start.reach(ready_ms, Stage.REPLICAS, "peer" if number == 2 else "store")
     lines = [line for text in path.read_text().splitlines() if (line := parse_line(text))]
-    by_stage = {one.stage: one.after_ms for one in startup_stages(lines)}
+    by_stage = {stage.stage: stage.after_ms for stage in startup_stages(lines)}
     assert by_stage["ready"] == (100, 200, 900)
     assert by_stage["replicas from peer"] == (900,)
-    told = CliRunner().invoke(cli, ["report", "--starts", "--json", str(path)])
-    (ready,) = [one for one in json.loads(told.output) if one["stage"] == "ready"]
+    result = CliRunner().invoke(cli, ["report", "--starts", "--json", str(path)])
+    (ready,) = [row for row in json.loads(result.output) if row["stage"] == "ready"]
     assert (ready["starts"], ready["p50_ms"], ready["last_ms"]) == (3, 200, 900)
 
 
--- a/tests/unit/test_timeline.py
+++ b/tests/unit/test_timeline.py
@@ -27,7 +27,7 @@
             line(2.6, catalogue.ITEM_RUN_ENDED, request="i", job="j"),
         ]
     )
-    assert [(one.at_s, one.online, one.batch) for one in seconds] == [
+    assert [(second.at_s, second.online, second.batch) for second in seconds] == [
         (0, 1, 1),
         (1, 1, 1),
         (2, 0, 0),
@@ -43,7 +43,7 @@
             line(1.1, catalogue.SERVING_STARTED),
         ]
     )
-    assert [one.online for one in seconds] == [2, 1]
+    assert [second.online for second in seconds] == [2, 1]
 
 
 def test_items_are_unlisted_until_listed_or_their_job_ends() -> None:
@@ -55,18 +55,20 @@
             line(2.1, catalogue.JOB_ENDED, request="j"),
         ]
     )
-    assert [one.unlisted for one in seconds] == [3, 2, 0]
+    assert [second.unlisted for second in seconds] == [3, 2, 0]
 
 
 @given(st.lists(st.tuples(st.floats(0, 20), st.booleans()), max_size=30))
 def test_every_end_stands_in_its_second(ends: list[tuple[float, bool]]) -> None:
     numbers = {True: catalogue.REQUEST_ANSWERED, False: catalogue.REQUEST_ENDED}
-    lines = [line(at, numbers[good], request="r", outcome="late") for at, good in ends]
+    lines = [
+        line(at, numbers[is_answered], request="r", outcome="late") for at, is_answered in ends
+    ]
     seconds = timeline_of(lines)
-    assert sum(one.answered for one in seconds) == sum(good for _, good in ends)
-    given_up = sum(one.given_up_by_code.total() for one in seconds)
-    assert given_up == sum(not good for _, good in ends)
-    assert [one.at_s for one in seconds] == sorted({one.at_s for one in seconds})
+    assert sum(second.answered for second in seconds) == sum(is_answered for _, is_answered in ends)
+    given_up = sum(second.given_up_by_code.total() for second in seconds)
+    assert given_up == sum(not is_answered for _, is_answered in ends)
+    assert [second.at_s for second in seconds] == sorted({second.at_s for second in seconds})
 
 
 def test_the_command_prints_json_and_refuses_files_without_lines(tmp_path: Path) -> None:
