--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -490,14 +490,14 @@
         "store/health.py",
         "        returned = self._returned if self.is_unavailable else None",
         "        returned = None",
-        HEALTH + "test_a_transaction_in_a_long_pause_is_repeated_at_once",
+        HEALTH + "test_a_transaction_in_backoff_is_retried_when_the_store_recovers",
     ),
     Mutant(
         "serving: output is not saved at the store's return",
         "jobs/checkpoint.py",
         "            await self._health.backoff(SAVE_EVERY_MS)",
         "            await curio.sleep(SAVE_EVERY_MS / 1000)",
-        HEALTH + "test_output_of_running_items_is_saved_when_the_store_is_back",
+        HEALTH + "test_running_items_are_checkpointed_when_the_store_recovers",
         (
             (
                 "jobs/checkpoint.py",
@@ -512,7 +512,7 @@
         "            self._fleet.transport.send("
         "target.host, StoreReturned(self._fleet.identity.node))",
         "            pass",
-        HEALTH + "test_a_node_that_learns_of_the_return_first_tells_its_peers",
+        HEALTH + "test_a_node_that_sees_the_store_recover_notifies_its_peers",
     ),
     Mutant(
         "serving: prompts to read are not counted",
@@ -533,7 +533,7 @@
         "gateway/memory_budget.py",
         "        while self._readers and not self._fits(needed):",
         "        while False:",
-        FULL_NODES + "test_clients_that_do_not_read_hold_a_bounded_part_of_the_memory_and_no_slots",
+        FULL_NODES + "test_clients_that_do_not_read_use_bounded_memory_and_no_slots",
     ),
     Mutant(
         "serving: a node as full as its zone turns work away",
@@ -735,21 +735,21 @@
         "        self.tenants = TenantDirectory(configuration.tenants or ())",
         "        if not self.tenants.by_name:\n"
         "            self.tenants = TenantDirectory(configuration.tenants or ())",
-        TENANTS + "test_a_key_that_was_taken_away_is_refused_on_a_kept_connection",
+        TENANTS + "test_a_revoked_key_is_rejected_on_an_open_connection",
     ),
     Mutant(
         "serving: a client names its tenant",
         "platform/codec.py",
         "        names.TENANT.lower(),\n",
         "",
-        TENANTS + "test_a_replica_gets_the_name_of_the_tenant_and_no_key",
+        TENANTS + "test_a_replica_receives_the_tenant_name_and_no_key",
     ),
     Mutant(
         "serving: the key goes to the replica",
         "serving/request_handler.py",
         "            request.headers = self._codec.without_key(request.headers)",
         "            pass",
-        TENANTS + "test_no_key_stands_in_any_output",
+        TENANTS + "test_no_output_contains_a_key",
     ),
     Mutant(
         "serving: a takeover begins with full buckets",
@@ -777,14 +777,14 @@
         "jobs/service.py",
         "        if record.tenant != tenant:",
         "        if False:",
-        TENANTS + "test_a_job_belongs_to_its_tenant",
+        TENANTS + "test_a_job_is_visible_to_its_tenant_only",
     ),
     Mutant(
         "serving: tenants share a quota of waiting tokens",
         "jobs/records.py",
         'f"{route_name}/{tenant}" if tenant else route_name',
         "route_name",
-        TENANTS + "test_the_waiting_tokens_of_one_tenant_are_not_anothers",
+        TENANTS + "test_the_queued_token_limit_is_counted_per_tenant",
     ),
     Mutant(
         "serving: a job is taken at time zero",
@@ -820,7 +820,7 @@
         "store/clock.py",
         "        if jump_ms > 0:",
         "        if False:",
-        HEALTH + "test_a_machine_that_was_suspended_knows_the_time_again",
+        HEALTH + "test_the_store_clock_recovers_after_a_machine_suspension",
     ),
     Mutant(
         "serving: a job keeps the retention of the version that took it",
@@ -869,7 +869,7 @@
         "store/clock.py",
         "max(self._min_offset_ms, min_offset_ms)",
         "min_offset_ms",
-        HEALTH + "test_an_answer_that_lay_unread_does_not_set_the_time_back",
+        HEALTH + "test_an_answer_read_late_does_not_set_the_store_clock_back",
     ),
     Mutant(
         "serving: totals of many replicas are told each second",
@@ -1264,14 +1264,14 @@
         "serving/fleet_state.py",
         "            elif self.directory.remove(row.row_key.key, row.version):",
         "            elif not row.value and self.directory.remove(row.row_key.key, row.version):",
-        ENTRIES + "test_changes_and_a_whole_read_tell_the_same",
+        ENTRIES + "test_changes_and_a_full_read_give_the_same_replicas",
     ),
     Mutant(
         "entries: a state that is not known counts as leaving",
         "platform/documents.py",
         "    if wire.state not in IS_DRAINING_BY_STATE:",
         "    if not wire.state:",
-        ENTRIES + "test_an_odd_entry_names_no_replica_to_use",
+        ENTRIES + "test_an_invalid_entry_removes_its_replica",
         (("platform/documents.py", "IS_DRAINING_BY_STATE[wire.state]", 'wire.state != "ready"'),),
     ),
     Mutant(
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -69,7 +69,7 @@
     return (await world.call("GET", names.READY_PATH, address=address)).status == 200
 
 
-def test_clients_that_do_not_read_hold_a_bounded_part_of_the_memory_and_no_slots(
+def test_clients_that_do_not_read_use_bounded_memory_and_no_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Load: 200 clients read nothing of answers of 0.7 MB each, beside one that reads.
@@ -107,7 +107,7 @@
     in_world(test)
 
 
-def test_a_slow_clients_replica_is_read_to_its_end_and_the_answer_waits_whole() -> None:
+def test_an_answer_for_a_slow_client_is_buffered_whole() -> None:
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
         await start_with_long_answers(world, replicas=1)
@@ -128,7 +128,7 @@
     in_world(test)
 
 
-def test_a_client_that_takes_nothing_for_long_is_given_up(
+def test_a_client_that_reads_nothing_is_dropped_after_the_stall_timeout(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     log = tmp_path / "log"
@@ -162,7 +162,7 @@
     in_world(test)
 
 
-def test_a_node_that_is_over_refuses_what_is_new_and_goes_on_with_what_is_not() -> None:
+def test_an_overloaded_node_refuses_new_work_and_finishes_running_work() -> None:
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
         await world.start(replicas=2, events=10, event_s=0.05)
@@ -187,7 +187,7 @@
     in_world(test)
 
 
-def test_a_body_that_does_not_fit_is_refused_before_it_is_read() -> None:
+def test_a_body_beyond_the_memory_budget_is_refused_before_it_is_read() -> None:
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
         await world.start(replicas=1)
@@ -213,7 +213,7 @@
     in_world(test)
 
 
-def test_where_memory_is_not_scarce_nothing_is_measured_or_told() -> None:
+def test_without_scarce_memory_utilization_is_not_measured() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
@@ -242,7 +242,7 @@
     curio.run(main)
 
 
-def test_nodes_are_told_how_full_their_zone_is() -> None:
+def test_nodes_receive_the_utilization_of_their_zone() -> None:
     async def test(world: CoordinationWorld) -> None:
         percent_by_node: dict[str, int] = {}
 
@@ -263,7 +263,7 @@
     in_fleet(9, test)
 
 
-def test_a_coordinator_that_is_over_its_machine_gives_the_role_to_a_standby_with_room() -> None:
+def test_an_overloaded_coordinator_hands_over_to_a_standby_with_capacity() -> None:
     async def test(world: CoordinationWorld) -> None:
         old_coordinator = world.coordinator
         await world.run(2.0)
@@ -287,7 +287,7 @@
     in_fleet(7, test)
 
 
-def test_a_full_node_is_the_last_to_stand_by_and_to_get_a_job_without_owner() -> None:
+def test_full_nodes_are_the_last_choice_for_standby_and_orphaned_jobs() -> None:
     async def test(world: CoordinationWorld) -> None:
         coordinator = world.coordinator
         registry = coordinator.coordinator.registry
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("odd", INVALID_ENTRIES)
-def test_an_odd_entry_names_no_replica_to_use(odd: bytes) -> None:
+def test_an_invalid_entry_removes_its_replica(odd: bytes) -> None:
     state = NodeState()
     state.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
     assert state.usable_ids() == ["r1", "r2"]
@@ -115,18 +115,18 @@
 
 
 @pytest.mark.parametrize("key", ["", "r 1", "r\r\nX: 1", "r\u00fc", "r" * 201])
-def test_an_odd_id_names_no_replica(key: str) -> None:
+def test_an_entry_with_an_invalid_id_is_ignored(key: str) -> None:
     state = NodeState()
     state.read(2, [(key, entry(), 1), ("r2", entry(), 2)])
     assert state.usable_ids() == ["r2"]
 
 
-def test_an_entry_without_the_time_of_its_start_is_good() -> None:
+def test_the_start_time_of_an_entry_is_optional() -> None:
     assert decode_replica("r1", entry(), 1).started_ms == 0
     assert decode_replica("r1", entry(born=1_790_000_000_001), 1).started_ms == 1_790_000_000_001
 
 
-def test_peers_hear_that_an_entry_can_t_be_read() -> None:
+def test_peers_remove_a_replica_whose_entry_becomes_invalid() -> None:
     """What the coordinator tells them takes the replica out of their lists, and back in."""
     state, peer = NodeState(), ReplicaDirectory()
     clock = HandClock(step_s=0.0)
@@ -162,7 +162,7 @@
 
 
 @given(CHANGES, st.integers(0, 20))
-def test_changes_and_a_whole_read_tell_the_same(
+def test_changes_and_a_full_read_give_the_same_replicas(
     changes: list[tuple[str, bytes | None]], read_at: int
 ) -> None:
     """The newest entry of each replica alone decides, however a node came to know it."""
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -33,7 +33,7 @@
     curio.run(main)
 
 
-def test_a_long_pause_ends_with_the_return_of_the_store() -> None:
+def test_backoff_ends_when_the_store_recovers() -> None:
     async def test() -> None:
         health = StoreHealth(Clock(HandClock()))
         await health.record_failure()
@@ -54,7 +54,7 @@
     return all(feed._lost_since is not None for feed in followed)
 
 
-def test_a_node_that_learns_of_the_return_first_tells_its_peers(monkeypatch: object) -> None:
+def test_a_node_that_sees_the_store_recover_notifies_its_peers(monkeypatch: object) -> None:
     async def test(world: FleetWorld) -> None:
         monkeypatch.setattr(store_probe, "COORDINATOR_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(store_probe, "NODE_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
@@ -77,7 +77,7 @@
     in_world(test)
 
 
-def test_each_answer_and_failure_of_the_store_is_noted() -> None:
+def test_each_store_answer_and_failure_updates_the_health() -> None:
     async def test() -> None:
         inner = MemoryStore()
         health = StoreHealth(Clock(HandClock()))
@@ -100,7 +100,7 @@
     run_with_timeout(test)
 
 
-def test_every_answer_tells_the_time_of_the_store() -> None:
+def test_every_store_answer_sets_the_store_clock() -> None:
     async def test() -> None:
         inner = MemoryStore()
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
@@ -123,7 +123,7 @@
     run_with_timeout(test)
 
 
-def test_a_call_without_an_answer_tells_no_time() -> None:
+def test_an_unanswered_call_does_not_set_the_store_clock() -> None:
     async def test() -> None:
         inner = MemoryStore()
         inner.is_down = True
@@ -136,7 +136,7 @@
     run_with_timeout(test)
 
 
-def test_an_answer_that_lay_unread_does_not_set_the_time_back() -> None:
+def test_an_answer_read_late_does_not_set_the_store_clock_back() -> None:
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
@@ -147,7 +147,7 @@
     assert 5000.0 <= estimate.latest_ms < 5010.0
 
 
-def test_a_machine_that_was_suspended_knows_the_time_again() -> None:
+def test_the_store_clock_recovers_after_a_machine_suspension() -> None:
     """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
@@ -170,7 +170,7 @@
         max_size=8,
     ),
 )
-def test_the_time_of_the_store_lies_within_the_bounds(
+def test_the_store_time_lies_within_the_estimated_bounds(
     zero_ms: float, calls: list[tuple[float, float, float, float]]
 ) -> None:
     """Whatever answers take to come and to be read, and whatever the clocks drift between them."""
@@ -192,7 +192,7 @@
         assert estimate.earliest_ms - 0.01 <= store_ms <= estimate.latest_ms + 0.01
 
 
-def test_a_transaction_in_a_long_pause_is_repeated_at_once(monkeypatch: object) -> None:
+def test_a_transaction_in_backoff_is_retried_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
         monkeypatch.setattr(commit, "FIRST_PAUSE_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
         inner = MemoryStore()
@@ -212,7 +212,7 @@
     run_with_timeout(test)
 
 
-def test_output_of_running_items_is_saved_when_the_store_is_back(monkeypatch: object) -> None:
+def test_running_items_are_checkpointed_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
         monkeypatch.setattr(checkpoint, "SAVE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
         store = MemoryStore()
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -82,7 +82,7 @@
         [("Authorization", f"Bearer {FIRST}"), ("Authorization", f"Bearer {FIRST}")],
     ],
 )
-def test_a_request_without_a_known_key_is_refused_at_once(headers: list[tuple[str, str]]) -> None:
+def test_a_request_without_a_valid_key_is_rejected(headers: list[tuple[str, str]]) -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         request = [(names.REQUEST_ID.decode(), "id-1"), *headers]
@@ -99,7 +99,7 @@
     in_world(test)
 
 
-def test_a_replica_gets_the_name_of_the_tenant_and_no_key() -> None:
+def test_a_replica_receives_the_tenant_name_and_no_key() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         headers = [
@@ -130,7 +130,7 @@
     in_world(test)
 
 
-def test_without_tenants_headers_of_callers_pass_but_for_the_name_of_a_tenant() -> None:
+def test_without_tenants_only_the_tenant_header_is_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [(names.REQUEST_ID.decode(), "id-1"), (names.TENANT.decode(), "quiz")]
@@ -142,7 +142,7 @@
     in_world(test)
 
 
-def test_a_key_that_was_taken_away_is_refused_on_a_kept_connection() -> None:
+def test_a_revoked_key_is_rejected_on_an_open_connection() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         sock = await world.connect()
@@ -168,7 +168,7 @@
     in_world(test)
 
 
-def test_a_node_that_the_store_refuses_learns_of_keys_from_its_peers() -> None:
+def test_a_node_without_the_store_receives_keys_from_its_peers() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
@@ -188,7 +188,7 @@
     return
 
 
-def test_a_bad_tenant_keeps_the_version_before_in_force() -> None:
+def test_an_invalid_tenant_leaves_the_previous_configuration_in_force() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         invalid = with_tenants(3, [SECOND], rate_per_s=-1)
@@ -202,7 +202,7 @@
 # --- jobs ---
 
 
-def test_a_job_belongs_to_its_tenant() -> None:
+def test_a_job_is_visible_to_its_tenant_only() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2)
         assert (await world.hand_in("j", key=FIRST)).status == 202
@@ -224,7 +224,7 @@
     in_world(test)
 
 
-def test_items_go_on_in_the_name_of_their_tenant_at_another_node() -> None:
+def test_items_keep_their_tenant_after_a_job_takeover() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=30, event_s=0.05)
         await put_configuration(world, with_tenants(2))
@@ -240,7 +240,7 @@
     in_world(test)
 
 
-def test_the_waiting_tokens_of_one_tenant_are_not_anothers() -> None:
+def test_the_queued_token_limit_is_counted_per_tenant() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         world.replicas[0].event_s = 5.0
@@ -254,7 +254,7 @@
 # --- quotas ---
 
 
-def test_a_tenant_beyond_its_quota_is_refused_at_once_and_the_others_are_served() -> None:
+def test_a_tenant_over_its_quota_is_refused_and_others_are_served() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2, rate_per_s=2.0, burst=4)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
@@ -272,7 +272,7 @@
     in_world(test)
 
 
-def test_refusals_by_quota_cost_the_coordinator_little() -> None:
+def test_most_quota_refusals_need_no_placement_request() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2, rate_per_s=0.2, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
@@ -298,7 +298,7 @@
 # --- keys stay here ---
 
 
-def test_no_key_stands_in_any_output(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_output_contains_a_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     datagrams: list[bytes] = []
     encode = messages.encode_datagram
 
@@ -355,7 +355,7 @@
     in_world(test)
 
 
-def test_the_log_names_a_tenant_when_it_is_first_refused_and_when_that_is_over(
+def test_the_log_records_the_start_and_end_of_quota_refusals(
     tmp_path: Path,
 ) -> None:
     async def test(world: FleetWorld) -> None:
@@ -379,7 +379,7 @@
     in_world(test)
 
 
-def test_a_request_that_waits_in_a_node_without_a_coordinator_is_not_lost() -> None:
+def test_a_request_received_before_a_coordinator_is_known_is_served() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=0)
         world.store.put(
@@ -393,7 +393,7 @@
     in_world(test)
 
 
-def test_the_command_tells_use_and_quota_by_tenant_and_node(
+def test_the_tenants_command_prints_use_and_quota(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     texts: dict[str, str] = {}
@@ -426,13 +426,13 @@
     assert table.output.splitlines()[1].split()[:3] == ["archive", "127.0.0.2:7735", "1"]
 
 
-def test_the_command_says_which_address_is_none() -> None:
+def test_the_tenants_command_rejects_an_invalid_address() -> None:
     result = CliRunner().invoke(cli, ["tenants", "nowhere"])
     assert result.exit_code == EXIT_USAGE
     assert "'nowhere' is not an address" in result.output
 
 
-def test_metrics_name_the_largest_tenants_only() -> None:
+def test_metrics_label_only_the_largest_tenants() -> None:
     metrics = TenantMetrics()
     for number in range(100):
         for _ in range(number + 1):
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -35,7 +35,7 @@
 """
 
 
-def test_an_items_story_has_its_job_and_what_its_nodes_learned(tmp_path: Path) -> None:
+def test_an_item_history_includes_job_and_context_lines(tmp_path: Path) -> None:
     (tmp_path / "n1.log").write_text(NODE_1)
     (tmp_path / "n2.log").write_text(NODE_2)
     logs = [str(tmp_path / "n2.log"), str(tmp_path / "n1.log")]
@@ -63,7 +63,7 @@
         ("r3", ""),
     ],
 )
-def test_a_refusals_story_tells_what_was_known_of_the_work(
+def test_a_refusal_history_describes_the_work_state(
     tmp_path: Path, request_id: str, known: str
 ) -> None:
     (tmp_path / "n1.log").write_text(REFUSED)
@@ -80,7 +80,7 @@
 """
 
 
-def test_a_contained_requests_story_tells_which_replicas_ended(tmp_path: Path) -> None:
+def test_a_contained_request_history_includes_the_crashed_replicas(tmp_path: Path) -> None:
     """By its content: they ended under other ids, at other nodes."""
     (tmp_path / "all.log").write_text(CRASHES)
     result = CliRunner().invoke(cli, ["explain", "z", str(tmp_path / "all.log")])
@@ -89,14 +89,14 @@
     assert "replica=r2" not in result.output
 
 
-def test_an_id_that_no_line_names_is_said_so(tmp_path: Path) -> None:
+def test_explain_rejects_an_id_that_no_line_mentions(tmp_path: Path) -> None:
     (tmp_path / "n1.log").write_text(NODE_1)
     result = CliRunner().invoke(cli, ["explain", "other", str(tmp_path / "n1.log")])
     assert result.exit_code == EXIT_USAGE
     assert "other: no line of 4 names it" in result.output
 
 
-def test_a_settings_file_is_shown_or_its_fault_is_named(tmp_path: Path) -> None:
+def test_platform_check_prints_settings_or_the_invalid_field(tmp_path: Path) -> None:
     path = tmp_path / "local.toml"
     path.write_text(SETTINGS)
     good = CliRunner().invoke(cli, ["platform", "check", str(path)])
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -31,7 +31,7 @@
     return [json.loads(text) for text in path.read_text().splitlines()]
 
 
-def test_one_line_tells_how_a_node_became_ready(tmp_path: Path) -> None:
+def test_one_log_line_lists_the_stages_of_a_start(tmp_path: Path) -> None:
     path = tmp_path / "log"
     start = Start("n1", path)
     start.reach(300, Stage.STORE_REFUSAL)
@@ -47,7 +47,7 @@
     assert (line["configuration_from"], line["replicas_from"]) == ("peer", "store")
 
 
-def test_only_the_first_place_is_told(tmp_path: Path) -> None:
+def test_only_the_first_placement_is_logged(tmp_path: Path) -> None:
     path = tmp_path / "log"
     start = Start("n1", path)
     start.reach(40, Stage.COORDINATOR)
@@ -58,7 +58,7 @@
     assert line["stages_ms"] == {"coordinator": 40}
 
 
-def test_the_report_tells_stages_over_the_fleet(tmp_path: Path) -> None:
+def test_the_starts_report_covers_all_nodes(tmp_path: Path) -> None:
     path = tmp_path / "log"
     for number, ready_ms in enumerate((100, 200, 900)):
         start = Start(f"n{number}", path)
@@ -73,7 +73,7 @@
     assert (ready["starts"], ready["p50_ms"], ready["last_ms"]) == (3, 200, 900)
 
 
-def test_logs_without_a_start_are_refused(tmp_path: Path) -> None:
+def test_the_starts_report_rejects_logs_without_a_start(tmp_path: Path) -> None:
     path = tmp_path / "log"
     path.write_text("nothing\n")
     refused = CliRunner().invoke(cli, ["report", "--starts", str(path)])
--- a/tests/unit/test_timeline.py
+++ b/tests/unit/test_timeline.py
@@ -18,7 +18,7 @@
     return LogLine(time_s, node, number, "event", "info", fields)
 
 
-def test_work_is_in_flight_from_its_choice_to_its_end() -> None:
+def test_work_is_in_flight_from_replica_choice_to_end() -> None:
     seconds = timeline_of(
         [
             line(0.1, catalogue.REPLICA_CHOSEN, request="a"),
@@ -35,7 +35,7 @@
     assert seconds[2].first_ms == [40.0]
 
 
-def test_what_a_process_had_is_gone_with_it() -> None:
+def test_a_restarted_node_has_no_work_in_flight() -> None:
     seconds = timeline_of(
         [
             line(0.1, catalogue.REPLICA_CHOSEN, request="a"),
@@ -59,7 +59,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 20), st.booleans()), max_size=30))
-def test_every_end_stands_in_its_second(ends: list[tuple[float, bool]]) -> None:
+def test_each_request_end_is_counted_in_its_second(ends: list[tuple[float, bool]]) -> None:
     numbers = {True: catalogue.REQUEST_ANSWERED, False: catalogue.REQUEST_ENDED}
     lines = [
         line(at, numbers[is_answered], request="r", outcome="late") for at, is_answered in ends
@@ -71,7 +71,7 @@
     assert [second.at_s for second in seconds] == sorted({second.at_s for second in seconds})
 
 
-def test_the_command_prints_json_and_refuses_files_without_lines(tmp_path: Path) -> None:
+def test_the_report_command_prints_json_and_rejects_files_without_log_lines(tmp_path: Path) -> None:
     log = tmp_path / "n1.log"
     log.write_text(
         '3.1 n1 {"node":"n1","number":313,"request":"r","outcome":"client_gone"}\nnoise\n'
