--- a/src/cloverwalk/core/error_response.py
+++ b/src/cloverwalk/core/error_response.py
@@ -1,8 +1,8 @@
-"""The answer that a node makes itself, and whether it promises that nothing was run.
+"""Error responses of a node, and whether they promise that the work was not run.
 
-408, 421, 429 and 503 promise that the work has not run and never will; a caller sends it again.
-Errors only say why a call ends. Which status that is follows here from what is known of the work,
-so no place that raises an error can promise what is not true.
+The statuses 408, 421, 429 and 503 promise that the work has not run and never will, so the caller
+may safely send it again. An error only carries the reason why a call ends; the status is derived
+here from the state of the work. That way no code that raises an error can promise something untrue.
 """
 
 from enum import Enum
@@ -13,33 +13,33 @@
 from cloverwalk.core.errors import CloverwalkError
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses by which a caller knows that its request has not run and never will (users' pages)."""
+"""Statuses that promise the caller that its request has not run and never will."""
 
 
 class WorkState(Enum):
-    """What is known of the work of a call."""
+    """What is known about the work of a call."""
 
     NOT_BEGUN = "not_begun"
-    """Nothing was sent, or all that was sent is proved not to have been taken up."""
+    """Nothing was sent, or everything that was sent is proven not to have been started."""
 
     MAY_HAVE_BEGUN = "may_have_begun"
 
 
 class Work(Protocol):
-    """Whatever knows what was sent for a call."""
+    """Anything that keeps track of what was sent for a call."""
 
     @property
     def state(self) -> WorkState:
-        """What is known of the work now."""
+        """What is known about the work now."""
         ...
 
 
 class NothingSent:
-    """The work of a call that ends before anything is sent for it."""
+    """The work of a call for which nothing was sent."""
 
     @property
     def state(self) -> WorkState:
-        """Nothing has begun."""
+        """Always ``NOT_BEGUN``."""
         return WorkState.NOT_BEGUN
 
 
@@ -47,19 +47,19 @@
 
 
 class Reason(Enum):
-    """Why a call ends with an answer of this node's own."""
+    """Why a call ends with an error response of this node."""
 
     UNAVAILABLE = "unavailable"
-    """Nobody can do the work now."""
+    """No node or replica can do the work now."""
 
     OVER_QUOTA = "over_quota"
-    """The tenant has sent what it may."""
+    """The tenant exceeded its quota."""
 
     OUT_OF_TIME = "out_of_time"
-    """The time for it is over."""
+    """The deadline of the call passed."""
 
     INCOMPLETE = "incomplete"
-    """The request did not come whole in time."""
+    """The request was not received completely in time."""
 
     INVALID = "invalid"
     NO_KEY = "no_key"
@@ -98,10 +98,10 @@
 
 
 class CallError(CloverwalkError):
-    """A call ends with an answer of this node's own.
+    """A call ends with an error response of this node.
 
-    It tells why, and when to come back if that makes sense. It has no status: ``error_response``
-    finds that by what is known of the work.
+    The error has a reason and, where a retry makes sense, a retry-after time. It has no status:
+    ``error_response`` derives that from the state of the work.
     """
 
     default_code = "refused"
@@ -116,7 +116,7 @@
 
 @attrs.frozen
 class ErrorResponse:
-    """What a caller is told at the end of a call. Its status can't be chosen."""
+    """The error response of a call. The status is derived and can't be set."""
 
     reason: Reason
     code: str
@@ -126,22 +126,22 @@
 
     @property
     def status(self) -> int:
-        """The status; one of ``NOT_RUN_STATUSES`` only where the work has not begun."""
+        """The HTTP status; one of ``NOT_RUN_STATUSES`` only if the work has not begun."""
         return _STATUS_BY_REASON[self.work][self.reason]
 
     @property
     def retry_after_s(self) -> float | None:
-        """When to come back; nobody is invited to repeat what may have begun."""
+        """The retry-after time; None if the work may have begun and must not be repeated."""
         return self.wait_s if self.work is WorkState.NOT_BEGUN else None
 
     @property
     def body(self) -> bytes:
-        """The answer in words."""
+        """The body of the response, as text."""
         return f"{self.code}: {self.message}\n".encode()
 
 
 def error_response(error: CallError, work: Work) -> ErrorResponse:
-    """Turn an error into the answer that is true of the work.
+    """Return the response to an error, with the status that fits the state of the work.
 
     >>> full = CallError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
     >>> answer = error_response(full, NOTHING_SENT)
--- a/src/cloverwalk/core/errors.py
+++ b/src/cloverwalk/core/errors.py
@@ -1,11 +1,11 @@
-"""Base of all exceptions: every error carries a stable code.
+"""Base classes of the exceptions; every error carries a stable code.
 
-Each layer derives its own class and turns errors from the layer below into it.
+Each layer derives its own class and converts the errors of the layer below to it.
 """
 
 
 class CloverwalkError(Exception):
-    """An error with a stable ``code`` that callers may match on."""
+    """An error with a stable ``code`` that callers can match."""
 
     default_code = "internal"
 
@@ -15,7 +15,7 @@
 
 
 class WeightTableError(CloverwalkError):
-    """A weight table or an edit of it is not valid; ``field`` names the cell or column."""
+    """A weight table or an edit of it is invalid; ``field`` names the cell or column."""
 
     default_code = "table_invalid"
 
--- a/src/cloverwalk/serving/__init__.py
+++ b/src/cloverwalk/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The serving node: its wiring, its life as a process, and how a request finds its handler."""
+"""The serving node: its components, its process lifecycle and the dispatch of requests."""
--- a/src/cloverwalk/serving/adapter.py
+++ b/src/cloverwalk/serving/adapter.py
@@ -1,4 +1,4 @@
-"""The port between the product and an outside platform: everything that translates."""
+"""The interface that an adapter to a platform implements."""
 
 from typing import Protocol
 
@@ -12,7 +12,7 @@
 
 
 class Adapter(Protocol):
-    """One platform. It translates and decides nothing."""
+    """Translates between the product and one platform; it makes no decisions."""
 
     codec: GatewayCodec
     configuration_table: str
@@ -20,34 +20,34 @@
     replica_table: str
 
     def load_settings(self) -> ServingSettings:
-        """Return the settings in force; raise SettingsError."""
+        """Return the current settings; raise SettingsError if they are invalid."""
         ...
 
     def create_store(self, settings: ServingSettings) -> Store:
-        """Return the store."""
+        """Return a client of the store."""
         ...
 
     def decode_configuration(self, raw: bytes) -> Configuration:
-        """Return a stored configuration; raise ValueError when it is none."""
+        """Return a stored configuration; raise ValueError if it is invalid."""
         ...
 
     def decode_replica(self, replica_id: str, raw: bytes, version: int) -> Replica:
-        """Return a stored replica entry; raise ValueError when it is none."""
+        """Return a stored replica entry; raise ValueError if it is invalid."""
         ...
 
     def is_readiness_probe(self, target: str) -> bool:
-        """Whether a request at the ready address asks for readiness."""
+        """Whether a request to the readiness address is a readiness probe."""
         ...
 
     def decode_job_items(self, body: bytes) -> list[JobItem]:
-        """Return the items of a job's body; raise ValueError when it is not valid."""
+        """Return the items of a job submission; raise ValueError if its body is invalid."""
         ...
 
     def encode_result_page(self, page: ResultPage) -> bytes:
-        """Return the body of an answer with results."""
+        """Return the response body for a page of results."""
         ...
 
     @property
     def json_headers(self) -> RawHeaders:
-        """Headers of an answer with such a body."""
+        """Headers of a response with a JSON body."""
         ...
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that take, run and read batch jobs."""
+"""The components of a node that accept, run and read batch jobs."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -35,12 +35,12 @@
 
 JOBS_PAUSE_S = 0.1
 STORE_REFUSAL_THRESHOLD_MS = 500.0
-"""A store that has not answered this node for so long, and answers others, turns it away: clients
-with jobs are sent on. A single lost answer is none."""
+"""A store that has not answered this node for so long, but answers other nodes, refuses this node:
+job submissions are then sent to other nodes. A single lost answer is not enough."""
 
 
 class BatchParts:
-    """Wires them together."""
+    """Creates and connects these components."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
         )
 
     def loops(self) -> list[Callable[[], Awaitable[None]]]:
-        """Return what runs as long as the node."""
+        """Return the loops that run during the whole life of the node."""
         return [
             self.runner.run,
             self.lister.run,
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that deal with the other nodes: coordinator, link, election."""
+"""The components of a node that talk to other nodes: coordinator and its client, election."""
 
 from collections.abc import Callable
 from random import Random
@@ -28,14 +28,14 @@
 from cloverwalk.telemetry.startup import Stage
 
 MAX_DIRECTORY_AGE_S = 1.5
-"""A list of replicas that was not confirmed for so long is read from the store by the node itself.
-A replica may be sent requests for two seconds or more after it began to leave."""
+"""If the replica list was not confirmed for so long, the node reads it from the store itself. A
+replica accepts requests for at least two seconds after it began to drain."""
 
 DIRECTORY_PAUSE_S = 0.2
 
 
 class FleetParts:
-    """Wires them together, and passes datagrams to the part that they are for."""
+    """Creates and connects these components and dispatches datagrams to them."""
 
     def __init__(
         self,
@@ -164,11 +164,11 @@
         )
 
     async def receive(self) -> None:
-        """Take datagrams until cancelled."""
+        """Receive datagrams until cancelled."""
         await self.transport.receive(self.handle_message)
 
     async def handle_message(self, message: Datagram, host: str) -> None:
-        """Pass a datagram to the part that it is for."""
+        """Dispatch a datagram to the component that handles it."""
         self._fleet_state.startup.record_stage(Stage.PEER)
         match message:
             case Report():
@@ -193,7 +193,7 @@
         await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
     async def until_directory_needed(self) -> None:
-        """Return when this node has to read the list of replicas itself."""
+        """Wait until this node has to read the replica list from the store itself."""
         while not self.coordinator.is_active:
             remaining_s = (
                 self._fleet_state.directory.confirmed_at + MAX_DIRECTORY_AGE_S - self._clock()
@@ -203,7 +203,7 @@
             await self.coordinator.wait_until_active_or_timeout(remaining_s)
 
     def leave(self) -> None:
-        """A planned stop begins: others coordinate, and no more jobs come."""
+        """Begin a planned stop: give up coordination and receive no more jobs."""
         self.link.is_leaving = True
         self.coordinator.is_leaving = True
         self.election.is_leaving = True
--- a/src/cloverwalk/serving/fleet_state.py
+++ b/src/cloverwalk/serving/fleet_state.py
@@ -1,4 +1,4 @@
-"""What a node knows from the store: configuration and replicas. Peers may add to it."""
+"""The fleet state of a node: configuration, replicas and crash ledger, from the store or peers."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class FleetState:
-    """Turns rows into what the node goes by; older rows never replace newer ones."""
+    """Applies rows of the store to the fleet state; older rows never replace newer ones."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         self.directory = ReplicaDirectory()
         self.crash_ledger = CrashLedger()
         self.metrics = ServingMetrics()
-        """Counts entries that can't be read; set to the node's by who wires it."""
+        """Counts invalid entries; ``ServingNode`` replaces it by the metrics of the node."""
 
         self._invalid_versions: dict[str, int] = {}
-        """Versions of entries that can't be read, by key: each is told once."""
+        """Versions of invalid entries, by key; each version is logged once."""
 
     async def on_configuration(self, page: RowPage) -> None:
-        """Take rows of the configuration's table."""
+        """Apply rows of the configuration table."""
         for row in page.rows:
             if row.row_key.key == self._adapter.configuration_key and row.value is not None:
                 self._apply_stored_configuration(row.value)
@@ -55,7 +55,7 @@
         self.apply_configuration(configuration, "store")
 
     def apply_configuration(self, configuration: Configuration, source: str) -> None:
-        """Take a configuration if it is newer; ``source`` tells in the log where it came from."""
+        """Apply a configuration if it is newer; ``source`` is where it came from, for the log."""
         if not self.configuration.update_if_newer(configuration):
             return
         self._log.write(
@@ -68,14 +68,14 @@
         self.startup.record_stage(Stage.CONFIGURATION, source)
 
     async def on_all_replicas(self, page: RowPage) -> None:
-        """Take the whole list of replicas; entries that can't be read are not in it."""
+        """Replace the replica list by the rows of a full read, without invalid entries."""
         replicas = [replica for row in page.rows if (replica := self._decode(row)) is not None]
         for key in self.directory.replace(replicas, page.version):
             self._log_removed_replica(key, page.version)
         self._confirm_directory(page)
 
     async def on_replicas(self, page: RowPage) -> None:
-        """Take changes of the list of replicas; one that can't be read removes its replica."""
+        """Apply changes of the replica list; an invalid entry removes its replica."""
         for row in page.rows:
             replica = self._decode(row)
             if replica is not None:
@@ -85,7 +85,7 @@
         self._confirm_directory(page)
 
     def _decode(self, row: Row) -> Replica | None:
-        """Return the replica that a row names to use, None where it names none."""
+        """Return the replica of a row, None if the row was removed or is invalid."""
         key = row.row_key.key
         if row.value is None:
             self._invalid_versions.pop(key, None)
@@ -127,6 +127,6 @@
         self.record_directory_source("store")
 
     def record_directory_source(self, source: str) -> None:
-        """The list of replicas was told; ``source`` tells in the log by whom."""
+        """Record for the startup log that a replica list was received from ``source``."""
         if not self.directory.is_empty:
             self.startup.record_stage(Stage.REPLICAS, source)
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -1,4 +1,4 @@
-"""One serving node as a process: what it is made of, and its life from start to stop."""
+"""The process of a serving node: its components and its lifecycle from start to stop."""
 
 import gc
 import signal
@@ -43,19 +43,20 @@
 CONFIGURATION_PAUSE_S = 0.05
 HOUSEKEEPING_INTERVAL_S = 2.0
 STOP_PROPAGATION_S = 2.6
-"""After an order to stop, new connections come for about this long."""
+"""New connections still arrive for about this long after a planned stop began."""
 
 STOP_MARGIN_S = 0.7
 NO_NEW_WORK_FRACTION = 0.35
-"""Share of the grace time, before the end, in which nothing new begins: 2.8 of 8 s, more than most
-requests take. The platform sends requests to leaving nodes where few of a zone are ready."""
+"""In this last fraction of the grace time no request is started; it is longer than most requests
+take. Until then requests are accepted, since the platform sends requests to leaving nodes when few
+nodes of a zone are ready."""
 
 RESERVED_DESCRIPTORS = 800
 MAX_INTERNAL_CONNECTIONS = 32
 
 
 class ServingNode:
-    """Wires the parts of a node together and runs them on one loop."""
+    """Creates and connects the components of a node and runs them in one event loop."""
 
     def __init__(
         self, adapter: Adapter, settings: ServingSettings, log_descriptor: int | None = None
@@ -67,7 +68,7 @@
         self._random = Random(SystemRandom().getrandbits(64))
         self._log = ServingLog(settings.node, self._clock, log_descriptor)
         self._metrics = ServingMetrics()
-        # Loading the program takes processor time, and nothing else yet.
+        # Until here the process only loaded modules, so its age is about its processor time.
         started_at = self._clock() - time.process_time()
         self._startup = StartupLog(self._log, self._clock, started_at)
         self._stop = curio.UniversalEvent()
@@ -80,7 +81,7 @@
         self._build_fleet()
         self._build_gateway()
 
-    # --- parts ---
+    # --- components ---
 
     def _build_state(self) -> None:
         self._knowledge = FleetState(self._adapter, self._log, self._clock, self._startup)
@@ -214,7 +215,7 @@
             )
 
     def _create_resource_monitor(self, max_connections: int) -> ResourceMonitor | None:
-        """Return what watches this machine's room, where the settings call for it."""
+        """Return the monitor of this machine's resources, None if the feature is off."""
         if not self._fleet.features.is_on(Feature.NODE_CAPACITY):
             return None
         monitor = ResourceMonitor(
@@ -249,10 +250,10 @@
             max_connections,
         )
 
-    # --- life ---
+    # --- lifecycle ---
 
     async def run(self) -> None:
-        """Serve until a planned stop is complete."""
+        """Run the node until a planned stop is complete."""
         incarnation = self._fleet.identity.incarnation
         self._log.write(catalogue.SERVING_STARTED, incarnation=incarnation)
         async with curio.TaskGroup(wait=None) as tasks:
@@ -285,7 +286,7 @@
         return loops
 
     async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Start a loop again when it fails: no single fault ends the process."""
+        """Run a loop and restart it when it fails, so that no single error ends the process."""
         while True:
             try:
                 await loop()
@@ -294,23 +295,23 @@
             await curio.sleep(0.1)
 
     def request_stop(self) -> None:
-        """Begin a planned stop; safe to call from a signal handler."""
+        """Begin a planned stop; may be called from a signal handler."""
         if self._stop_flag.take():
             self._stop.set()
 
     def request_reload(self) -> None:
-        """Have the settings read again; safe to call from a signal handler."""
+        """Reload the settings; may be called from a signal handler."""
         if self._reload_flag.take():
             self._reload.set()
 
     def install_signals(self) -> None:
-        """Stop on SIGTERM and SIGINT, read the settings again on SIGHUP."""
+        """Stop on SIGTERM and SIGINT, reload the settings on SIGHUP."""
         signal.signal(signal.SIGTERM, lambda *_: self.request_stop())
         signal.signal(signal.SIGINT, lambda *_: self.request_stop())
         signal.signal(signal.SIGHUP, lambda *_: self.request_reload())
 
     async def _reload_loop(self) -> None:
-        """On SIGHUP the settings are checked; addresses hold until the next start."""
+        """Reload the settings on SIGHUP; only the seeds take effect before the next start."""
         while True:
             await self._reload.wait()
             self._reload.clear()
@@ -324,7 +325,7 @@
             self._log.write(catalogue.SETTINGS_RELOADED, seeds=len(settings.seeds))
 
     async def _shut_down(self) -> None:
-        """Planned stop: no longer ready, hand jobs over, finish what is in hand, go."""
+        """Stop as planned: become not ready, hand jobs over, finish running requests."""
         started_at = self._clock()
         deadline = started_at + self._settings.grace_s - STOP_MARGIN_S
         self._last_begin_at = deadline - NO_NEW_WORK_FRACTION * self._settings.grace_s
@@ -346,7 +347,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients should come here."""
+        """Whether the node answers readiness probes positively."""
         return (
             not self.is_leaving
             and self._configuration.current is not None
@@ -363,27 +364,47 @@
         metrics = self._metrics
         now = self._clock()
         metrics.tenant_directory = self._configuration.tenants
-        metrics.gauge("cloverwalk_configuration_version", "In force", self._configuration.version)
+        metrics.gauge(
+            "cloverwalk_configuration_version", "Version in force", self._configuration.version
+        )
         age_s = min(1e6, now - self._directory.confirmed_at)
-        metrics.gauge("cloverwalk_replica_list_age_seconds", "Since confirmed", age_s)
-        metrics.gauge("cloverwalk_log_lines_dropped", "Left out", self._log.lines_dropped)
+        metrics.gauge(
+            "cloverwalk_replica_list_age_seconds",
+            "Time since the replica list was confirmed",
+            age_s,
+        )
+        metrics.gauge("cloverwalk_log_lines_dropped", "Log lines dropped", self._log.lines_dropped)
         metrics.gauge("cloverwalk_replica_connections_opened", "Opened", self._pool.opened)
-        metrics.gauge("cloverwalk_jobs_owned", "Jobs run here", len(self._batch.runner.jobs))
-        metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
+        metrics.gauge(
+            "cloverwalk_jobs_owned", "Jobs that this node runs", len(self._batch.runner.jobs)
+        )
+        metrics.gauge(
+            "cloverwalk_client_connections",
+            "Open",
+            self._clients.connection_count,
+        )
         coordinator = self._fleet.coordinator
         node_count = len(coordinator.registry.live()) if coordinator.is_active else 0
         seconds_by_use = self._fleet.slot_time_reporter.slot_time.seconds
         slowdowns = self._fleet.scheduler.slowdowns
         metrics.replica_slowdowns = slowdowns.counts_by_class()
-        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", slowdowns.invalid_count)
+        metrics.gauge(
+            "cloverwalk_pace_figures_dropped",
+            "Invalid slowdown values ignored",
+            slowdowns.invalid_count,
+        )
         metrics.slot_seconds = {use.value: seconds for use, seconds in seconds_by_use.items()}
         metrics.share_ms = self._fleet.fair_share_reporter.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
         unreachable_count = self._fleet.scheduler.reachability.unreachable_count
         metrics.gauge(
-            "cloverwalk_zones_unreachable", "Pairs of zones, as seen here", unreachable_count
+            "cloverwalk_zones_unreachable",
+            "Unreachable pairs of zones, as seen by this node",
+            unreachable_count,
+        )
+        metrics.gauge(
+            "cloverwalk_coordinated_nodes", "Nodes that report to this coordinator", node_count
         )
-        metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", node_count)
         if self._resource_monitor is not None:
             self._resource_monitor.update_metrics(metrics)
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
@@ -417,7 +438,7 @@
             self._witness.expire()
             slept_s = self._suspensions.check()
             if slept_s > 0:
-                # Ages and leases have gone on: the node is as one that stood still for so long.
+                # Ages and leases went on meanwhile, as if the node had paused for so long.
                 self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(slept_s, 3))
 
 
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -1,4 +1,4 @@
-"""From a request to its handler: a call on a job, a hand-in, or an online request."""
+"""Dispatches requests: calls on jobs, job submissions and online requests."""
 
 from collections.abc import Callable
 
@@ -22,14 +22,14 @@
 
 MAX_WAIT_S = 1.0
 STARTING_RETRY_S = 1.0
-"""A process that has just started has its configuration by then, as a rule."""
+"""A process that has just started usually has its configuration after this time."""
 
 STOPPING_RETRY_AFTER_S = 0.02
-"""A client that comes back reaches another node, which need not be waited for."""
+"""The retry reaches another node, so a long delay has no use."""
 
 
 class RequestHandler:
-    """Handles whole requests of clients."""
+    """Handles complete requests of clients."""
 
     def __init__(
         self,
@@ -53,18 +53,18 @@
         self._resource_monitor = resource_monitor
 
     async def handle(self, request: ClientRequest, reply: Reply) -> None:
-        """Serve one request to its final answer."""
+        """Handle one request until its response is sent."""
         writes = JobWriteTracker()
         try:
             route = await self._dispatch(request, reply, writes)
         except CallError as error:
             if error.code == NODE_FULL:
-                # On the same connection its client would come back to this node.
+                # A retry on the same connection would reach this node again.
                 reply.close_after()
             await self._refuse(request, reply, error_response(error, writes))
             return
         if route is not None:
-            # The relay knows what it sends, and makes the final answer by that.
+            # The relay tracks what it sends, so it creates its error responses itself.
             await self._relay.handle(request, route, reply)
 
     async def _refuse(self, request: ClientRequest, reply: Reply, response: ErrorResponse) -> None:
@@ -85,7 +85,7 @@
     async def _dispatch(
         self, request: ClientRequest, reply: Reply, writes: JobWriteTracker
     ) -> Route | None:
-        """Serve a call on a job or a hand-in; return the route of an online request."""
+        """Handle a call on a job or a job submission; return the route of an online request."""
         if self._configuration.current is None:
             message = "this node is starting"
             raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_S)
@@ -95,7 +95,7 @@
             await self._job_call(request, call, reply, writes)
             return None
         if not self._accepts_requests():
-            message = "this node ends too soon"
+            message = "this node is stopping"
             raise GatewayError(Reason.UNAVAILABLE, "stopping", message, STOPPING_RETRY_AFTER_S)
         if self._resource_monitor is not None and self._resource_monitor.is_overloaded:
             raise _node_full_error("this node's machine is full")
@@ -106,7 +106,7 @@
         return None
 
     def _identify(self, request: ClientRequest, is_job_call: bool) -> None:
-        """Set who calls; the key goes no further than here."""
+        """Set the tenant of a request and remove the key from its headers."""
         request.tenant = identify(request, self._configuration, is_job_call)
         if self._configuration.has_tenants:
             request.headers = self._codec.without_key(request.headers)
@@ -145,7 +145,7 @@
     ) -> None:
         if request.method != "POST" or not request.fields.request_id:
             raise GatewayError(
-                Reason.INVALID, "not_a_job", "a job is handed in by POST, with an id"
+                Reason.INVALID, "not_a_job", "a job must be submitted by POST and with a request id"
             )
         try:
             items = self._adapter.decode_job_items(request.body)
@@ -162,7 +162,7 @@
         if self._resource_monitor is not None and not self._resource_monitor.reserve_job_memory(
             size
         ):
-            raise _node_full_error("this node has no room for the job")
+            raise _node_full_error("this node has no memory for the job")
         submission = Submission(
             request.fields.request_id,
             request.host,
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Watches how full this node's machine is, and tells the parts that decide by it."""
+"""Measures the utilization of this machine and reports it to other components."""
 
 from collections.abc import Callable
 
@@ -20,15 +20,15 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 CHECK_INTERVAL_S = 0.5
-"""The platform asks once a second whether a node is ready."""
+"""Shorter than the second between the readiness probes of the platform."""
 
 HAND_OVER_AFTER_S = 3.0
-"""A coordinator that was over its machine for so long gives its role away: two reports of each
-node have come in that time, so a standby's fullness is not a moment's."""
+"""A coordinator that was overloaded for so long hands its role over. Each node sends at least two
+reports in that time, so the utilization of the standby is not a momentary value."""
 
 
 class ResourceMonitor:
-    """Looks at what is in use while its loop runs."""
+    """Samples the use of the machine's resources while its loop runs."""
 
     def __init__(
         self,
@@ -62,41 +62,45 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether new requests and jobs are refused."""
+        """Whether the node refuses new requests and jobs."""
         return self.overload_monitor.state is OverloadState.OVERLOADED
 
     def reserve_job_memory(self, size: int) -> bool:
-        """Whether there is memory for a job with so many bytes of bodies; counts it if so."""
+        """Return whether the budget has memory for ``size`` bytes of bodies; count them if so."""
         if not self.memory_budget.has_capacity_for_job(size):
             return False
-        # The next look counts it properly, or not at all where it was not taken.
+        # The next check replaces this by the bytes of the jobs that were in fact accepted.
         self.memory_budget.job_bytes += size
         return True
 
     def must_hand_over(self) -> bool:
-        """Whether this node should not coordinate any more."""
+        """Whether this node should hand over the coordinator role."""
         return self.overload_monitor.overloaded_for_s(self._clock()) >= HAND_OVER_AFTER_S
 
     def update_metrics(self, metrics: ServingMetrics) -> None:
-        """Set the figures of this machine's room."""
+        """Set the metrics of this machine's resources."""
         metrics.utilization = {
             resource.value: share for resource, share in self.overload_monitor.by_resource.items()
         }
         metrics.gauge(
-            "cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes
+            "cloverwalk_held_bytes",
+            "Buffered for clients, replicas and jobs",
+            self.memory_budget.total_bytes,
         )
         dropped_readers = self.memory_budget.dropped_readers_total
-        metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", dropped_readers)
+        metrics.gauge(
+            "cloverwalk_readers_given_up", "Clients dropped for not reading", dropped_readers
+        )
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             due_at = self._clock() + CHECK_INTERVAL_S
             await curio.sleep(CHECK_INTERVAL_S)
             self.check(max(0.0, self._clock() - due_at))
 
     def check(self, late_s: float) -> None:
-        """Judge by what is in use now; the loop was late by ``late_s``."""
+        """Update the overload state from the current use; the loop woke up ``late_s`` late."""
         self.memory_budget.job_bytes = self._runner.buffered_bytes
         usage = Usage(
             self.memory_budget.sent_bytes,
@@ -107,7 +111,7 @@
         )
         if not self.overload_monitor.update(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
-        # 0 would say that nobody measures it.
+        # 0 means that the utilization is not measured.
         self._coordinator_client.utilization_percent = max(
             1, round(100 * self.overload_monitor.utilization)
         )
@@ -135,7 +139,7 @@
         )
 
     def _log_dropped_readers(self) -> None:
-        """One line for all clients that were given up since the last look."""
+        """Write one line for all clients that were dropped since the previous check."""
         dropped = self.memory_budget.take_dropped_readers()
         if dropped.count == 0:
             return
--- a/src/cloverwalk/serving/settings.py
+++ b/src/cloverwalk/serving/settings.py
@@ -1,4 +1,4 @@
-"""What a serving node must know to start. An adapter reads it from its own form."""
+"""Settings of a serving node; an adapter reads them from the settings of its platform."""
 
 from msgspec import Struct
 
@@ -6,15 +6,15 @@
 
 
 class MachineLimits(Struct, frozen=True):
-    """What a machine gives the process; 0 stands for a limit that is not told."""
+    """Resource limits of the machine; 0 means that a limit is not known."""
 
     memory_bytes: int = 0
     link_bytes_per_s: float = 0.0
-    """What its link carries, in each direction."""
+    """Network bandwidth in each direction."""
 
 
 class Tolerance(Struct, frozen=True):
-    """What may be lost at once while all others are served; 0 stands for nothing of the kind."""
+    """How many units of each kind may fail at once while the others are still served."""
 
     zones: int = 0
     regions: int = 0
@@ -22,7 +22,7 @@
 
 
 class ServingSettings(Struct, frozen=True):
-    """Checked settings of one process."""
+    """The validated settings of one process."""
 
     node: str
     zone: str
@@ -31,25 +31,25 @@
     peer_address: tuple[str, int]
     metrics_address: tuple[str, int] | None
     seeds: tuple[str, ...]
-    """Hosts of nodes that may be up."""
+    """Hosts of other nodes to contact at the start; not all need to be running."""
 
     store_address: str
     grace_s: float
-    """Time between the order to stop and the end by force."""
+    """Time from the stop signal until the platform kills the process."""
 
     max_descriptors: int
     status_s: float
-    """Time for which a job can be read after it was handed in."""
+    """How long a job can be read after its submission."""
 
     cores: float = 1.0
-    """Processor of the machine, in cores."""
+    """Processor capacity of the machine, in cores."""
 
     quota_bounds: QuotaBounds = QuotaBounds()
-    """How far counts of tenants' requests may be off."""
+    """Allowed deviation from the quotas of tenants."""
 
     machine: MachineLimits = MachineLimits()
     is_memory_scarce: bool = False
-    """Whether replicas and nodes can run out of memory by what they hold for requests."""
+    """Whether requests can exhaust the memory of replicas and nodes."""
 
     tolerance: Tolerance = Tolerance()
-    """What the deployment has to bear the loss of."""
+    """Failures that the deployment must tolerate."""
--- a/src/cloverwalk/serving/store_probe.py
+++ b/src/cloverwalk/serving/store_probe.py
@@ -1,4 +1,4 @@
-"""Notices at once that a lost store answers again, and has the other nodes told."""
+"""Detects quickly that an unavailable store answers again, and informs the other nodes."""
 
 import contextlib
 
@@ -10,17 +10,17 @@
 from cloverwalk.store.types import Store, StoreError
 
 COORDINATOR_PROBE_INTERVAL_MS = 100.0
-"""How often the coordinator asks a lost store whether it is back; it tells the other nodes."""
+"""Probe interval of the coordinator, which informs the other nodes of the recovery."""
 
 NODE_PROBE_INTERVAL_MS = 400.0
-"""The same at other nodes, which may be the only ones that the store turned away."""
+"""Probe interval of the other nodes. They probe too, as the store may refuse only some of them."""
 
 PROBE_TIMEOUT_S = 0.3
 PROBE_TABLE = "role"
 
 
 class StoreProbe:
-    """While the store is lost, asks for a small row often."""
+    """Reads one small row repeatedly while the store is unavailable."""
 
     def __init__(self, store: Store, health: StoreHealth, fleet: FleetParts) -> None:
         self._store = store
@@ -28,7 +28,7 @@
         self._fleet = fleet
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Probe the store whenever it is unavailable, until cancelled."""
         while True:
             await self._health.wait_until_unavailable()
             while self._health.is_unavailable:
@@ -46,7 +46,7 @@
                 await self._store.read(PROBE_TABLE, "", "coordinator", "", 1)
 
     def _send_store_returned(self) -> None:
-        """Tell the nodes at once, or the coordinator, which tells them."""
+        """Inform all nodes if this is the coordinator, else the coordinator, which informs them."""
         if self._fleet.coordinator.is_active:
             self._fleet.coordinator.broadcast_store_returned()
             return
