--- a/src/cloverwalk/platform/__init__.py
+++ b/src/cloverwalk/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: the only place that knows its names. It decides nothing."""
+"""The adapter to the users' platform, the only package with names of the platform."""
--- a/src/cloverwalk/platform/adapter.py
+++ b/src/cloverwalk/platform/adapter.py
@@ -1,4 +1,4 @@
-"""All parts of the adapter in one object."""
+"""The adapter to the platform, as one object."""
 
 from cloverwalk.gateway.configuration import Configuration
 from cloverwalk.gateway.messages import GatewayCodec, RawHeaders
@@ -24,11 +24,11 @@
         self.codec: GatewayCodec = PlatformCodec()
 
     def load_settings(self) -> ServingSettings:
-        """Return the settings in force."""
+        """Return the current settings."""
         return load_settings()
 
     def create_store(self, settings: ServingSettings) -> Store:
-        """Return the store."""
+        """Return a client of the store."""
         return PlatformStore(settings.store_address)
 
     def decode_configuration(self, raw: bytes) -> Configuration:
@@ -40,18 +40,18 @@
         return documents.decode_replica(replica_id, raw, version)
 
     def is_readiness_probe(self, target: str) -> bool:
-        """Whether a request at the ready address asks for readiness."""
+        """Whether a request to the readiness address is a readiness probe."""
         return target.partition("?")[0] == names.READY_PATH
 
     def decode_job_items(self, body: bytes) -> list[JobItem]:
-        """Return the items of a job's body."""
+        """Return the items of a job submission."""
         return documents.decode_job(body)
 
     def encode_result_page(self, page: ResultPage) -> bytes:
-        """Return the body of an answer with results."""
+        """Return the response body for a page of results."""
         return documents.encode_results(page)
 
     @property
     def json_headers(self) -> RawHeaders:
-        """Headers of an answer with such a body."""
+        """Headers of a response with a JSON body."""
         return [(b"Content-Type", b"application/json")]
--- a/src/cloverwalk/platform/codec.py
+++ b/src/cloverwalk/platform/codec.py
@@ -1,4 +1,4 @@
-"""Headers and calls of the platform, read into and written from the gateway's messages."""
+"""Converts headers and job calls of the platform to and from messages of the gateway."""
 
 from urllib.parse import parse_qs, unquote, urlsplit
 
@@ -41,13 +41,13 @@
     }
 )
 MAX_SLOWDOWN_PERCENT = 10_000
-"""A replica a hundred times slower than usual serves nobody: a larger figure is an error."""
+"""100 times slower than the baseline; a larger value is treated as an error."""
 
 MAX_DIGITS = 9
-"""Longer figures are no counts of tokens or requests; turning them into numbers would take time."""
+"""Longer numbers are no valid counts, and converting very long ones would be slow."""
 
 MALFORMED_KEY_DIGEST = ""
-"""Stands for the digest of a credential that is none; it belongs to no tenant."""
+"""The digest of a malformed credential; it belongs to no tenant."""
 
 
 def _find(headers: RawHeaders, name: bytes) -> str | None:
@@ -64,7 +64,7 @@
 
 
 def _key_digest(headers: RawHeaders) -> str | None:
-    """Return the digest of the caller's key, None when it sent none."""
+    """Return the digest of the caller's key, None if the request has no key."""
     wanted = names.AUTHORIZATION.lower()
     values = [value for name, value in headers if name.lower() == wanted]
     if not values:
@@ -114,7 +114,7 @@
 
 
 def _token_usage(text: str | None) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most that may come out; zeros where not told."""
+    """Return the prompt tokens and the maximum of output tokens; zeros if not given."""
     fields = [field.strip() for field in (text or "").split(",")]
     if len(fields) != 2 or not all(_is_count(field) for field in fields):
         return 0, 0
@@ -122,7 +122,7 @@
 
 
 def _length_hint(text: str | None) -> int:
-    """Return the expected tokens of output, zero where there is no usable hint."""
+    """Return the expected number of output tokens, 0 without a valid hint."""
     return int(text) if text is not None and _is_count(text) else 0
 
 
@@ -138,7 +138,7 @@
     """The gateway's codec for this platform."""
 
     def request_fields(self, headers: RawHeaders) -> RequestFields:
-        """Return what a client's headers say."""
+        """Return the fields in the headers of a client's request."""
         deadline_ms = _number(headers, names.DEADLINE_MS)
         last_event = _number(headers, names.LAST_EVENT_ID)
         wait_ms = _number(headers, names.WAIT_MS)
@@ -157,13 +157,13 @@
         )
 
     def without_key(self, headers: RawHeaders) -> RawHeaders:
-        """Return a caller's headers without its key."""
+        """Return the headers of a request without the key."""
         wanted = names.AUTHORIZATION.lower()
         return [(name, value) for name, value in headers if name.lower() != wanted]
 
     def answer_fields(self, headers: RawHeaders) -> AnswerFields:
-        """Return what a replica's headers say."""
-        # Repeated fields are one list: an answer with two ids is that of no request.
+        """Return the fields in the headers of a replica's answer."""
+        # Repeated headers form one list, so an answer with two ids matches no request.
         request_ids = _find_all(headers, names.REQUEST_ID)
         signatures = _find_all(headers, names.SIGNATURE)
         return AnswerFields(
@@ -181,7 +181,7 @@
         remaining_s: float | None,
         last_event_id: int | None,
     ) -> RawHeaders:
-        """Return the headers with which a request goes to a replica, without its length."""
+        """Return the headers of a request to a replica, without the content length."""
         forwarded = [
             (name, value)
             for name, value in _without_connection_headers(request.headers)
@@ -200,11 +200,11 @@
         return forwarded
 
     def headers_to_client(self, headers: RawHeaders) -> RawHeaders:
-        """Return a replica's headers without those of its connection and without its length."""
+        """Return a replica's headers without connection headers and the content length."""
         return _without_connection_headers(headers)
 
     def local_reply_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
-        """Return the headers of an answer that this node makes itself."""
+        """Return the headers of a response that this node creates itself."""
         headers: RawHeaders = []
         if request_id:
             headers.append((names.REQUEST_ID, request_id.encode("latin-1")))
@@ -213,16 +213,17 @@
         return headers
 
     def job_call(self, method: str, target: str) -> JobCall | None:
-        """Return the call on a job that a request is, or None when it is none."""
+        """Return the job call that a request makes, None if it is not a job call."""
         url = urlsplit(target)
         if url.path.startswith(names.JOB_PREFIX):
             job_id = unquote(url.path[len(names.JOB_PREFIX) :])
             if method == "DELETE":
                 return EndJob(job_id)
             if method == "GET":
+                # The position of the first result to return, despite the name of the parameter.
                 position = parse_qs(url.query).get("since_revision", ["0"])[0]
                 if not position.isdecimal():
-                    message = "since_revision is a number"
+                    message = "since_revision must be a number"
                     raise GatewayError(Reason.INVALID, "position_invalid", message)
                 return ReadJob(job_id, int(position))
         if url.path.startswith(names.ITEM_PREFIX) and method == "GET":
--- a/src/cloverwalk/platform/documents.py
+++ b/src/cloverwalk/platform/documents.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the platform: configuration, replica entries, jobs and results."""
+"""Decodes and encodes JSON documents of the platform: configuration, replicas, jobs, results."""
 
 import ipaddress
 import re
@@ -24,18 +24,18 @@
 
 DEFAULT_SLOTS = 8
 REPLICA_ID = re.compile(r"[!-~]{1,200}")
-"""Keys of the store have at most 200 bytes; an id goes into a header of requests."""
+"""Keys of the store have at most 200 bytes, and the id is sent in a request header."""
 
 ADDRESS = re.compile(r"(?:([0-9.]+)|\[([0-9A-Fa-f:.]+)\]):([0-9]{1,5})")
 MAX_PORT = 65_535
 MAX_SLOTS = 100_000
-"""More requests at once than any engine runs; sums of slots stay small numbers."""
+"""More than any engine runs at once; keeps sums of slots small."""
 
 MAX_STARTED_MS = 4_102_444_800_000
-"""The year 2100: a time in another unit (microseconds) lies far beyond it."""
+"""The year 2100; rejects a time in another unit, such as microseconds."""
 
 IS_DRAINING_BY_STATE = {"ready": False, "draining": True}
-"""Whether a replica is leaving, by its state."""
+"""Whether a replica is draining, by the state in its entry."""
 
 ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
@@ -81,7 +81,7 @@
     slots: int = DEFAULT_SLOTS
     kv_cache_tokens: int = 0
     stride: int = 1
-    """The most tokens that one event may hold."""
+    """The maximum number of tokens in one event."""
 
 
 class _Service(Struct):
@@ -106,20 +106,20 @@
 
 
 class _Replica(Struct):
-    """An entry; all of its fields are checked, as another writer's may look much the same."""
+    """A replica entry. All fields are required, to detect similar entries of other writers."""
 
     service: str
     address: str
     zone: str
     slots: int
     version: str
-    """Of the replica's software."""
+    """The version of the replica's software, not of the entry."""
 
     state: str
     seq: int
     cold_left_ms: float
     born: int | UnsetType = UNSET
-    """Unix time of its start, in ms; left out by earlier versions of the platform."""
+    """Unix time at which the replica started, in ms; older versions of the platform omit it."""
 
 
 class _Item(Struct):
@@ -160,7 +160,7 @@
 
 
 def decode_configuration(raw: bytes) -> Configuration:
-    """Return a configuration; raise ValueError when it is not valid."""
+    """Return a configuration; raise ValueError if it is invalid."""
     wire = _decode(_configuration_decoder, raw)
     services = {
         service.name: Service(
@@ -184,15 +184,15 @@
 
 
 def _tenants(entries: list[_Tenant]) -> tuple[Tenant, ...]:
-    """Return the tenants; raise ValueError, which names the entry and never a key."""
+    """Return the tenants; raise ValueError with the invalid entry, but never with a key."""
     tenants = [_tenant(number, entry) for number, entry in enumerate(entries)]
     owner_by_digest: dict[str, str] = {}
     for number, tenant in enumerate(tenants):
         if tenant.name in (earlier.name for earlier in tenants[:number]):
-            raise ValueError(f"tenants[{number}].name: {tenant.name!r} stands there twice")
+            raise ValueError(f"tenants[{number}].name: {tenant.name!r} appears twice")
         for position, digest in enumerate(tenant.key_digests):
             if owner_by_digest.setdefault(digest, tenant.name) != tenant.name:
-                reason = f"it is a key of {owner_by_digest[digest]!r} too"
+                reason = f"it is also a key of {owner_by_digest[digest]!r}"
                 raise ValueError(f"tenants[{number}].api_keys[{position}]: {reason}")
     return tuple(tenants)
 
@@ -202,7 +202,7 @@
         raise ValueError(f"tenants[{number}].name: it is empty")
     for field_name, value in (("rate_per_s", wire.rate_per_s), ("burst", wire.burst)):
         if not 0 <= value < float("inf"):
-            raise ValueError(f"tenants[{number}].{field_name}: {value} is no limit")
+            raise ValueError(f"tenants[{number}].{field_name}: {value} is not a valid limit")
     digests = tuple(digest_of(key) for key in wire.api_keys)
     return Tenant(wire.name, digests, wire.priority, wire.rate_per_s, wire.burst)
 
@@ -231,16 +231,16 @@
 
 
 def decode_replica(replica_id: str, raw: bytes, version: int) -> Replica:
-    """Return a replica's entry; raise ValueError when it names no replica to use."""
+    """Return a replica entry; raise ValueError if it is invalid."""
     wire = _decode(_replica_decoder, raw)
     if not REPLICA_ID.fullmatch(replica_id):
-        raise ValueError("the id is no name that a header can carry")
+        raise ValueError("the id can't be sent in a header")
     if not wire.service:
         raise ValueError("service: it is empty")
     if not 1 <= wire.slots <= MAX_SLOTS:
         raise ValueError(f"slots: {str(wire.slots)[:20]}")
     if wire.state not in IS_DRAINING_BY_STATE:
-        raise ValueError(f"state: {wire.state[:20]!r} is not known")
+        raise ValueError(f"state: {wire.state[:20]!r} is not a valid state")
     host, port = _address(wire.address)
     return Replica(
         replica_id,
@@ -256,7 +256,7 @@
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Return host and port of an address that can be connected to."""
+    """Return host and port; raise ValueError if no connection to the address is possible."""
     parts = ADDRESS.fullmatch(text)
     if parts is None:
         raise ValueError(f"address: {text[:60]!r}")
@@ -268,7 +268,7 @@
 
 
 def _started_ms(born: int | UnsetType) -> int:
-    """Return the time of a start, 0 where it is not told."""
+    """Return the start time, 0 if the entry has none."""
     if isinstance(born, UnsetType):
         return 0
     if not 1 <= born < MAX_STARTED_MS:
@@ -277,7 +277,7 @@
 
 
 def decode_job(body: bytes) -> list[JobItem]:
-    """Return the items of a job; raise ValueError when it is not valid."""
+    """Return the items of a job; raise ValueError if its body is invalid."""
     wire = _decode(_job_decoder, body)
     return [
         JobItem(item.id, item.path, list(item.headers.items()), item.body, item.tokens)
@@ -286,7 +286,7 @@
 
 
 def encode_results(page: ResultPage) -> bytes:
-    """Return the body of an answer with results."""
+    """Return the response body for a page of results."""
     results = [
         _Result(result.item_id, _RESULT_STATES[result.state], result.text)
         for result in page.results
--- a/src/cloverwalk/platform/names.py
+++ b/src/cloverwalk/platform/names.py
@@ -1,4 +1,4 @@
-"""Headers, paths and tables of the platform, as PROTOCOL.md of its operators spells them."""
+"""Names of headers, paths and tables of the platform, as in PROTOCOL.md of its operators."""
 
 REQUEST_ID = b"X-Cloverwalk-Request-Id"
 DEADLINE_MS = b"X-Cloverwalk-Deadline-Ms"
@@ -27,7 +27,7 @@
 CONFIGURATION_KEY = "config"
 REPLICA_TABLE = "servers"
 EMPTY_PART_TABLES = frozenset({OPERATOR_TABLE, REPLICA_TABLE, "role", "quota"})
-"""Tables whose rows all have an empty part."""
+"""Tables in which the part of every row key is empty."""
 
 SETTINGS_VARIABLE = "CLOVERWALK_CONFIG"
 SETTINGS_PATH = "/etc/cloverwalk/local.toml"
--- a/src/cloverwalk/platform/program.py
+++ b/src/cloverwalk/platform/program.py
@@ -1,4 +1,4 @@
-"""The program that the platform runs: one serving node."""
+"""The entry point of the process that the platform runs: one serving node."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Run a node until it is stopped; settings that can't be used end it with one line."""
+    """Run a node until it is stopped; exit with a one-line message if the settings are invalid."""
     try:
         run_node(PlatformAdapter())
     except PlatformSettingsError as error:
--- a/src/cloverwalk/platform/settings.py
+++ b/src/cloverwalk/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the product's settings."""
+"""Reads the settings file of the platform."""
 
 import os
 from pathlib import Path
@@ -11,11 +11,11 @@
 from cloverwalk.serving.settings import MachineLimits, ServingSettings, Tolerance
 
 MEMORY_PRESSURE = "pressure"
-"""The contract under which replicas and nodes can run out of memory by what they hold."""
+"""The contract under which requests can exhaust the memory of replicas and nodes."""
 
 
 class PlatformSettingsError(ValueError):
-    """The settings file can't be used; the message names the field."""
+    """The settings file is invalid; the message names the field."""
 
 
 class _Listen(Struct):
@@ -27,7 +27,7 @@
 class _Limits(Struct):
     max_fds: int = 1024
     cpu_share: float = 1.0
-    """Share of each of the cores that the machine may use."""
+    """Usable fraction of each core."""
 
     cpu_cores: float = 1.0
     memory_mb: float = 0.0
@@ -74,7 +74,7 @@
 
 
 def load_settings(path: Path | None = None) -> ServingSettings:
-    """Return the settings in force; raise PlatformSettingsError in one line."""
+    """Return the current settings; raise PlatformSettingsError with a one-line message."""
     chosen = path or Path(os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH))
     try:
         file = msgspec.toml.decode(chosen.read_bytes(), type=_File)
@@ -120,7 +120,9 @@
 
 def _quota_bounds(bounds: _Bounds) -> QuotaBounds:
     if bounds.quota_window_s <= 0:
-        raise PlatformSettingsError(f"bounds.quota_window_s: {bounds.quota_window_s} is no time")
+        raise PlatformSettingsError(
+            f"bounds.quota_window_s: {bounds.quota_window_s} is not a positive time"
+        )
     for name in ("quota_overshoot", "quota_slack"):
         if getattr(bounds, name) < 0:
             raise PlatformSettingsError(f"bounds.{name}: {getattr(bounds, name)} is below 0")
--- a/src/cloverwalk/platform/store_client.py
+++ b/src/cloverwalk/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store behind the product's store port."""
+"""A client of the platform's metadata store, which implements the store interface."""
 
 from base64 import b64decode, b64encode
 from typing import Any, TypeVar
@@ -25,7 +25,7 @@
 WAIT_MARGIN_S = 0.8
 PAGE_ROWS = 500
 NOT_DONE_STATUSES = (503, 507)
-"""Of the store's failures these tell that nothing was done; of others that is not known."""
+"""Server errors that prove that nothing was done; after others the outcome is unknown."""
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 
@@ -43,7 +43,7 @@
 
 class _RowsAnswer(Struct):
     ver: int
-    """Named by each answer about rows: a body without it is none, and says nothing of rows."""
+    """Required: a body without it is no valid answer about rows."""
 
     rows: list[_WireRow] = []
     now_ms: float | None = None
@@ -60,15 +60,15 @@
 
 
 class PlatformStore:
-    """Calls to the store over kept connections."""
+    """Calls the store over reused connections."""
 
     def __init__(self, address: str) -> None:
         self._pool = HttpPool(address)
 
-    # --- the port ---
+    # --- store interface ---
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
-        """Try once to commit; never raises."""
+        """Make one attempt to commit; never raises."""
         body = msgspec.json.encode(_wire_transaction(transaction))
         try:
             response = await self._call("POST", names.TRANSACTION_PATH, body, timeout_s)
@@ -91,11 +91,12 @@
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = PAGE_ROWS
     ) -> RowPage:
-        """Return rows with ``start`` <= key < ``end`` in order of their keys."""
+        """Return the rows with ``start`` <= key < ``end``, sorted by key."""
         query = {"table": table, "part": part, "limit": str(limit)}
         if start:
             query["from"] = start
         if end:
+            # The end of the range of keys, despite the name of the parameter.
             query["target_version"] = end
         response = await self._get(names.READ_PATH, query, READ_TIMEOUT_S)
         return _page(response, table, part)
@@ -107,7 +108,7 @@
         versions: list[int] = []
         for part in parts or [""]:
             await self._read_part(table, part, whole, versions)
-        # Changes after the first of the reads are asked for again.
+        # With the lowest version, changes made between the reads are fetched again later.
         whole.version = min(versions)
         return whole
 
@@ -127,6 +128,7 @@
         while True:
             query = {"table": table}
             if parts:
+                # The last part of the previous page, despite the name of the parameter.
                 query["since_revision"] = parts[-1]
             response = await self._get(names.PARTS_PATH, query, READ_TIMEOUT_S)
             answer = _decode(_parts_decoder, response)
@@ -135,7 +137,7 @@
                 return parts
 
     async def changes(self, table: str, since: int, wait_s: float) -> RowPage:
-        """Return the changes after a version; raise HistoryLostError when they are gone."""
+        """Return the changes after a version; raise HistoryLostError if the store dropped them."""
         query = {
             "table": table,
             "since_revision": str(since),
@@ -143,7 +145,7 @@
         }
         response = await self._get(names.FEED_PATH, query, wait_s + WAIT_MARGIN_S)
         page = _page(response, table, None)
-        # A page without changes still tells how far the store is.
+        # The version of a page must never go back.
         page.version = max(page.version, since)
         return page
 
@@ -155,7 +157,7 @@
         except HttpError as error:
             raise StoreError(str(error), "store_silent") from error
         if response.status == 410:
-            raise HistoryLostError("the changes are gone")
+            raise HistoryLostError("the store has dropped the changes since this version")
         if response.status != 200:
             raise StoreError(f"the store answered {response.status}", "store_busy")
         return response
@@ -165,7 +167,7 @@
         try:
             return await self._pool.call(method, path, body, headers, timeout_s)
         except HttpError:
-            # Other kept connections may be as dead as this one.
+            # The other reused connections may be broken as well.
             await self._pool.close()
             raise
 
@@ -196,6 +198,7 @@
 
 def _wire_transaction(transaction: Transaction) -> dict[str, Any]:
     wire: dict[str, Any] = {
+        # Expectations about rows, each with the key and version of the row.
         "expected_revision": [
             {**_wire_key(expectation.row_key), "ver": expectation.version}
             for expectation in transaction.expectations
--- a/src/cloverwalk/store/__init__.py
+++ b/src/cloverwalk/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable store as the product sees it: rows under conditions, and changes of a table."""
+"""The interface to the durable store: conditional row transactions and changes of a table."""
--- a/src/cloverwalk/store/clock.py
+++ b/src/cloverwalk/store/clock.py
@@ -1,4 +1,4 @@
-"""The store's time at this node, as its answers tell it."""
+"""Estimates the time of the store from its answers."""
 
 from collections.abc import Callable
 
@@ -7,17 +7,18 @@
 from cloverwalk.core.clock import Clock
 
 MAX_DRIFT = 200e-6
-"""How much faster or slower than the store's a machine's steady clock may run; twice what quartz
-clocks are specified for (100 ppm)."""
+"""Drift between the monotonic clock and the clock of the store, as a fraction; twice the 100 ppm
+that quartz clocks are specified for."""
 
 
 @attrs.frozen
 class StoreTime:
-    """The store's time (ms): an interval that surely holds it.
+    """An interval that contains the current time of the store (ms).
 
-    What asks whether a time is over takes ``earliest_ms``; what sets a time until which something
-    is kept takes ``latest_ms``. The other way round either comes too early by the width, which is
-    that of the fastest answer so far: some ms, and seconds where the only one lay unread.
+    To check whether a deadline has passed, use ``earliest_ms``; to set a time until which something
+    is kept, use ``latest_ms``. The opposite choice acts too early by the width of the interval. The
+    width is the round trip of the fastest answer so far: usually some ms, but seconds if the only
+    answer was read late.
     """
 
     earliest_ms: float
@@ -25,22 +26,22 @@
 
     @property
     def uncertainty_ms(self) -> float:
-        """How far the time is unsure."""
+        """The width of the interval."""
         return self.latest_ms - self.earliest_ms
 
 
 def _ignore(_jump_ms: float) -> None:
-    """Tell nobody."""
+    """Ignore a jump; the default callback."""
 
 
 class StoreClock:
-    """Estimates the store's time between its answers. It is unknown before the first one.
+    """Estimates the time of the store between its answers; it is unknown before the first answer.
 
     The store reads its clock after a call was sent and before its answer is read, so each answer
-    bounds the difference of the two clocks on both sides. The closest bounds are kept, less what
-    the clocks may have drifted since. An answer that contradicts them shows that a clock stood
-    still or was set, as of a machine that was suspended: it alone counts then, and ``on_jump`` is
-    told by how much (ms).
+    gives a lower and an upper bound of the offset between the two clocks. The tightest bounds are
+    kept and widened by the possible drift since. An answer outside of them shows that a clock was
+    stopped or set, for example while the machine was suspended. The bounds are then reset to those
+    of this answer, and ``on_jump`` is called with the size of the jump (ms).
     """
 
     def __init__(self, clock: Clock, on_jump: Callable[[float], None] = _ignore) -> None:
@@ -51,11 +52,11 @@
         self._answered_at_ms: float | None = None
 
     def monotonic_ms(self) -> float:
-        """Return this machine's steady time, to be noted before a call."""
+        """Return the monotonic time of this machine, to be read before a call is sent."""
         return self._clock.now_ms()
 
     def record_answer(self, store_ms: float, sent_at_ms: float) -> None:
-        """Take the time that the answer to a call sent at ``sent_at_ms`` (steady) told."""
+        """Use the store time in the answer to a call sent at ``sent_at_ms`` (monotonic time)."""
         at_ms = self._clock.now_ms()
         min_offset_ms, max_offset_ms = store_ms - at_ms, store_ms - sent_at_ms
         if self._answered_at_ms is not None:
@@ -71,7 +72,7 @@
         self._answered_at_ms = at_ms
 
     def now(self) -> StoreTime | None:
-        """Return the store's time, None before any answer told it.
+        """Return the time of the store, None before the first answer.
 
         >>> clock = StoreClock(Clock(lambda: 2.0))
         >>> clock.now() is None
--- a/src/cloverwalk/store/health.py
+++ b/src/cloverwalk/store/health.py
@@ -1,7 +1,7 @@
-"""Notices that the store stops and starts to answer, and wakes those that wait for its return.
+"""Tracks whether the store answers, and wakes tasks that wait for its recovery.
 
-Machines may be lost right after an outage of the store. What a node holds back meanwhile, such as
-results and output of running items, must be stored as soon as the store is back.
+Machines may fail right after an outage of the store. Everything that a node buffers during the
+outage, such as results and output of running items, must be stored as soon as the store recovers.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,8 @@
 )
 
 MIN_BACKOFF_MS = 20.0
-"""Where one part of the store is lost and others are not, pauses are at least so long."""
+"""Lower bound of a backoff. It limits retries if only one part of the store is unavailable and the
+answers of the other parts keep ending the backoff."""
 
 
 def _ignore(_is_answered: bool) -> None:
@@ -29,7 +30,7 @@
 
 
 class StoreHealth:
-    """Whether the last call to the store was answered."""
+    """Whether the store answers, by the outcome of the latest calls."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -37,16 +38,16 @@
         self._became_unavailable = curio.Event()
         self._hint = curio.Event()
         self.unavailable_since_ms: float | None = None
-        """When the first of the unanswered calls ended; None while the store answers."""
+        """When the first unanswered call ended; None while the store answers."""
 
         self.answered_at_ms = clock.now_ms()
-        """When a call was last answered; the start, as long as nothing speaks against the store."""
+        """When a call was last answered; initially the time of creation."""
 
         self.on_call: Callable[[bool], None] = _ignore
-        """Told of each call whether it was answered."""
+        """Called after each call to the store; the argument is whether it was answered."""
 
     def unavailable_for_ms(self) -> float:
-        """Return for how long the store has not answered, 0 while it does."""
+        """Return how long the store has been unavailable, 0 while it answers."""
         return (
             0.0
             if self.unavailable_since_ms is None
@@ -59,11 +60,11 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether the last call got no answer, or a refusal."""
+        """Whether the last call was not answered, or was refused."""
         return self.unavailable_since_ms is not None
 
     async def record_failure(self) -> None:
-        """A call got no answer, or a refusal."""
+        """Record a call that was not answered, or was refused."""
         self.on_call(False)
         if self.unavailable_since_ms is not None:
             return
@@ -72,7 +73,7 @@
         await self._became_unavailable.set()
 
     async def record_answer(self) -> None:
-        """A call was answered."""
+        """Record an answered call and wake tasks that wait for the recovery."""
         self.on_call(True)
         self.answered_at_ms = self._clock.now_ms()
         if self.unavailable_since_ms is None:
@@ -82,22 +83,22 @@
         await self._returned.set()
 
     async def hint_recovery(self) -> None:
-        """Another node was answered: the store may answer this one too."""
+        """Trigger an early probe, since the store answered another node."""
         if self.is_unavailable:
             await self._hint.set()
 
     async def wait_for_recovery_hint(self, max_wait_ms: float) -> None:
-        """Return with the next hint, or after ``max_wait_ms``."""
+        """Wait for the next recovery hint, at most ``max_wait_ms``."""
         async with curio.ignore_after(max_wait_ms / 1000):
             await self._hint.wait()
         self._hint.clear()
 
     async def wait_until_unavailable(self) -> None:
-        """Return once a call fails; at once while the store is lost."""
+        """Wait until a call fails; return at once if the store is unavailable."""
         await self._became_unavailable.wait()
 
     async def backoff(self, pause_ms: float) -> None:
-        """Sleep, but not beyond the return of the store when it is lost now."""
+        """Sleep; if the store is unavailable now, return early when it recovers."""
         returned = self._returned if self.is_unavailable else None
         min_delay_ms = min(MIN_BACKOFF_MS, pause_ms)
         await curio.sleep(min_delay_ms / 1000)
@@ -110,7 +111,7 @@
 
 
 class MonitoredStore:
-    """A store whose answers and failures are noted, and the time that answers tell."""
+    """A store client that records the outcome of each call and the store time of each answer."""
 
     def __init__(self, store: Store, health: StoreHealth, store_clock: StoreClock) -> None:
         self._store = store
@@ -123,7 +124,7 @@
         await self._health.record_answer()
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
-        """Try once to commit; never raises."""
+        """Make one attempt to commit; never raises."""
         sent_at_ms = self._store_clock.monotonic_ms()
         outcome = await self._store.commit(transaction, timeout_s)
         if outcome.status in (CommitStatus.COMMITTED, CommitStatus.CONFLICT):
@@ -135,7 +136,7 @@
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> RowPage:
-        """Return rows with ``start`` <= key < ``end`` in order of their keys."""
+        """Return the rows with ``start`` <= key < ``end``, sorted by key."""
         sent_at_ms = self._store_clock.monotonic_ms()
         try:
             page = await self._store.read(table, part, start, end, limit)
@@ -157,7 +158,7 @@
         return page
 
     async def changes(self, table: str, since: int, wait_s: float) -> RowPage:
-        """Return the changes after a version; raise HistoryLostError when they are gone."""
+        """Return the changes after a version; raise HistoryLostError if the store dropped them."""
         sent_at_ms = self._store_clock.monotonic_ms()
         try:
             page = await self._store.changes(table, since, wait_s)
--- a/src/cloverwalk/store/types.py
+++ b/src/cloverwalk/store/types.py
@@ -1,4 +1,4 @@
-"""Rows, transactions and their typed outcomes; the port that a store adapter implements."""
+"""Rows, transactions and their outcomes; the interface that a store client implements."""
 
 from enum import Enum
 from typing import Protocol
@@ -9,19 +9,19 @@
 
 
 class StoreError(CloverwalkError):
-    """A read gave no answer that can be used. Nothing was changed."""
+    """A read returned no usable answer. Nothing was changed."""
 
     default_code = "store_unavailable"
 
 
 class HistoryLostError(StoreError):
-    """The changes since the version asked for are gone; the table must be read anew."""
+    """The store dropped the changes since the requested version; the table must be read again."""
 
     default_code = "store_history_lost"
 
 
 class RowKey(Struct, frozen=True, order=True):
-    """Names a row. Rows of one ``part`` are written in turn."""
+    """The key of a row. Writes to rows of the same ``part`` are serialized."""
 
     table: str
     part: str
@@ -29,7 +29,7 @@
 
 
 class Row(Struct):
-    """A row as the store holds it. ``value`` is None for a removed row."""
+    """A stored row; ``value`` is None if the row was removed."""
 
     row_key: RowKey
     value: bytes | None
@@ -37,7 +37,7 @@
 
 
 class Expectation(Struct, frozen=True):
-    """A row must have this version; 0 means that it must not exist."""
+    """The version that a row must have for a transaction to commit; 0 if it must not exist."""
 
     row_key: RowKey
     version: int
@@ -51,7 +51,7 @@
 
 
 class Transaction(Struct):
-    """All of the puts and removals happen, or none."""
+    """Puts and removals that are applied atomically if all expectations hold."""
 
     expectations: list[Expectation] = []
     puts: list[Put] = []
@@ -59,7 +59,7 @@
 
     @property
     def spans_parts(self) -> bool:
-        """Whether rows of more than one part are named."""
+        """Whether the transaction has rows of more than one part."""
         parts = {expectation.row_key.part for expectation in self.expectations}
         parts |= {put.row_key.part for put in self.puts}
         parts |= {row_key.part for row_key in self.removals}
@@ -67,28 +67,28 @@
 
 
 class CommitStatus(Enum):
-    """What became of a transaction."""
+    """The outcome of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
     NOT_DONE = "not_done"
     UNKNOWN = "unknown"
-    """No answer: it may have happened, or may still happen while its expectations hold."""
+    """No answer: it may have committed, or may still commit while its expectations hold."""
 
 
 class CommitOutcome(Struct):
-    """The end of one try to commit."""
+    """The result of one attempt to commit."""
 
     status: CommitStatus
     version: int = 0
     now_ms: float | None = None
-    """The store's time; None where no answer told it."""
+    """The time of the store; None if there was no answer with it."""
 
     conflicts: list[Row] = []
-    """With CONFLICT: the rows of the expectations as they are."""
+    """With CONFLICT: the current rows of the expectations."""
 
     def conflict(self, row_key: RowKey) -> Row | None:
-        """Return the present row of an expectation, or None when there is none."""
+        """Return the current row of an expectation, None if it does not exist."""
         for row in self.conflicts:
             if row.row_key == row_key and row.value is not None and row.version:
                 return row
@@ -101,22 +101,22 @@
     rows: list[Row]
     version: int
     now_ms: float | None
-    """The store's time; None where the answer did not tell it."""
+    """The time of the store; None if the answer did not contain it."""
 
     has_more: bool = False
 
 
 class Store(Protocol):
-    """What the product needs of a store. Reads raise StoreError."""
+    """The operations that the product needs from a store. Reads raise StoreError."""
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
-        """Try once to commit; never raises."""
+        """Make one attempt to commit; never raises."""
         ...
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> RowPage:
-        """Return rows with ``start`` <= key < ``end`` in order of their keys."""
+        """Return the rows with ``start`` <= key < ``end``, sorted by key."""
         ...
 
     async def read_table(self, table: str) -> RowPage:
@@ -124,5 +124,5 @@
         ...
 
     async def changes(self, table: str, since: int, wait_s: float) -> RowPage:
-        """Return the changes after a version; raise HistoryLostError when they are gone."""
+        """Return the changes after a version; raise HistoryLostError if the store dropped them."""
         ...
--- a/src/cloverwalk/tenants/__init__.py
+++ b/src/cloverwalk/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: which tenant a key belongs to, and what each tenant may send."""
+"""Tenants: identification of callers by key, and quotas."""
--- a/src/cloverwalk/tenants/directory.py
+++ b/src/cloverwalk/tenants/directory.py
@@ -1,7 +1,7 @@
-"""Tenants of a configuration, found by key or by name.
+"""Looks up the tenants of a configuration by key or by name.
 
-Keys are kept as digests only: neither the memory of a node nor what nodes tell each other holds a
-key that somebody could use.
+Keys are kept as digests only, so that neither the memory of a node nor the messages between nodes
+contain a usable key.
 """
 
 import hashlib
@@ -10,11 +10,11 @@
 from msgspec import Struct
 
 DIGEST_BYTES = 16
-"""Two keys have the same digest with a chance of 2^-64 among 2^32 keys."""
+"""Among 2^32 keys, the probability of a collision is about 2^-64."""
 
 
 def digest_of(key: str) -> str:
-    """Return the digest under which a key is looked up.
+    """Return the digest by which a key is looked up.
 
     >>> digest_of("a-key") == digest_of("a-key"), "a-key" in digest_of("a-key")
     (True, False)
@@ -23,27 +23,27 @@
 
 
 class Tenant(Struct, frozen=True, array_like=True):
-    """Callers that share keys and a quota of requests."""
+    """A group of callers with common keys and a common request quota."""
 
     name: str
     key_digests: tuple[str, ...]
     priority: int | None = None
-    """Rank of its requests in place of the route's; 0 is highest, None leaves the route's."""
+    """Rank of its requests, 0 is highest; None for the rank of the route."""
 
     rate_per_s: float = 0.0
-    """Requests a second that it may send, over all nodes together; 0 is no limit."""
+    """Allowed requests per second over all nodes; 0 means no limit."""
 
     burst: float = 0.0
-    """Requests that it may send at once beyond its rate."""
+    """Requests that are allowed at once beyond the rate."""
 
     @property
     def has_limit(self) -> bool:
-        """Whether its requests are counted."""
+        """Whether the tenant has a quota."""
         return self.rate_per_s > 0
 
     @property
     def bucket_size(self) -> float:
-        """Requests that it may send at once."""
+        """Size of the token bucket: requests that are allowed at once."""
         return max(1.0, self.burst)
 
 
@@ -63,6 +63,6 @@
         }
 
     def priority(self, name: str, default: int) -> int:
-        """Return the rank of a tenant's requests; ``default`` where it has none of its own."""
+        """Return the rank of a tenant's requests, ``default`` if the tenant has none."""
         tenant = self.by_name.get(name)
         return default if tenant is None or tenant.priority is None else tenant.priority
--- a/src/cloverwalk/tenants/identification.py
+++ b/src/cloverwalk/tenants/identification.py
@@ -1,7 +1,7 @@
-"""Who calls: every request is identified before anything else is spent on it.
+"""Identifies the tenant of a request, before any other work is done for it.
 
-Keys are looked at for each request by the configuration in force, also on connections that were
-opened under an earlier one.
+The key of each request is checked against the configuration in force, also on connections that
+were opened under an earlier configuration.
 """
 
 from cloverwalk.core.error_response import Reason
@@ -10,16 +10,16 @@
 from cloverwalk.gateway.messages import ClientRequest
 
 ANONYMOUS = ""
-"""The tenant's name of a caller that needs no key."""
+"""The tenant name of callers without a tenant."""
 
 
 def identify(request: ClientRequest, configurations: ConfigurationHolder, is_job_call: bool) -> str:
-    """Return the name of the tenant that sends a request; raise GatewayError (no key).
+    """Return the name of the tenant that sent a request; raise GatewayError without a valid key.
 
-    A configuration without tenants knows anonymous callers only. A caller of a public route needs
-    no key; one with a known key is still its tenant. A request without a route needs none either,
-    since it goes nowhere. ``is_job_call`` tells that the request is a call on a job, which has the
-    host of its route and a path of its own.
+    Without tenants in the configuration all callers are anonymous. Public routes need no key, but
+    a caller with a valid key is still identified. A request without a route needs no key, since it
+    is rejected anyway. ``is_job_call`` marks a call on a job: it has the host of the job's route,
+    but not its path.
     """
     configuration = configurations.current
     if configuration is None or configuration.tenants is None:
@@ -38,8 +38,8 @@
     if not needs_key:
         return ANONYMOUS
     if digest is None:
-        raise GatewayError(Reason.NO_KEY, "key_missing", "a key is needed")
-    raise GatewayError(Reason.NO_KEY, "key_unknown", "this key is not known")
+        raise GatewayError(Reason.NO_KEY, "key_missing", "the request has no API key")
+    raise GatewayError(Reason.NO_KEY, "key_unknown", "the API key is not valid")
 
 
 def _accepts_anonymous_jobs(route: Route, host: str) -> bool:
--- a/src/cloverwalk/tenants/quota_refusals.py
+++ b/src/cloverwalk/tenants/quota_refusals.py
@@ -1,4 +1,4 @@
-"""What a node remembers of refusals by quota, so that an eager tenant costs little."""
+"""Caches quota refusals at a node, so that a tenant over its quota causes little load."""
 
 from collections.abc import Callable
 
@@ -8,11 +8,12 @@
 from cloverwalk.telemetry.log import ServingLog
 
 MIN_REFUSAL_S = 0.1
-"""A refusal holds at a node for so long at least. The tokens that come up meanwhile stay in the
-tenant's bucket, so the tenant loses none; ten asks a second and node are left of any number."""
+"""Minimum time for which a node refuses a tenant without a placement request. The tenant loses no
+tokens by it, as they stay in its bucket; each node sends at most ten placement requests a second
+for a tenant over its quota."""
 
 REFUSAL_EXPIRY_S = 2.0
-"""A tenant that was refused nothing for so long keeps to its quota again."""
+"""A tenant without a refusal for so long counts as within its quota again."""
 
 
 @attrs.define
@@ -23,9 +24,9 @@
 
 
 class QuotaRefusalCache:
-    """Tenants that the coordinator has refused a request lately, by name.
+    """Tenants that the coordinator refused lately, by name.
 
-    There is one line in the log when a tenant is first refused, and one when that is over.
+    One log line is written when the refusals of a tenant begin, and one when they end.
     """
 
     def __init__(self, log: ServingLog, clock: Callable[[], float]) -> None:
@@ -34,7 +35,7 @@
         self._by_name: dict[str, _Refusal] = {}
 
     def remaining_s(self, tenant: str) -> float:
-        """Return for how long requests of a tenant are refused without asking; 0 is not."""
+        """Return how long requests of a tenant are still refused locally, 0 if they are not."""
         refusal = self._by_name.get(tenant)
         if refusal is None:
             return 0.0
@@ -45,7 +46,7 @@
         return remaining_s
 
     def record(self, tenant: str, retry_after_s: float) -> None:
-        """The coordinator has refused a request."""
+        """Record that the coordinator refused a request."""
         now = self._clock()
         refusal = self._by_name.get(tenant)
         if refusal is None:
@@ -61,7 +62,7 @@
         refusal.count += 1
 
     def expire(self) -> None:
-        """Forget tenants that were refused nothing lately."""
+        """Remove tenants without recent refusals."""
         now = self._clock()
         for name, refusal in list(self._by_name.items()):
             if now - refusal.last_refused_at > REFUSAL_EXPIRY_S:
