--- a/src/cloverwalk/telemetry/__init__.py
+++ b/src/cloverwalk/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics of a serving node."""
+"""Logs and metrics of a serving node, and reports that are computed from its logs."""
--- a/src/cloverwalk/telemetry/lateness.py
+++ b/src/cloverwalk/telemetry/lateness.py
@@ -1,37 +1,37 @@
-"""Why an online request or an item was late, as its own node saw it. Figures in, a cause out."""
+"""Determines why an online request or an item was late, from the times that its node measured."""
 
 import enum
 
 import attrs
 
 SLOW_START_FACTOR = 2.0
-"""A replica that takes over twice the usual time to its first event counts as slow: half of that is
-what queues and reading before it explain."""
+"""A replica counts as slow if its first event takes longer than this multiple of the baseline.
+Smaller delays are explained by queueing and prefill of earlier requests."""
 
 
 class LateCause(enum.Enum):
-    """What took the most of a late request's time."""
+    """The main cause of a late request or item."""
 
     CAME_LATE = "came_late"
-    """It came with less time than its kind of request usually takes."""
+    """It arrived with less time left than such requests usually take."""
 
     REPLICA_FAILED = "replica_failed"
-    """A replica failed or refused it before."""
+    """A replica failed under it or refused it before."""
 
     COORDINATOR = "coordinator"
-    """The answer to its ask took long, though no slot was missing."""
+    """Its placement took long although slots were free."""
 
     NO_SLOT = "no_slot"
-    """It was held for a slot, or queued at its replica for one."""
+    """It was queued for a slot, by the coordinator or at its replica."""
 
     SLOW_REPLICA = "slow_replica"
-    """Its replica took longer than usual."""
+    """Its replica took longer than the baseline."""
 
     PREEMPTED = "gave_way"
-    """An item: its runs were suspended for online requests."""
+    """Runs of the item were preempted by online requests."""
 
     OTHER = "other"
-    """None of these: this node itself, or the network."""
+    """None of the above, such as delays in this node or the network."""
 
 
 @attrs.frozen
@@ -40,26 +40,26 @@
 
     objective_ms: float
     took_ms: float
-    """From its arrival to its first event."""
+    """From arrival to the first event."""
 
     placed_after_ms: float
-    """From its arrival to the place that it was sent to in the end."""
+    """From arrival to its last placement."""
 
     expected_wait_ms: float
-    """What it was expected to wait at its replica for a slot."""
+    """Expected wait for a slot at its replica."""
 
     baseline_start_ms: float
-    """What requests of its route usually take from sending to their first event."""
+    """Baseline of the time from sending to the first event, for requests of its route."""
 
     was_queued: bool = False
-    """Whether the coordinator held it for a slot."""
+    """Whether the coordinator queued it for a slot."""
 
     failures: int = 0
-    """Replicas that failed or refused it."""
+    """Number of replicas that failed under it or refused it."""
 
 
 def request_cause(times: RequestTimes) -> LateCause | None:
-    """Return why a request was late, None for one that was in time.
+    """Return why a request was late, None if it was in time.
 
     >>> held = RequestTimes(300.0, 420.0, 350.0, 0.0, 60.0, was_queued=True)
     >>> request_cause(held).value, request_cause(RequestTimes(300.0, 80.0, 2.0, 0.0, 60.0))
@@ -86,13 +86,13 @@
     """Times of an item, in ms."""
 
     late_ms: float
-    """How long after it was due its result was ready; below zero: in time."""
+    """From the due time to the result; negative if the item was in time."""
 
     available_ms: float
-    """From its hand-in to its due time."""
+    """From its submission to its due time."""
 
     ran_ms: float
-    """What its runs took."""
+    """Total time of its runs."""
 
     last_run_ms: float
     failures: int = 0
@@ -100,7 +100,7 @@
 
 
 def item_cause(times: ItemTimes) -> LateCause | None:
-    """Return why an item was late, None for one that was in time.
+    """Return why an item was late, None if it was in time.
 
     >>> item_cause(ItemTimes(500.0, 18_000.0, 9_000.0, 4_000.0, suspensions=2)).value
     'gave_way'
--- a/src/cloverwalk/telemetry/load_report.py
+++ b/src/cloverwalk/telemetry/load_report.py
@@ -1,4 +1,4 @@
-"""What slots were used for and why requests were late, out of the log lines of a fleet."""
+"""Reports slot use and causes of late requests from the log lines of a fleet."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class SlotSecond:
-    """Slot-seconds that a coordinator told at one moment, by use."""
+    """Slot-seconds by use, as logged by coordinators in one second."""
 
     at_s: int
     seconds_by_use: dict[str, float]
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class LateCount:
-    """Late requests or items of one second, tenant and cause."""
+    """Number of late requests or items in one second, by tenant and cause."""
 
     at_s: int
     tenant: str
-    """Empty for callers without a key."""
+    """Empty for anonymous callers."""
 
     is_item: bool
     cause: str
@@ -31,7 +31,7 @@
 
 
 def slot_seconds_of(lines: Iterable[LogLine]) -> list[SlotSecond]:
-    """Return what coordinators told, in order of time; figures that are no numbers are left out."""
+    """Return the logged slot-seconds, sorted by time; values that are no numbers are ignored."""
     uses_by_second: dict[int, Counter[str]] = {}
     for line in lines:
         if line.number != catalogue.SLOT_TIME:
@@ -44,7 +44,7 @@
 
 
 def late_counts_of(lines: Iterable[LogLine]) -> list[LateCount]:
-    """Return late requests and items, by second, tenant and cause."""
+    """Return the late requests and items by second, tenant and cause."""
     counts: Counter[tuple[int, str, bool, str]] = Counter()
     for line in lines:
         cause = line.fields.get("late")
--- a/src/cloverwalk/telemetry/log.py
+++ b/src/cloverwalk/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output: numbered events, bounded in number, never blocking."""
+"""Structured logs on standard output: numbered events, rate-limited and non-blocking."""
 
 import os
 import sys
@@ -15,7 +15,7 @@
 LINES_PER_S = 60.0
 BURST_LINES = 240.0
 RESERVED_LINES = 80.0
-"""Part of the burst that only warnings and errors may use."""
+"""Part of the burst that is reserved for warnings and errors."""
 
 
 def _render(_logger: Any, _method: str, fields: Any) -> str:
@@ -23,7 +23,7 @@
 
 
 class _NonBlockingWriter:
-    """Writes whole lines to a descriptor; what a full pipe does not take is counted."""
+    """Writes lines to a file descriptor; counts failed writes, such as to a full pipe."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -41,8 +41,8 @@
 class ServingLog:
     """The log of one process.
 
-    Each line names the node, the number of its event, the time of day (``at``, seconds) and the
-    steady clock (``t``, seconds), which alone orders the lines of one process.
+    Each line has the node, the event number, the wall clock time (``at``, seconds) and the
+    monotonic time (``t``, seconds). Only the latter gives the order of the lines of a process.
     """
 
     def __init__(self, node: str, clock: Any, descriptor: int | None = None) -> None:
@@ -61,10 +61,10 @@
         self._budget = TokenBucket(LINES_PER_S, BURST_LINES, clock())
         self._dropped: dict[int, int] = {}
         self.lines_dropped = 0
-        """Lines left out since the start, by budget or by a full pipe."""
+        """Lines dropped since the start, by the rate limit or by failed writes."""
 
     def write(self, number: int, **fields: Any) -> None:
-        """Write one event, or count it when the budget is used up."""
+        """Write one event; drop and count it if the rate limit is exceeded."""
         now = self._clock()
         event = CATALOGUE[number]
         is_problem = event.level is not LogLevel.INFO
--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms of a serving node, in the text form of Prometheus.
+"""Counters and latency histograms of a serving node, in the Prometheus text format.
 
-Figures are plain numbers in memory. The client library is imported when they are asked for: it
-takes a tenth of a node's start.
+Values are kept as plain numbers. The client library is imported only when metrics are requested,
+as its import would delay the start of a node.
 """
 
 from bisect import bisect_left
@@ -25,7 +25,7 @@
 
 @attrs.define
 class Latencies:
-    """Measured times, counted by bucket; the last bucket has no upper bound.
+    """A histogram of durations; the last bucket has no upper bound.
 
     >>> latencies = Latencies()
     >>> latencies.observe(0.02), latencies.observe(9.0)
@@ -38,33 +38,33 @@
     counts: list[int] = attrs.Factory(lambda: [0] * (len(LATENCY_BUCKETS_S) + 1))
 
     def observe(self, took_s: float) -> None:
-        """Count one time."""
+        """Add one duration."""
         self.sum_s += took_s
         self.counts[bisect_left(LATENCY_BUCKETS_S, took_s)] += 1
 
     def cumulative_counts(self) -> list[tuple[str, int]]:
-        """Return the number of times up to each bound."""
+        """Return the number of durations up to each bound."""
         bounds = [*(str(bound) for bound in LATENCY_BUCKETS_S), "+Inf"]
         sums = [sum(self.counts[: index + 1]) for index in range(len(bounds))]
         return list(zip(bounds, sums, strict=True))
 
 
 class ServingMetrics:
-    """All figures of one process; labels are bounded: routes, replicas, outcomes, large tenants."""
+    """The metrics of one process; labels are bounded (routes, replicas, outcomes, large tenants)."""
 
     def __init__(self) -> None:
         self.tenants = TenantMetrics()
         self.tenant_directory = TenantDirectory()
-        """The tenants in force, whose quotas are told."""
+        """The tenants of the configuration in force, for the metrics of their quotas."""
 
         self.share_ms: Mapping[tuple[str, str], int] = {}
-        """Slot time that tenants were given, by work and by whether they were ahead of others."""
+        """Slot time (ms) given to tenants, by kind of work and by fair share."""
 
         self.slot_seconds: Mapping[str, float] = {}
-        """Slot-seconds of the replicas by use, as counted by this node while it coordinated."""
+        """Slot-seconds of the replicas by use, counted while this node was the coordinator."""
 
         self.utilization: Mapping[str, float] = {}
-        """How full this node's machine is, by resource; empty where nobody measures it."""
+        """Utilization of this machine by resource, as a fraction; empty if it is not measured."""
 
         self._late: Counter[tuple[str, str]] = Counter()
         self._requests: Counter[tuple[str, str]] = Counter()
@@ -76,7 +76,7 @@
         self._restarts = 0
         self._invalid_values: Counter[str] = Counter()
         self.replica_slowdowns: Mapping[str, int] = {}
-        """Replicas by pace class, as this node has learnt it while it coordinated."""
+        """Number of replicas by slowdown class, estimated while this node was the coordinator."""
 
         self._durations: dict[str, Latencies] = {}
         self._first_events: dict[str, Latencies] = {}
@@ -84,53 +84,53 @@
         self._gauges: dict[str, tuple[str, float]] = {}
 
     def request_ended(self, route: str, outcome: str, took_s: float) -> None:
-        """A request has its final answer."""
+        """Count a request that has ended."""
         self._requests[route, outcome] += 1
         self._durations.setdefault(route, Latencies()).observe(took_s)
 
     def request_late(self, route: str, cause: str) -> None:
-        """A request or an item was late."""
+        """Count a late request or item."""
         self._late[route, cause] += 1
 
     def first_event(self, route: str, took_s: float) -> None:
-        """A stream began."""
+        """Record the time to the first event of a stream."""
         self._first_events.setdefault(route, Latencies()).observe(took_s)
 
     def attempt_failed(self, code: str) -> None:
-        """An attempt at a replica failed."""
+        """Count a failed attempt at a replica."""
         self._failures[code] += 1
 
     def replica_broke_off(self, found: str) -> None:
-        """A replica broke connections off, and its address was looked at."""
+        """Count a replica that closed connections, by what the probe of its address found."""
         self._connection_closes[found] += 1
 
     def containment_changed(self, event: str) -> None:
-        """A request was contained, was refused for it, or is free again."""
+        """Count a request that was contained, refused while contained, or released."""
         self._containments[event] += 1
 
     def replica_entry_invalid(self) -> None:
-        """An entry of the list of replicas names no replica to use."""
+        """Count an invalid entry of the replica list."""
         self._invalid_entries += 1
 
     def replica_restarted(self) -> None:
-        """A replica started again under its id."""
+        """Count a replica that restarted under the same id."""
         self._restarts += 1
 
     def item_ended(self, outcome: str) -> None:
-        """A run of an item ended."""
+        """Count a run of an item that ended."""
         self._items[outcome] += 1
 
     def replica_load(self, replica_id: str, load: ReplicaLoad) -> None:
-        """A replica told its load."""
+        """Record the load that a replica reported."""
         self._running[replica_id] = load.running
         self._invalid_values["slowdown"] += load.has_invalid_slowdown
 
     def gauge(self, name: str, help_text: str, value: float) -> None:
-        """Set a plain figure."""
+        """Set a gauge without labels."""
         self._gauges[name] = (help_text, value)
 
     def collect(self) -> "Iterator[Metric]":
-        """Return all figures in the client library's form."""
+        """Return all metrics as metric families of the client library."""
         from prometheus_client.metrics_core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -157,7 +157,7 @@
         yield slots
         shares = CounterMetricFamily(
             "cloverwalk_share_slot_ms",
-            "Slot time expected when work got its slot, by work and by its tenant's share",
+            "Expected slot time of work that got a slot, by work and by its tenant's share",
             labels=["work", "share"],
         )
         for (work, share), slot_ms in self.share_ms.items():
@@ -165,7 +165,7 @@
         yield shares
         if self.utilization:
             utilization = GaugeMetricFamily(
-                "cloverwalk_machine_fullness", "Part in use, by resource", labels=["resource"]
+                "cloverwalk_machine_fullness", "Fraction in use, by resource", labels=["resource"]
             )
             for resource, fraction in self.utilization.items():
                 utilization.add_metric([resource], fraction)
@@ -173,17 +173,31 @@
         for name, help_text, counts, label in (
             ("cloverwalk_attempt_failures", "Failed attempts", self._failures, "code"),
             ("cloverwalk_items", "Ended runs of items", self._items, "outcome"),
-            ("cloverwalk_broken_off", "Replicas that broke off", self._connection_closes, "found"),
+            (
+                "cloverwalk_broken_off",
+                "Replicas that closed connections",
+                self._connection_closes,
+                "found",
+            ),
             ("cloverwalk_containments", "Requests contained", self._containments, "event"),
-            ("cloverwalk_odd_figures", "Replicas' figures dropped", self._invalid_values, "figure"),
+            (
+                "cloverwalk_odd_figures",
+                "Invalid values in reports of replicas",
+                self._invalid_values,
+                "figure",
+            ),
         ):
             counter = CounterMetricFamily(name, help_text, labels=[label])
             for value, count in counts.items():
                 counter.add_metric([value], count)
             yield counter
         for name, help_text, total in (
-            ("cloverwalk_replica_entries_invalid", "Entries not used", self._invalid_entries),
-            ("cloverwalk_replica_restarts", "Starts under a known id", self._restarts),
+            (
+                "cloverwalk_replica_entries_invalid",
+                "Invalid replica entries",
+                self._invalid_entries,
+            ),
+            ("cloverwalk_replica_restarts", "Replica restarts under the same id", self._restarts),
         ):
             yield CounterMetricFamily(name, help_text, value=total)
         for name, help_text, by_route in (
@@ -204,14 +218,14 @@
             yield histogram
         running = GaugeMetricFamily(
             "cloverwalk_replica_running",
-            "Requests running, as a replica told",
+            "Running requests, as reported by a replica",
             labels=["replica"],
         )
         for replica_id, count in self._running.items():
             running.add_metric([replica_id], count)
         yield running
         slowdowns = GaugeMetricFamily(
-            "cloverwalk_replica_paces", "Replicas by pace", labels=["pace"]
+            "cloverwalk_replica_paces", "Replicas by slowdown class", labels=["pace"]
         )
         for name, count in self.replica_slowdowns.items():
             slowdowns.add_metric([name], count)
@@ -221,7 +235,7 @@
         yield from self.tenants.collect(self.tenant_directory)
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -1,4 +1,4 @@
-"""One request's story out of the log lines of many nodes."""
+"""Reconstructs the history of a request from the log lines of many nodes."""
 
 import re
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 from cloverwalk.core.error_response import NOT_RUN_STATUSES, WorkState
 
 HISTORY_LEAD_S = 3.0
-"""Changes of belief this long before a request's first line belong to its story."""
+"""Context lines of the nodes are included from so long before the first line of the request."""
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -38,7 +38,7 @@
 
 
 class LogLine(Struct):
-    """One line. ``time_s`` is the collector's time where a line begins with one, else ``at``."""
+    """A log line. ``time_s`` is the log collector's time if the line begins with one, else ``at``."""
 
     time_s: float
     node: str
@@ -48,18 +48,18 @@
     fields: dict[str, Any]
 
     def mentions(self, wanted_id: str) -> bool:
-        """Whether the line is about a request, item or job."""
+        """Whether the line is about the request, item or job ``wanted_id``."""
         named = (self.fields.get("request"), self.fields.get("job"))
         return wanted_id in named or wanted_id in self.fields.get("requests", ())
 
     def text(self) -> str:
-        """Return the line for a reader."""
+        """Return the line as text for a person."""
         shown = " ".join(f"{key}={value}" for key, value in self.fields.items())
         return f"{self.time_s:.3f} {self.node} {self.number} {self.event} {shown}"
 
 
 def describe_work_state(line: LogLine) -> str:
-    """Return what was known of the work when a call was refused; empty for other lines.
+    """Return the state of the work when a call was refused; empty for other lines.
 
     >>> fields = {"work": "may_have_begun", "tried": 2, "refused": 1, "status": 502}
     >>> describe_work_state(LogLine(1.0, "n1", 313, "request_ended", "warning", fields))
@@ -90,7 +90,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a log line, or None when the text is none.
+    """Return a parsed log line, None if the text is not a log line.
 
     >>> line = parse_line('1.5 n1 {"number":312,"event":"request_answered","request":"r"}')
     >>> line.time_s, line.number, line.fields
@@ -116,10 +116,10 @@
 
 
 def request_history(lines: Iterable[LogLine], wanted_id: str) -> list[LogLine]:
-    """Return the lines about ``wanted`` and what its nodes learned meanwhile, in order of time.
+    """Return the lines about ``wanted_id`` and the context lines of its nodes, sorted by time.
 
-    An item's story has the lines of its job as far as they name no other item. Where replicas have
-    ended under the request, the lines about its content are there too, of whatever request.
+    The history of an item includes the lines of its job that name no other item. If replicas
+    crashed under the request, lines of any request with the same content are included too.
     """
     all_lines = list(lines)
     matching = [line for line in all_lines if line.mentions(wanted_id)]
@@ -144,7 +144,7 @@
 
 
 def _contents(line: LogLine, wanted_id: str | None = None) -> set[str]:
-    """Return the contents that a line names; of ``wanted`` alone where it names many requests."""
+    """Return the content hashes in a line; of many requests only that of ``wanted_id``."""
     requests, contents = line.fields.get("requests", []), line.fields.get("contents", [])
     if requests and wanted_id is not None:
         return {
--- a/src/cloverwalk/telemetry/startup.py
+++ b/src/cloverwalk/telemetry/startup.py
@@ -1,4 +1,4 @@
-"""How long a process takes from its start until it serves, stage by stage, in two log lines."""
+"""Measures the stages of the start of a process and writes them to the log."""
 
 import enum
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 
 
 class Stage(enum.Enum):
-    """What a node that starts waits for."""
+    """A stage in the start of a node."""
 
     STORE_ANSWER = "store_answer"
     STORE_REFUSAL = "store_refusal"
-    """The first call without a usable answer."""
+    """The first store call that failed or was refused."""
 
     PEER = "peer"
-    """The first datagram of another node."""
+    """The first datagram from another node."""
 
     COORDINATOR = "coordinator"
     CONFIGURATION = "configuration"
@@ -26,9 +26,10 @@
 
 
 class StartupLog:
-    """Notes when each stage was first reached; writes one line at ready, one at the first place.
+    """Records when each stage was first reached.
 
-    ``started_at`` is when the process began (steady clock, seconds).
+    One log line is written when the node is ready and one at the first placement. ``started_at`` is
+    the start of the process (monotonic clock, seconds).
     """
 
     def __init__(self, log: ServingLog, clock: Callable[[], float], started_at: float) -> None:
@@ -38,12 +39,12 @@
         self._after_ms: dict[Stage, int] = {}
         self._source_by_stage: dict[Stage, str] = {}
         self.is_ready = False
-        """Whether what serving needs was known once."""
+        """Whether all stages that serving needs were reached."""
 
         self._has_logged_placement = False
 
     def record_stage(self, stage: Stage, source: str = "") -> None:
-        """A stage is reached; only its first time counts."""
+        """Record that a stage was reached; later calls for the same stage are ignored."""
         if stage in self._after_ms:
             return
         self._after_ms[stage] = self._elapsed_ms()
@@ -53,7 +54,7 @@
             self._write(catalogue.NODE_READY)
 
     def record_placement(self) -> None:
-        """An online request got its place."""
+        """Log the first placement of an online request; later calls are ignored."""
         if not self._has_logged_placement:
             self._has_logged_placement = True
             self._write(catalogue.FIRST_REQUEST_PLACED)
--- a/src/cloverwalk/telemetry/startup_report.py
+++ b/src/cloverwalk/telemetry/startup_report.py
@@ -1,4 +1,4 @@
-"""How long the starts of a fleet's processes took, by stage, out of the log lines of its nodes."""
+"""Reports how long the starts of processes took, by stage, from the log lines of a fleet."""
 
 import statistics
 from collections.abc import Iterable
@@ -15,13 +15,13 @@
 
 @attrs.frozen
 class StageTimes:
-    """One stage over many starts: times from the start of a process to the stage, sorted."""
+    """The sorted times from process start to one stage, over many starts."""
 
     stage: str
     after_ms: tuple[float, ...]
 
     def quantile(self, share: float) -> float:
-        """Return the time within which ``share`` of the starts had reached the stage.
+        """Return the time within which the fraction ``share`` of the starts reached the stage.
 
         >>> StageTimes("ready", (10.0, 20.0, 30.0)).quantile(0.5)
         20.0
@@ -33,10 +33,10 @@
 
 
 def startup_stages(lines: Iterable[LogLine]) -> list[StageTimes]:
-    """Return the stages by their median, from the lines of starts that became ready.
+    """Return the stages, sorted by median time.
 
-    The source of configuration and replicas is part of a stage's name. Stages that come after
-    ready, such as the coordinator, are counted where the line of the first place tells them.
+    The names of the configuration and replica stages include their source. Stages after ready,
+    such as the coordinator, are taken from the line of the first placement.
     """
     starts: dict[tuple[str, int], dict[str, float]] = {}
     start_counts: dict[str, int] = {}
--- a/src/cloverwalk/telemetry/tenant_metrics.py
+++ b/src/cloverwalk/telemetry/tenant_metrics.py
@@ -1,4 +1,4 @@
-"""Requests by tenant, with a bounded number of labels."""
+"""Metrics of requests by tenant, with a bounded number of labels."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -13,25 +13,25 @@
     from prometheus_client.metrics_core import Metric
 
 MAX_LABELS = 20
-"""Tenants told by name, those with the most requests; the others are told as one. A node's answer
-grows by some 3 KB at this number, whatever the number of tenants."""
+"""Number of tenants with a label of their own, those with the most requests; the others share one.
+This bounds the size of the metrics page."""
 
 OTHER_TENANTS = "(others)"
-"""Stands for the tenants that are not told by name."""
+"""The common label of the other tenants."""
 
 
 class TenantOutcome:
-    """What became of a tenant's request."""
+    """The outcome of a tenant's request."""
 
     ANSWERED = "answered"
     OVER_QUOTA = "over_quota"
     ENDED = "ended"
-    """Without a replica's answer, for another reason."""
+    """Ended without a replica's answer, for another reason."""
 
 
 @attrs.define
 class TenantMetrics:
-    """Counts of one process.
+    """Request counts by tenant in one process.
 
     >>> metrics = TenantMetrics()
     >>> metrics.request_ended("quiz", TenantOutcome.ANSWERED)
@@ -43,13 +43,13 @@
     _totals: Counter[str] = attrs.Factory(Counter)
 
     def request_ended(self, tenant: str, outcome: str) -> None:
-        """Count a request that has ended; requests without a tenant are not counted here."""
+        """Count a request that has ended; requests without a tenant are not counted."""
         if tenant:
             self._counts[tenant, outcome] += 1
             self._totals[tenant] += 1
 
     def counts(self, max_named: int = MAX_LABELS) -> dict[tuple[str, str], int]:
-        """Return counts by tenant and outcome, of the ``most`` largest tenants by name."""
+        """Return the counts by tenant and outcome, of the ``max_named`` largest tenants by name."""
         named = {name for name, _ in self._totals.most_common(max_named)}
         counts: Counter[tuple[str, str]] = Counter()
         for (tenant, outcome), count in self._counts.items():
@@ -57,7 +57,7 @@
         return dict(sorted(counts.items()))
 
     def collect(self, directory: TenantDirectory) -> "Iterator[Metric]":
-        """Return counts and quotas in the client library's form."""
+        """Return counts and quotas as metric families of the client library."""
         from prometheus_client.metrics_core import CounterMetricFamily, GaugeMetricFamily
 
         requests = CounterMetricFamily(
--- a/src/cloverwalk/telemetry/timeline.py
+++ b/src/cloverwalk/telemetry/timeline.py
@@ -1,4 +1,4 @@
-"""What a fleet did second by second, out of the log lines of its nodes."""
+"""Reports the work of a fleet second by second, from the log lines of its nodes."""
 
 import statistics
 from collections import Counter
@@ -15,21 +15,21 @@
 
 @attrs.define
 class SecondStats:
-    """One second of a fleet. Work in flight is that at the end of the second."""
+    """Work of the fleet in one second; work in flight is counted at the end of the second."""
 
     at_s: int
     answered: int = 0
     first_ms: list[float] = attrs.Factory(list)
-    """Time from each answered request to its first event."""
+    """Time to the first event of each answered request."""
 
     given_up_by_code: Counter[str] = attrs.Factory(Counter)
     online: int = 0
     batch: int = 0
     unlisted: int = 0
-    """Items of jobs that are open and whose results are not listed yet."""
+    """Items of open jobs whose results are not listed yet."""
 
     def first_event_quantile_ms(self, share: float) -> float | None:
-        """Return the time within which ``share`` of the first events came, None without any.
+        """Return the ``share`` quantile of the times to the first event, None without any.
 
         >>> second = SecondStats(0, first_ms=[10.0, 20.0, 30.0, 40.0])
         >>> second.first_event_quantile_ms(0.5), SecondStats(1).first_event_quantile_ms(0.5)
@@ -44,7 +44,7 @@
 
 
 class _WorkInFlight:
-    """Work in flight, followed line by line. What a node had is gone with its process."""
+    """Work in flight, updated line by line. A restarted node has none."""
 
     def __init__(self) -> None:
         self.online: set[tuple[str, str]] = set()
@@ -52,7 +52,7 @@
         self.unlisted_by_job: dict[str, int] = {}
 
     def apply(self, line: LogLine) -> None:
-        """Follow one line."""
+        """Update the work in flight from one line."""
         request = str(line.fields.get("request", ""))
         key = (line.node, request)
         match line.number:
@@ -80,7 +80,7 @@
 def timeline_of(lines: Iterable[LogLine]) -> list[SecondStats]:
     """Return every second from the first line to the last.
 
-    Lines that a node left out under load are missing: the figures are then too low.
+    Counts are too low if nodes dropped log lines under load.
     """
     ordered = sorted(lines, key=lambda line: line.time_s)
     if not ordered:
