--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -50,7 +50,7 @@
 
 
 class ServingMetrics:
-    """The metrics of one process; labels are bounded (routes, replicas, outcomes, large tenants)."""
+    """The metrics of one process; labels are bounded: routes, replicas, outcomes, tenants."""
 
     def __init__(self) -> None:
         self.tenants = TenantMetrics()
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -38,7 +38,7 @@
 
 
 class LogLine(Struct):
-    """A log line. ``time_s`` is the log collector's time if the line begins with one, else ``at``."""
+    """A log line. ``time_s`` is the collector's time if the line begins with one, else ``at``."""
 
     time_s: float
     node: str
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -1,4 +1,4 @@
-"""Full machines and slow readers, with real nodes on loopback and with a fleet by hand."""
+"""Overloaded machines and slow readers, with real nodes on loopback and with simulated fleets."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -28,12 +28,11 @@
 SLOW_CLIENTS = 200
 EVENTS = 12
 PADDING = 60_000
-"""An answer of so many such events is far more than the kernel takes for a client that does not
-read."""
+"""Bytes per event; an answer of ``EVENTS`` such events exceeds the socket buffers by far."""
 
 
 class FixedOverloadState:
-    """Room of a node that is as the test says."""
+    """Sets the overload state of the first node to a fixed value."""
 
     def __init__(self, world: FleetWorld, state: OverloadState, is_ready: bool) -> None:
         resource_monitor = world.nodes[0]._resource_monitor
@@ -49,12 +48,12 @@
     await world.start(replicas=replicas, events=events, event_s=event_s)
     for replica in world.replicas:
         replica.event_padding = PADDING
-    # Connections inherit it: the kernel takes little, so that the node has to hold the rest.
+    # Connections inherit the small send buffer, so the node has to buffer the remainder.
     world.nodes[0]._clients._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
 
 
 async def slow_client(world: FleetWorld, path: str) -> Any:
-    """Ask for a stream and read nothing."""
+    """Request a stream and read nothing of the answer."""
     sock = curio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     await sock.connect(world.nodes[0]._settings.client_address)
@@ -72,7 +71,7 @@
 def test_clients_that_do_not_read_use_bounded_memory_and_no_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Load: 200 clients read nothing of answers of 0.7 MB each, beside one that reads.
+    # 200 clients read nothing of answers of 0.7 MB each, while another client reads its answers.
     max_buffered_bytes = 0
     original = MemoryBudget.note_waiting
 
@@ -98,7 +97,7 @@
         assert node._resource_monitor is not None
         budget = node._resource_monitor.memory_budget
         assert 0 < budget.answers <= max_buffered_bytes <= LIMIT_BYTES
-        # The answers together are many times the limit.
+        # The answers together exceed the limit many times.
         assert budget.dropped_readers_total > 10
         for sock in socks:
             await sock.close()
@@ -114,7 +113,7 @@
         replica = world.replicas[0]
         sock = await slow_client(world, "/chat/a")
         await world.until(lambda: bool(replica.arrivals) and replica.arrivals[0].is_finished)
-        # The slot is free for the next before the client has read a byte.
+        # The slot is free for another request before the client has read a byte.
         await world.until(lambda: not world.nodes[0]._loads.by_replica)
         assert (await world.ask("/chat/a")).is_whole
         http = h11.Connection(h11.CLIENT)
@@ -138,7 +137,7 @@
         world.log_path = str(log)
         monkeypatch.setattr(send_buffer, "SEND_STALL_S", 0.2)
         world.scarce_memory_bytes = MEMORY_BYTES
-        # The stream goes on for much longer than the client is waited for.
+        # The stream lasts much longer than the stall timeout.
         await start_with_long_answers(world, replicas=1, events=400, event_s=0.05)
         replica, node = world.replicas[0], world.nodes[0]
         assert node._resource_monitor is not None
@@ -174,13 +173,13 @@
         for refused in (await world.ask("/once/a", "new"), await world.hand_in("k")):
             assert refused.status == 503
             assert "retry-after" in refused.headers
-            # On the same connection its client would come back to this node.
+            # A retry on the same connection would reach this node again.
             assert refused.headers["connection"] == "close"
         assert sum(replica.runs("new") for replica in world.replicas) == 0
         assert (await task.join()).is_whole
         assert {item["state"] for item in await world.until_done("j", 3)} == {"succeeded"}
         FixedOverloadState(world, OverloadState.FULL, is_ready=False)
-        # It asks for no new clients, and serves those that come.
+        # A full node is not ready, but still serves requests that arrive.
         assert not await is_ready(world)
         assert (await world.ask("/once/a")).status == 200
 
@@ -280,7 +279,7 @@
         await world.run(2.0)
         assert world.coordinator is standby
         assert {node.follows for node in world.nodes} == {first_standby}
-        # It stays there.
+        # The role does not move again.
         await world.run(5.0)
         assert world.coordinator is standby
 
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -1,4 +1,4 @@
-"""Entries of replicas that can't be read, or that another writer has written."""
+"""Replica entries that are invalid or come from another writer."""
 
 import os
 from typing import Any
@@ -35,7 +35,7 @@
 
 
 def entry(**changed: Any) -> bytes:
-    """Return an entry with some fields changed; those that are None are left out."""
+    """Return an entry with some fields changed; fields that are None are left out."""
     return msgspec.json.encode(
         {k: v for k, v in {**VALID_ENTRY, **changed}.items() if v is not None}
     )
@@ -67,7 +67,7 @@
 
 
 class NodeState:
-    """What a node knows of replicas, fed with rows."""
+    """The fleet state of a node, to which the test applies rows."""
 
     def __init__(self) -> None:
         clock = HandClock(step_s=0.0)
@@ -80,15 +80,15 @@
         self.directory = self.fleet_state.directory
 
     def change(self, version: int, key: str, value: bytes | None) -> None:
-        """Take one change."""
+        """Apply one change."""
         curio.run(self.fleet_state.on_replicas, _page(version, [(key, value, version)]))
 
     def read(self, version: int, rows: list[tuple[str, bytes | None, int]]) -> None:
-        """Take a whole list."""
+        """Apply a full read."""
         curio.run(self.fleet_state.on_all_replicas, _page(version, rows))
 
     def usable_ids(self) -> list[str]:
-        """Return the replicas that new requests may go to."""
+        """Return the ids of the replicas that accept new requests."""
         return [replica.replica_id for replica in self.directory.usable("s")]
 
 
@@ -98,18 +98,18 @@
     )
 
 
-@pytest.mark.parametrize("odd", INVALID_ENTRIES)
-def test_an_invalid_entry_removes_its_replica(odd: bytes) -> None:
+@pytest.mark.parametrize("invalid", INVALID_ENTRIES)
+def test_an_invalid_entry_removes_its_replica(invalid: bytes) -> None:
     state = NodeState()
     state.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
     assert state.usable_ids() == ["r1", "r2"]
-    state.change(3, "r1", odd)
+    state.change(3, "r1", invalid)
     assert state.usable_ids() == ["r2"] and state.directory.find("r1") is None
     assert state.lines.count(catalogue.REPLICA_INVALID) == 1
     assert b"cloverwalk_replica_entries_invalid_total 1.0" in state.metrics.render()
-    state.read(4, [("r1", odd, 3), ("r2", entry(), 2)])
+    state.read(4, [("r1", invalid, 3), ("r2", entry(), 2)])
     assert state.usable_ids() == ["r2"]
-    assert state.lines.count(catalogue.REPLICA_INVALID) == 1, "the same entry is told once"
+    assert state.lines.count(catalogue.REPLICA_INVALID) == 1, "the same entry is logged once"
     state.change(5, "r1", entry())
     assert state.usable_ids() == ["r1", "r2"]
 
@@ -127,7 +127,7 @@
 
 
 def test_peers_remove_a_replica_whose_entry_becomes_invalid() -> None:
-    """What the coordinator tells them takes the replica out of their lists, and back in."""
+    """Updates from the coordinator remove the replica from the lists of peers and add it again."""
     state, peer = NodeState(), ReplicaDirectory()
     clock = HandClock(step_s=0.0)
     log = ServingLog("n2", clock, os.open(os.devnull, os.O_WRONLY))
@@ -165,7 +165,7 @@
 def test_changes_and_a_full_read_give_the_same_replicas(
     changes: list[tuple[str, bytes | None]], read_at: int
 ) -> None:
-    """The newest entry of each replica alone decides, however a node came to know it."""
+    """Only the newest entry of each replica counts, however the node received it."""
     by_changes, by_reads = NodeState(), NodeState()
     newest: dict[str, tuple[bytes | None, int]] = {}
     for version, (key, value) in enumerate(changes, start=1):
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -1,4 +1,4 @@
-"""What waits for the store goes on as soon as the store is back."""
+"""Store health and the store clock: waiting work continues as soon as the store recovers."""
 
 import contextlib
 
@@ -47,8 +47,8 @@
     run_with_timeout(test)
 
 
-def have_all_feeds_failed(node: ServingNode) -> bool:
-    """Whether the last call of each table that a node has followed was refused."""
+def all_feeds_failed(node: ServingNode) -> bool:
+    """Whether the last call for each table that the node follows was refused."""
     feeds = (node._configuration_follower, node._replica_follower, node._batch.follower)
     followed = [feed for feed in feeds if feed.confirmed_at > float("-inf")]
     return all(feed._lost_since is not None for feed in followed)
@@ -65,11 +65,11 @@
         await world.until(lambda: len(world.coordinator_roster()) == 3)
         world.store.is_busy = True
         healths = [node._health for node in world.nodes]
-        # A feed that was under way is answered, after another one of its node may have failed.
-        await world.until(lambda: all(have_all_feeds_failed(node) for node in world.nodes))
+        # A pending feed call may still be answered after another feed of the node has failed.
+        await world.until(lambda: all(all_feeds_failed(node) for node in world.nodes))
         assert all(health.is_unavailable for health in healths)
         world.store.is_busy = False
-        # One that is no coordinator learns it first: the others hear of it by way of that one.
+        # A node other than the coordinator sees it first; the others learn it through that node.
         first = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await first._health.hint_recovery()
         await world.until(lambda: not any(health.is_unavailable for health in healths))
@@ -148,7 +148,7 @@
 
 
 def test_the_store_clock_recovers_after_a_machine_suspension() -> None:
-    """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
+    """The monotonic clock stopped during the suspension, so the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
@@ -173,7 +173,7 @@
 def test_the_store_time_lies_within_the_estimated_bounds(
     zero_ms: float, calls: list[tuple[float, float, float, float]]
 ) -> None:
-    """Whatever answers take to come and to be read, and whatever the clocks drift between them."""
+    """For any delay of answers, any delay in reading them, and any clock drift in between."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
     store_ms = zero_ms
@@ -229,7 +229,7 @@
                 return
 
         async def no_conflict(_job: JobRun) -> None:
-            raise AssertionError("nobody else has changed the job")
+            raise AssertionError("no other node has changed the job")
 
         health = StoreHealth(Clock(HandClock()))
         await health.record_failure()
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -1,4 +1,4 @@
-"""Callers with keys at real sockets: who is served, in whose name, and what nobody may see."""
+"""Tenants over real sockets: identification by key, ownership of jobs, quotas, secrecy of keys."""
 
 import json
 from pathlib import Path
@@ -213,7 +213,7 @@
             assert theirs.status == 404
         item = f"{names.ITEM_PREFIX}j?id=j-0"
         assert (await world.call("GET", item, headers=with_key(OTHER))).status == 404
-        # Another key of the same tenant will do, also once the first is gone.
+        # Another key of the same tenant gives access too, also after the first was removed.
         await put_configuration(world, with_tenants(3, [SECOND]))
         results = await world.until_done("j", 3, node=1, key=SECOND)
         assert {result["state"] for result in results} == {"succeeded"}
@@ -295,7 +295,7 @@
     in_world(test)
 
 
-# --- keys stay here ---
+# --- secrecy of keys ---
 
 
 def test_no_output_contains_a_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -321,7 +321,7 @@
         answers.append(await world.ask("/chat/a", key="no-such-key"))
         answers.append(await call_on_job(world, "GET", "j", OTHER))
         await world.until_done("j", 3, key=FIRST)
-        # A process that has just started is sent the configuration by its peer.
+        # A process that has just started receives the configuration from a peer.
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         follower._configuration.current = None
         await world.until(lambda: follower._configuration.current is not None)
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's story can be had from the logs of many nodes, and settings are checked."""
+"""Request histories from the logs of many nodes, and the check of settings files."""
 
 from pathlib import Path
 
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_id", "known"),
+    ("request_id", "expected_state"),
     [
         ("r1", "may have begun: 1 replicas may have run it, 2 did not; 502 promises nothing"),
         ("r2", "had not begun: 2 replicas did not take it; 503 promises that it never will"),
@@ -64,12 +64,12 @@
     ],
 )
 def test_a_refusal_history_describes_the_work_state(
-    tmp_path: Path, request_id: str, known: str
+    tmp_path: Path, request_id: str, expected_state: str
 ) -> None:
     (tmp_path / "n1.log").write_text(REFUSED)
     result = CliRunner().invoke(cli, ["explain", request_id, str(tmp_path / "n1.log")])
     notes = [line.strip() for line in result.output.splitlines()[1:]]
-    assert notes == ([f"the work {known}"] if known else [])
+    assert notes == ([f"the work {expected_state}"] if expected_state else [])
 
 
 CRASHES = """\
@@ -81,7 +81,7 @@
 
 
 def test_a_contained_request_history_includes_the_crashed_replicas(tmp_path: Path) -> None:
-    """By its content: they ended under other ids, at other nodes."""
+    """They crashed under other request ids at other nodes, with the same content hash."""
     (tmp_path / "all.log").write_text(CRASHES)
     result = CliRunner().invoke(cli, ["explain", "z", str(tmp_path / "all.log")])
     assert result.exit_code == 0
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -1,4 +1,4 @@
-"""What is told of a start: one line at ready, one at the first place, and a table of many."""
+"""Log lines of a process start, and the report over the starts of a fleet."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 class Start:
-    """One process whose time is moved by hand."""
+    """A starting process whose clock is set by the test."""
 
     def __init__(self, node: str, path: Path) -> None:
         self.now = 50.0
--- a/tests/unit/test_timeline.py
+++ b/tests/unit/test_timeline.py
@@ -1,4 +1,4 @@
-"""What a fleet did can be told from its logs alone."""
+"""The timeline of a fleet is computed from its logs."""
 
 import json
 from pathlib import Path
