--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -98,7 +98,7 @@
             message = "this node is stopping"
             raise GatewayError(Reason.UNAVAILABLE, "stopping", message, STOPPING_RETRY_AFTER_S)
         if self._resource_monitor is not None and self._resource_monitor.is_overloaded:
-            raise _node_full_error("this node's machine is full")
+            raise _node_full_error("this node is overloaded")
         route = self._route(request)
         if route.kind is not RouteKind.BATCH:
             return route
@@ -159,9 +159,7 @@
             for item in items:
                 item.headers = self._without_key(item.headers)
         size = sum(len(item.body) for item in items)
-        if self._resource_monitor is not None and not self._resource_monitor.reserve_job_memory(
-            size
-        ):
+        if self._resource_monitor is not None and not self._resource_monitor.reserve_for_job(size):
             raise _node_full_error("this node has no memory for the job")
         submission = Submission(
             request.fields.request_id,
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -65,7 +65,7 @@
         """Whether the node refuses new requests and jobs."""
         return self.overload_monitor.state is OverloadState.OVERLOADED
 
-    def reserve_job_memory(self, size: int) -> bool:
+    def reserve_for_job(self, size: int) -> bool:
         """Return whether the budget has memory for ``size`` bytes of bodies; count them if so."""
         if not self.memory_budget.has_capacity_for_job(size):
             return False
@@ -115,14 +115,14 @@
         self._coordinator_client.utilization_percent = max(
             1, round(100 * self.overload_monitor.utilization)
         )
-        self._log_fullness_change()
+        self._log_state_change()
         self._log_dropped_readers()
 
     def _on_zone_utilization(self, percent: int) -> None:
         if not self.overload_monitor.set_peer_utilization(percent, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, zone_percent=percent)
 
-    def _log_fullness_change(self) -> None:
+    def _log_state_change(self) -> None:
         is_full = self.overload_monitor.state is not OverloadState.NORMAL
         if is_full == self._is_logged_full:
             return
