--- a/src/cloverwalk/platform/documents.py
+++ b/src/cloverwalk/platform/documents.py
@@ -192,7 +192,7 @@
             raise ValueError(f"tenants[{number}].name: {tenant.name!r} appears twice")
         for position, digest in enumerate(tenant.key_digests):
             if owner_by_digest.setdefault(digest, tenant.name) != tenant.name:
-                reason = f"it is also a key of {owner_by_digest[digest]!r}"
+                reason = f"it is a key of {owner_by_digest[digest]!r} as well"
                 raise ValueError(f"tenants[{number}].api_keys[{position}]: {reason}")
     return tuple(tenants)
 
