--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -34,7 +34,11 @@
 
 TENANT = names.TENANT.decode().lower()
 AUTHORIZATION = names.AUTHORIZATION.decode().lower()
-FIRST, SECOND, OTHER = "first-key-of-quiz", "second-key-of-quiz", "key-of-the-archive"
+FIRST_KEY, SECOND_KEY, OTHER_TENANT_KEY = (
+    "first-key-of-quiz",
+    "second-key-of-quiz",
+    "key-of-the-archive",
+)
 
 
 def tenant(name: str, keys: list[str], **fields: Any) -> dict[str, Any]:
@@ -42,7 +46,7 @@
 
 
 def with_tenants(version: int, quiz_keys: list[str] | None = None, **limits: Any) -> dict[str, Any]:
-    keys = [FIRST, SECOND] if quiz_keys is None else quiz_keys
+    keys = [FIRST_KEY, SECOND_KEY] if quiz_keys is None else quiz_keys
     routes = [
         route("chat", "/chat/", "streaming", resumable=True),
         route("once", "/once/", "streaming", max_attempts=1),
@@ -50,7 +54,7 @@
         route("jobs", "/jobs/", "batch", completion_target_ms=20000, retention_s=60),
         route("few", "/few/", "batch", retention_s=60, max_queued_tokens=50),
     ]
-    tenants = [tenant("quiz", keys, **limits), tenant("archive", [OTHER])]
+    tenants = [tenant("quiz", keys, **limits), tenant("archive", [OTHER_TENANT_KEY])]
     return configuration(version, routes, tenants)
 
 
@@ -77,9 +81,9 @@
         [],
         [("Authorization", "Bearer no-such-key")],
         [("Authorization", "Bearer")],
-        [("Authorization", f"Basic {FIRST}")],
-        [("Authorization", FIRST)],
-        [("Authorization", f"Bearer {FIRST}"), ("Authorization", f"Bearer {FIRST}")],
+        [("Authorization", f"Basic {FIRST_KEY}")],
+        [("Authorization", FIRST_KEY)],
+        [("Authorization", f"Bearer {FIRST_KEY}"), ("Authorization", f"Bearer {FIRST_KEY}")],
     ],
 )
 def test_a_request_without_a_valid_key_is_rejected(headers: list[tuple[str, str]]) -> None:
@@ -105,7 +109,7 @@
         headers = [
             (names.REQUEST_ID.decode(), "id-1"),
             (names.TENANT.decode(), "archive"),
-            ("authorization", f"bearer {SECOND}"),
+            ("authorization", f"bearer {SECOND_KEY}"),
             ("X-Other", "kept"),
         ]
         assert (await world.call("POST", "/chat/a", b"prompt", headers)).status == 200
@@ -121,7 +125,7 @@
 def test_a_public_route_needs_no_key() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
-        for key, name in (("", None), ("no-such-key", None), (OTHER, "archive")):
+        for key, name in (("", None), ("no-such-key", None), (OTHER_TENANT_KEY, "archive")):
             assert (await world.ask("/open/a", key=key)).status == 200
             arrival = world.replicas[0].arrivals[-1]
             assert arrival.headers.get(TENANT) == name
@@ -161,9 +165,13 @@
             http.start_next_cycle()
             return answer.status
 
-        assert await ask(FIRST) == 200
-        await put_configuration(world, with_tenants(3, [SECOND, "a-new-key"]))
-        assert [await ask(FIRST), await ask(SECOND), await ask("a-new-key")] == [401, 200, 200]
+        assert await ask(FIRST_KEY) == 200
+        await put_configuration(world, with_tenants(3, [SECOND_KEY, "a-new-key"]))
+        assert [await ask(FIRST_KEY), await ask(SECOND_KEY), await ask("a-new-key")] == [
+            401,
+            200,
+            200,
+        ]
 
     in_world(test)
 
@@ -176,10 +184,10 @@
         await follower._configuration_follower._health.record_failure()
         follower._configuration_follower._on_changes = ignore_page
         follower._configuration_follower._on_whole = ignore_page
-        await put_configuration(world, with_tenants(3, [SECOND]))
+        await put_configuration(world, with_tenants(3, [SECOND_KEY]))
         index = world.nodes.index(follower)
-        assert (await world.ask("/chat/a", key=FIRST, node=index)).status == 401
-        assert (await world.ask("/chat/a", key=SECOND, node=index)).status == 200
+        assert (await world.ask("/chat/a", key=FIRST_KEY, node=index)).status == 401
+        assert (await world.ask("/chat/a", key=SECOND_KEY, node=index)).status == 200
 
     in_world(test)
 
@@ -191,10 +199,10 @@
 def test_an_invalid_tenant_leaves_the_previous_configuration_in_force() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
-        invalid = with_tenants(3, [SECOND], rate_per_s=-1)
+        invalid = with_tenants(3, [SECOND_KEY], rate_per_s=-1)
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, invalid)
-        await put_configuration(world, with_tenants(4, [FIRST]))
-        assert (await world.ask("/chat/a", key=FIRST)).status == 200
+        await put_configuration(world, with_tenants(4, [FIRST_KEY]))
+        assert (await world.ask("/chat/a", key=FIRST_KEY)).status == 200
 
     in_world(test)
 
@@ -205,20 +213,20 @@
 def test_a_job_is_visible_to_its_tenant_only() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2)
-        assert (await world.hand_in("j", key=FIRST)).status == 202
+        assert (await world.hand_in("j", key=FIRST_KEY)).status == 202
         for method in ("GET", "DELETE"):
-            theirs = await call_on_job(world, method, "j", OTHER)
-            nobodys = await call_on_job(world, method, "no-such-job", OTHER)
-            assert (theirs.status, theirs.body) == (nobodys.status, nobodys.body)
-            assert theirs.status == 404
+            foreign_job = await call_on_job(world, method, "j", OTHER_TENANT_KEY)
+            missing_job = await call_on_job(world, method, "no-such-job", OTHER_TENANT_KEY)
+            assert (foreign_job.status, foreign_job.body) == (missing_job.status, missing_job.body)
+            assert foreign_job.status == 404
         item = f"{names.ITEM_PREFIX}j?id=j-0"
-        assert (await world.call("GET", item, headers=with_key(OTHER))).status == 404
+        assert (await world.call("GET", item, headers=with_key(OTHER_TENANT_KEY))).status == 404
         # Another key of the same tenant gives access too, also after the first was removed.
-        await put_configuration(world, with_tenants(3, [SECOND]))
-        results = await world.until_done("j", 3, node=1, key=SECOND)
+        await put_configuration(world, with_tenants(3, [SECOND_KEY]))
+        results = await world.until_done("j", 3, node=1, key=SECOND_KEY)
         assert {result["state"] for result in results} == {"succeeded"}
-        assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
-        assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
+        assert (await call_on_job(world, "DELETE", "j", SECOND_KEY)).status == 200
+        assert (await call_on_job(world, "DELETE", "j", SECOND_KEY)).status == 200
         assert {arrival.headers.get(TENANT) for arrival in world.replicas[0].arrivals} == {"quiz"}
 
     in_world(test)
@@ -229,10 +237,10 @@
         await world.start(replicas=2, nodes=2, events=30, event_s=0.05)
         await put_configuration(world, with_tenants(2))
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        assert (await world.hand_in("j", node=0, key=FIRST)).status == 202
+        assert (await world.hand_in("j", node=0, key=FIRST_KEY)).status == 202
         await world.until(lambda: any(replica.arrivals for replica in world.replicas))
         await world.kill_node(0)
-        await world.until_done("j", 3, node=1, key=FIRST)
+        await world.until_done("j", 3, node=1, key=FIRST_KEY)
         arrivals = [arrival for replica in world.replicas for arrival in replica.arrivals]
         assert len(arrivals) > 3
         assert {arrival.headers.get(TENANT) for arrival in arrivals} == {"quiz"}
@@ -244,9 +252,11 @@
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         world.replicas[0].event_s = 5.0
-        assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST)).status == 202
-        assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST)).status == 429
-        assert (await world.hand_in("c", count=4, path="/few/x", key=OTHER)).status == 202
+        assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST_KEY)).status == 202
+        assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST_KEY)).status == 429
+        assert (
+            await world.hand_in("c", count=4, path="/few/x", key=OTHER_TENANT_KEY)
+        ).status == 202
 
     in_world(test)
 
@@ -258,12 +268,14 @@
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2, rate_per_s=2.0, burst=4)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        answers = [await world.ask("/chat/a", key=FIRST, node=number % 2) for number in range(40)]
+        answers = [
+            await world.ask("/chat/a", key=FIRST_KEY, node=number % 2) for number in range(40)
+        ]
         refused = [answer for answer in answers if answer.status == 429]
         assert {answer.status for answer in answers} == {200, 429}
         assert 0 < len(answers) - len(refused) <= (4 + 2 * 5) * 1.1 + 20
         assert all(0 <= float(answer.headers["retry-after"]) <= 0.5 for answer in refused)
-        assert (await world.ask("/chat/a", key=OTHER)).status == 200
+        assert (await world.ask("/chat/a", key=OTHER_TENANT_KEY)).status == 200
         served = len(
             [arrival for arrival in world.replicas[0].arrivals if arrival.headers[TENANT] == "quiz"]
         )
@@ -287,7 +299,7 @@
             return await send_request(ask)
 
         follower._fleet.link.send_ask = counting_send  # type: ignore[method-assign]
-        answers = [await world.ask("/chat/a", key=FIRST, node=index) for _ in range(60)]
+        answers = [await world.ask("/chat/a", key=FIRST_KEY, node=index) for _ in range(60)]
         refused = sum(answer.status == 429 for answer in answers)
         assert refused > 30
         assert request_count - (len(answers) - refused) < refused / 2
@@ -315,12 +327,12 @@
         world.log_path = str(log)
         await start_with_tenants(world, nodes=2, rate_per_s=1.0, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        answers = [await world.hand_in("j", key=FIRST)]
+        answers = [await world.hand_in("j", key=FIRST_KEY)]
         for number in range(30):
-            answers.append(await world.ask("/chat/a", key=FIRST, node=number % 2))
+            answers.append(await world.ask("/chat/a", key=FIRST_KEY, node=number % 2))
         answers.append(await world.ask("/chat/a", key="no-such-key"))
-        answers.append(await call_on_job(world, "GET", "j", OTHER))
-        await world.until_done("j", 3, key=FIRST)
+        answers.append(await call_on_job(world, "GET", "j", OTHER_TENANT_KEY))
+        await world.until_done("j", 3, key=FIRST_KEY)
         # A process that has just started receives the configuration from a peer.
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         follower._configuration.current = None
@@ -347,7 +359,7 @@
         leaks = [
             (where, key)
             for where, text in outputs.items()
-            for key in (FIRST, SECOND, OTHER, "no-such-key")
+            for key in (FIRST_KEY, SECOND_KEY, OTHER_TENANT_KEY, "no-such-key")
             if key in text
         ]
         assert leaks == []
@@ -364,7 +376,7 @@
         world.log_path = str(log)
         await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
-            await world.ask("/chat/a", key=FIRST)
+            await world.ask("/chat/a", key=FIRST_KEY)
 
         def events(number: int) -> list[dict[str, Any]]:
             lines = [json.loads(line) for line in log.read_text().splitlines()]
@@ -388,7 +400,7 @@
         await world.add_node()
         await world.until(lambda: world.nodes[0].is_ready)
         async with curio.timeout_after(5):
-            assert (await world.ask("/chat/a", key=FIRST)).status == 200
+            assert (await world.ask("/chat/a", key=FIRST_KEY)).status == 200
 
     in_world(test)
 
@@ -401,8 +413,8 @@
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
-            await world.ask("/chat/a", key=FIRST)
-        await world.ask("/chat/a", key=OTHER)
+            await world.ask("/chat/a", key=FIRST_KEY)
+        await world.ask("/chat/a", key=OTHER_TENANT_KEY)
         address = world.nodes[0]._settings.metrics_address
         answer = await world.call("GET", "/metrics", address=address)
         texts["127.0.0.2:7735"] = answer.body.decode()
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -13,7 +13,7 @@
 from cloverwalk.telemetry.startup_report import startup_stages
 
 
-class Start:
+class StartingProcess:
     """A starting process whose clock is set by the test."""
 
     def __init__(self, node: str, path: Path) -> None:
@@ -33,7 +33,7 @@
 
 def test_one_log_line_lists_the_stages_of_a_start(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    start = Start("n1", path)
+    start = StartingProcess("n1", path)
     start.reach(300, Stage.STORE_REFUSAL)
     start.reach(500, Stage.CONFIGURATION, "peer")
     assert not path.read_text()
@@ -49,7 +49,7 @@
 
 def test_only_the_first_placement_is_logged(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    start = Start("n1", path)
+    start = StartingProcess("n1", path)
     start.reach(40, Stage.COORDINATOR)
     for _ in range(3):
         start.startup.record_placement()
@@ -61,7 +61,7 @@
 def test_the_starts_report_covers_all_nodes(tmp_path: Path) -> None:
     path = tmp_path / "log"
     for number, ready_ms in enumerate((100, 200, 900)):
-        start = Start(f"n{number}", path)
+        start = StartingProcess(f"n{number}", path)
         start.reach(ready_ms // 2, Stage.CONFIGURATION, "store")
         start.reach(ready_ms, Stage.REPLICAS, "peer" if number == 2 else "store")
     lines = [line for text in path.read_text().splitlines() if (line := parse_line(text))]
