--- a/src/cloverwalk/platform/codec.py
+++ b/src/cloverwalk/platform/codec.py
@@ -1,4 +1,4 @@
-"""Headers and calls of the platform, read into and written from the gateway's messages."""
+"""Converts headers and job calls of the platform to and from messages of the gateway."""
 
 from urllib.parse import parse_qs, unquote, urlsplit
 
@@ -32,7 +32,7 @@
         b"content-length",
     }
 )
-SET_ON_THE_WAY = frozenset(
+REPLACED_HEADERS = frozenset(
     {
         names.DEADLINE_MS.lower(),
         names.EXPECT_INSTANCE.lower(),
@@ -40,14 +40,14 @@
         names.TENANT.lower(),
     }
 )
-MOST_SLOWDOWN_PERCENT = 10_000
-"""A replica a hundred times slower than usual serves nobody: a larger figure is an error."""
+MAX_SLOWDOWN_PERCENT = 10_000
+"""100 times slower than the baseline; a larger value is treated as an error."""
 
-MOST_DIGITS = 9
-"""Longer figures are no counts of tokens or requests; turning them into numbers would take time."""
+MAX_DIGITS = 9
+"""Longer numbers are no valid counts, and converting very long ones would be slow."""
 
-MALFORMED_KEY = ""
-"""Stands for the digest of a credential that is none; it belongs to no tenant."""
+MALFORMED_KEY_DIGEST = ""
+"""The digest of a malformed credential; it belongs to no tenant."""
 
 
 def _find(headers: RawHeaders, name: bytes) -> str | None:
@@ -64,14 +64,14 @@
 
 
 def _key_digest(headers: RawHeaders) -> str | None:
-    """Return the digest of the caller's key, None when it sent none."""
+    """Return the digest of the caller's key, None if the request has no key."""
     wanted = names.AUTHORIZATION.lower()
     values = [value for name, value in headers if name.lower() == wanted]
     if not values:
         return None
     scheme, _, key = values[0].decode("latin-1").strip().partition(" ")
     if len(values) > 1 or scheme.lower() != names.KEY_SCHEME or not key.strip():
-        return MALFORMED_KEY
+        return MALFORMED_KEY_DIGEST
     return digest_of(key.strip())
 
 
@@ -96,33 +96,33 @@
 
 
 def _load(text: str | None) -> ReplicaLoad | None:
-    figures = [one.strip() for one in (text or "").split(",")]
-    counts = figures[:3]
-    if len(counts) != 3 or not all(_is_count(one) for one in counts):
+    fields = [field.strip() for field in (text or "").split(",")]
+    counts = fields[:3]
+    if len(counts) != 3 or not all(_is_count(count) for count in counts):
         return None
-    running, waiting, slots = (int(one) for one in counts)
-    if len(figures) == 3:
+    running, waiting, slots = (int(count) for count in counts)
+    if len(fields) == 3:
         return ReplicaLoad(running, waiting, slots)
-    percent = int(figures[3]) if _is_count(figures[3]) else 0
-    if len(figures) > 4 or not 0 < percent <= MOST_SLOWDOWN_PERCENT:
+    percent = int(fields[3]) if _is_count(fields[3]) else 0
+    if len(fields) > 4 or not 0 < percent <= MAX_SLOWDOWN_PERCENT:
         return ReplicaLoad(running, waiting, slots, has_invalid_slowdown=True)
     return ReplicaLoad(running, waiting, slots, percent / 100)
 
 
 def _is_count(text: str) -> bool:
-    return text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
 
 
 def _token_usage(text: str | None) -> tuple[int, int]:
-    """Return the tokens of the prompt and the most that may come out; zeros where not told."""
-    figures = [one.strip() for one in (text or "").split(",")]
-    if len(figures) != 2 or not all(_is_count(one) for one in figures):
+    """Return the prompt tokens and the maximum of output tokens; zeros if not given."""
+    fields = [field.strip() for field in (text or "").split(",")]
+    if len(fields) != 2 or not all(_is_count(field) for field in fields):
         return 0, 0
-    return int(figures[0]), int(figures[1])
+    return int(fields[0]), int(fields[1])
 
 
 def _length_hint(text: str | None) -> int:
-    """Return the expected tokens of output, zero where there is no usable hint."""
+    """Return the expected number of output tokens, 0 without a valid hint."""
     return int(text) if text is not None and _is_count(text) else 0
 
 
@@ -138,12 +138,12 @@
     """The gateway's codec for this platform."""
 
     def request_fields(self, headers: RawHeaders) -> RequestFields:
-        """Return what a client's headers say."""
+        """Return the fields in the headers of a client's request."""
         deadline_ms = _number(headers, names.DEADLINE_MS)
         last_event = _number(headers, names.LAST_EVENT_ID)
         wait_ms = _number(headers, names.WAIT_MS)
         usage = _token_usage(_find(headers, names.TOKEN_USAGE))
-        prompt_tokens, most_output_tokens = usage
+        prompt_tokens, max_output_tokens = usage
         return RequestFields(
             _find(headers, names.REQUEST_ID) or "",
             None if deadline_ms is None else deadline_ms / 1000,
@@ -152,18 +152,18 @@
             wait_s=0.0 if wait_ms is None else wait_ms / 1000,
             key_digest=_key_digest(headers),
             prompt_tokens=prompt_tokens,
-            max_output_tokens=most_output_tokens,
+            max_output_tokens=max_output_tokens,
             hinted_output_tokens=_length_hint(_find(headers, names.LENGTH_HINT)),
         )
 
     def without_key(self, headers: RawHeaders) -> RawHeaders:
-        """Return a caller's headers without its key."""
+        """Return the headers of a request without the key."""
         wanted = names.AUTHORIZATION.lower()
         return [(name, value) for name, value in headers if name.lower() != wanted]
 
     def answer_fields(self, headers: RawHeaders) -> AnswerFields:
-        """Return what a replica's headers say."""
-        # Repeated fields are one list: an answer with two ids is that of no request.
+        """Return the fields in the headers of a replica's answer."""
+        # Repeated headers form one list, so an answer with two ids matches no request.
         request_ids = _find_all(headers, names.REQUEST_ID)
         signatures = _find_all(headers, names.SIGNATURE)
         return AnswerFields(
@@ -181,30 +181,30 @@
         remaining_s: float | None,
         last_event_id: int | None,
     ) -> RawHeaders:
-        """Return the headers with which a request goes to a replica, without its length."""
-        kept = [
+        """Return the headers of a request to a replica, without the content length."""
+        forwarded = [
             (name, value)
             for name, value in _without_connection_headers(request.headers)
-            if name.lower() not in SET_ON_THE_WAY
+            if name.lower() not in REPLACED_HEADERS
         ]
-        if _find(kept, names.REQUEST_ID) is None:
-            kept.append((names.REQUEST_ID, request.fields.request_id.encode("latin-1")))
+        if _find(forwarded, names.REQUEST_ID) is None:
+            forwarded.append((names.REQUEST_ID, request.fields.request_id.encode("latin-1")))
         if request.tenant:
-            kept.append((names.TENANT, request.tenant.encode()))
+            forwarded.append((names.TENANT, request.tenant.encode()))
         if remaining_s is not None:
             remaining_ms = max(1, int(remaining_s * 1000))
-            kept.append((names.DEADLINE_MS, str(remaining_ms).encode()))
+            forwarded.append((names.DEADLINE_MS, str(remaining_ms).encode()))
         if last_event_id is not None:
-            kept.append((names.LAST_EVENT_ID, str(last_event_id).encode()))
-        kept.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))
-        return kept
+            forwarded.append((names.LAST_EVENT_ID, str(last_event_id).encode()))
+        forwarded.append((names.EXPECT_INSTANCE, replica_id.encode("latin-1")))
+        return forwarded
 
     def headers_to_client(self, headers: RawHeaders) -> RawHeaders:
-        """Return a replica's headers without those of its connection and without its length."""
+        """Return a replica's headers without connection headers and the content length."""
         return _without_connection_headers(headers)
 
     def local_reply_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
-        """Return the headers of an answer that this node makes itself."""
+        """Return the headers of a response that this node creates itself."""
         headers: RawHeaders = []
         if request_id:
             headers.append((names.REQUEST_ID, request_id.encode("latin-1")))
@@ -213,16 +213,17 @@
         return headers
 
     def job_call(self, method: str, target: str) -> JobCall | None:
-        """Return the call on a job that a request is, or None when it is none."""
+        """Return the job call that a request makes, None if it is not a job call."""
         url = urlsplit(target)
         if url.path.startswith(names.JOB_PREFIX):
             job_id = unquote(url.path[len(names.JOB_PREFIX) :])
             if method == "DELETE":
                 return EndJob(job_id)
             if method == "GET":
+                # The position of the first result to return, despite the name of the parameter.
                 position = parse_qs(url.query).get("since_revision", ["0"])[0]
                 if not position.isdecimal():
-                    message = "since_revision is a number"
+                    message = "since_revision must be a number"
                     raise GatewayError(Reason.INVALID, "position_invalid", message)
                 return ReadJob(job_id, int(position))
         if url.path.startswith(names.ITEM_PREFIX) and method == "GET":
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -1,4 +1,4 @@
-"""One serving node as a process: what it is made of, and its life from start to stop."""
+"""The process of a serving node: its components and its lifecycle from start to stop."""
 
 import gc
 import signal
@@ -41,21 +41,22 @@
 from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 CONFIGURATION_PAUSE_S = 0.05
-HOUSEKEEPING_S = 2.0
-LEAVE_VISIBLE_S = 2.6
-"""After an order to stop, new connections come for about this long."""
+HOUSEKEEPING_INTERVAL_S = 2.0
+STOP_PROPAGATION_S = 2.6
+"""New connections still arrive for about this long after a planned stop began."""
 
 STOP_MARGIN_S = 0.7
-LAST_BEGIN_SHARE = 0.35
-"""Share of the grace time, before the end, in which nothing new begins: 2.8 of 8 s, more than most
-requests take. The platform sends requests to leaving nodes where few of a zone are ready."""
+NO_NEW_WORK_FRACTION = 0.35
+"""In this last fraction of the grace time no request is started; it is longer than most requests
+take. Until then requests are accepted, since the platform sends requests to leaving nodes when few
+nodes of a zone are ready."""
 
 RESERVED_DESCRIPTORS = 800
-SIDE_CONNECTIONS = 32
+MAX_INTERNAL_CONNECTIONS = 32
 
 
 class ServingNode:
-    """Wires the parts of a node together and runs them on one loop."""
+    """Creates and connects the components of a node and runs them in one event loop."""
 
     def __init__(
         self, adapter: Adapter, settings: ServingSettings, log_descriptor: int | None = None
@@ -67,9 +68,9 @@
         self._random = Random(SystemRandom().getrandbits(64))
         self._log = ServingLog(settings.node, self._clock, log_descriptor)
         self._metrics = ServingMetrics()
-        # Loading the program takes processor time, and nothing else yet.
-        began_at = self._clock() - time.process_time()
-        self._startup = StartupLog(self._log, self._clock, began_at)
+        # Until here the process only loaded modules, so its age is about its processor time.
+        started_at = self._clock() - time.process_time()
+        self._startup = StartupLog(self._log, self._clock, started_at)
         self._stop = curio.UniversalEvent()
         self._reload = curio.UniversalEvent()
         self._stop_flag = OnceFlag()
@@ -80,7 +81,7 @@
         self._build_fleet()
         self._build_gateway()
 
-    # --- parts ---
+    # --- components ---
 
     def _build_state(self) -> None:
         self._knowledge = FleetState(self._adapter, self._log, self._clock, self._startup)
@@ -89,8 +90,8 @@
         self._directory = self._knowledge.directory
         self._loads = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
         self._health = StoreHealth(Clock(self._clock))
-        self._health.on_call = self._note_store_call
-        self._store_clock = StoreClock(Clock(self._clock), self._note_store_clock)
+        self._health.on_call = self._record_store_call
+        self._store_clock = StoreClock(Clock(self._clock), self._log_store_clock_jump)
         self._store = MonitoredStore(
             self._adapter.create_store(self._settings), self._health, self._store_clock
         )
@@ -104,11 +105,11 @@
             self._clock,
         )
 
-        self._restarts = RestartHandler(
+        self._restart_handler = RestartHandler(
             self._directory, self._pool, self._witness, self._log, self._metrics, self._clock
         )
 
-    def _note_store_clock(self, jump_ms: float) -> None:
+    def _log_store_clock_jump(self, jump_ms: float) -> None:
         self._log.write(catalogue.STORE_CLOCK_JUMPED, jump_ms=round(jump_ms, 1))
 
     def _build_fleet(self) -> None:
@@ -123,9 +124,9 @@
             self._clock,
             self._random,
         )
-        self._fleet.cases.on_contained = self._witness.record_contained
+        self._fleet.crash_record_sync.on_contained = self._witness.record_contained
         self._witness.on_crash = self._fleet.link.trigger_report
-        self._store_watch = StoreProbe(self._store, self._health, self._fleet)
+        self._store_probe = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
             self._settings,
@@ -144,7 +145,7 @@
             self._random,
         )
         self._case_keeper = CrashRecordStore(
-            self._fleet.cases,
+            self._fleet.crash_record_sync,
             self._fleet.coordinator,
             self._store,
             self._health,
@@ -178,7 +179,7 @@
 
     def _build_gateway(self) -> None:
         settings = self._settings
-        self._refusals = QuotaRefusalCache(self._log, self._clock)
+        self._quota_refusals = QuotaRefusalCache(self._log, self._clock)
         relay = OnlineRelay(
             self._adapter.codec,
             self._directory,
@@ -188,13 +189,13 @@
             self._metrics,
             self._clock,
             self._fleet.link,
-            self._refusals,
+            self._quota_refusals,
             ContainmentGate(self._witness, self._metrics),
         )
-        most = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
-        self._clients = self._server(settings.client_address, self._handle, most)
-        self._room = self._watch_room(most)
-        self._calls = RequestHandler(
+        max_connections = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
+        self._clients = self._create_server(settings.client_address, self._handle, max_connections)
+        self._resource_monitor = self._create_resource_monitor(max_connections)
+        self._request_handler = RequestHandler(
             self._adapter,
             self._configuration,
             relay,
@@ -202,22 +203,24 @@
             self._log,
             self._metrics,
             lambda: self._clock() < self._last_begin_at,
-            self._room,
+            self._resource_monitor,
+        )
+        self._ready = self._create_server(
+            settings.ready_address, self._answer_ready, MAX_INTERNAL_CONNECTIONS
         )
-        self._ready = self._server(settings.ready_address, self._answer_ready, SIDE_CONNECTIONS)
         self._metrics_server: GatewayServer | None = None
         if settings.metrics_address is not None:
-            self._metrics_server = self._server(
-                settings.metrics_address, self._answer_metrics, SIDE_CONNECTIONS
+            self._metrics_server = self._create_server(
+                settings.metrics_address, self._answer_metrics, MAX_INTERNAL_CONNECTIONS
             )
 
-    def _watch_room(self, most_connections: int) -> ResourceMonitor | None:
-        """Return what watches this machine's room, where the settings call for it."""
+    def _create_resource_monitor(self, max_connections: int) -> ResourceMonitor | None:
+        """Return the monitor of this machine's resources, None if the feature is off."""
         if not self._fleet.features.is_on(Feature.NODE_CAPACITY):
             return None
-        room = ResourceMonitor(
+        monitor = ResourceMonitor(
             self._settings,
-            most_connections,
+            max_connections,
             self._clients,
             self._batch.runner,
             self._fleet.link,
@@ -225,13 +228,13 @@
             self._clock,
             time.process_time,
         )
-        self._fleet.coordinator.must_hand_over = room.must_hand_over
-        return room
+        self._fleet.coordinator.must_hand_over = monitor.must_hand_over
+        return monitor
 
     async def _handle(self, request: ClientRequest, reply: Reply) -> None:
-        await self._calls.handle(request, reply)
+        await self._request_handler.handle(request, reply)
 
-    def _server(
+    def _create_server(
         self,
         address: tuple[str, int],
         on_request: Callable[[ClientRequest, Reply], Awaitable[None]],
@@ -247,18 +250,18 @@
             max_connections,
         )
 
-    # --- life ---
+    # --- lifecycle ---
 
     async def run(self) -> None:
-        """Serve until a planned stop is complete."""
+        """Run the node until a planned stop is complete."""
         incarnation = self._fleet.identity.incarnation
         self._log.write(catalogue.SERVING_STARTED, incarnation=incarnation)
         async with curio.TaskGroup(wait=None) as tasks:
             for loop in self._loops():
-                await tasks.spawn(self._guarded, loop)
+                await tasks.spawn(self._run_restarting, loop)
             await tasks.spawn(self._reload_loop)
             await self._stop.wait()
-            await self._leave()
+            await self._shut_down()
         self._log.write(catalogue.SERVING_STOPPED, serving=self._clients.serving_count)
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
@@ -271,19 +274,19 @@
             self._fleet.election.run,
             self._configuration_follower.run,
             self._replica_follower.run,
-            self._store_watch.run,
+            self._store_probe.run,
             self._case_keeper.run,
             self._housekeeping,
             *self._batch.loops(),
         ]
-        if self._room is not None:
-            loops.append(self._room.run)
+        if self._resource_monitor is not None:
+            loops.append(self._resource_monitor.run)
         if self._metrics_server is not None:
             loops.append(self._metrics_server.serve)
         return loops
 
-    async def _guarded(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Start a loop again when it fails: no single fault ends the process."""
+    async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
+        """Run a loop and restart it when it fails, so that no single error ends the process."""
         while True:
             try:
                 await loop()
@@ -292,23 +295,23 @@
             await curio.sleep(0.1)
 
     def request_stop(self) -> None:
-        """Begin a planned stop; safe to call from a signal handler."""
+        """Begin a planned stop; may be called from a signal handler."""
         if self._stop_flag.take():
             self._stop.set()
 
     def request_reload(self) -> None:
-        """Have the settings read again; safe to call from a signal handler."""
+        """Reload the settings; may be called from a signal handler."""
         if self._reload_flag.take():
             self._reload.set()
 
     def install_signals(self) -> None:
-        """Stop on SIGTERM and SIGINT, read the settings again on SIGHUP."""
+        """Stop on SIGTERM and SIGINT, reload the settings on SIGHUP."""
         signal.signal(signal.SIGTERM, lambda *_: self.request_stop())
         signal.signal(signal.SIGINT, lambda *_: self.request_stop())
         signal.signal(signal.SIGHUP, lambda *_: self.request_reload())
 
     async def _reload_loop(self) -> None:
-        """On SIGHUP the settings are checked; addresses hold until the next start."""
+        """Reload the settings on SIGHUP; only the seeds take effect before the next start."""
         while True:
             await self._reload.wait()
             self._reload.clear()
@@ -321,73 +324,98 @@
             self._fleet.link.use_seeds(list(settings.seeds))
             self._log.write(catalogue.SETTINGS_RELOADED, seeds=len(settings.seeds))
 
-    async def _leave(self) -> None:
-        """Planned stop: no longer ready, hand jobs over, finish what is in hand, go."""
-        began_at = self._clock()
-        until = began_at + self._settings.grace_s - STOP_MARGIN_S
-        self._last_begin_at = until - LAST_BEGIN_SHARE * self._settings.grace_s
+    async def _shut_down(self) -> None:
+        """Stop as planned: become not ready, hand jobs over, finish running requests."""
+        started_at = self._clock()
+        deadline = started_at + self._settings.grace_s - STOP_MARGIN_S
+        self._last_begin_at = deadline - NO_NEW_WORK_FRACTION * self._settings.grace_s
         self._log.write(catalogue.SERVING_STOPPING, serving=self._clients.serving_count)
         self.is_leaving = True
         self._fleet.leave()
         self._clients.is_stopping = True
         await self._fleet.link.trigger_report()
-        handing_over = await curio.spawn(self._batch.takeover.hand_over)
-        while self._clock() < until:
+        handover = await curio.spawn(self._batch.takeover.hand_over)
+        while self._clock() < deadline:
             await curio.sleep(0.1)
             await self._clients.close_idle()
-            is_visible = self._clock() - began_at < LEAVE_VISIBLE_S
-            if not is_visible and self._clients.serving_count == 0 and handing_over.terminated:
+            is_visible = self._clock() - started_at < STOP_PROPAGATION_S
+            if not is_visible and self._clients.serving_count == 0 and handover.terminated:
                 break
-        await handing_over.cancel()
+        await handover.cancel()
 
     # --- readiness and metrics ---
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients should come here."""
+        """Whether the node answers readiness probes positively."""
         return (
             not self.is_leaving
             and self._configuration.current is not None
             and not self._directory.is_empty
-            and (self._room is None or self._room.overload_monitor.is_ready)
+            and (self._resource_monitor is None or self._resource_monitor.overload_monitor.is_ready)
         )
 
     async def _answer_ready(self, request: ClientRequest, reply: Reply) -> None:
-        is_asked = self._adapter.is_readiness_probe(request.target)
-        status = 404 if not is_asked else 200 if self.is_ready else 503
+        is_probe = self._adapter.is_readiness_probe(request.target)
+        status = 404 if not is_probe else 200 if self.is_ready else 503
         await reply.respond(status, [], b"")
 
     async def _answer_metrics(self, request: ClientRequest, reply: Reply) -> None:
         metrics = self._metrics
         now = self._clock()
         metrics.tenant_directory = self._configuration.tenants
-        metrics.gauge("cloverwalk_configuration_version", "In force", self._configuration.version)
+        metrics.gauge(
+            "cloverwalk_configuration_version", "Version in force", self._configuration.version
+        )
         age_s = min(1e6, now - self._directory.confirmed_at)
-        metrics.gauge("cloverwalk_replica_list_age_seconds", "Since confirmed", age_s)
-        metrics.gauge("cloverwalk_log_lines_dropped", "Left out", self._log.lines_dropped)
+        metrics.gauge(
+            "cloverwalk_replica_list_age_seconds",
+            "Time since the replica list was confirmed",
+            age_s,
+        )
+        metrics.gauge("cloverwalk_log_lines_dropped", "Log lines dropped", self._log.lines_dropped)
         metrics.gauge("cloverwalk_replica_connections_opened", "Opened", self._pool.opened)
-        metrics.gauge("cloverwalk_jobs_owned", "Jobs run here", len(self._batch.runner.jobs))
-        metrics.gauge("cloverwalk_client_connections", "Open", self._clients.connection_count)
+        metrics.gauge(
+            "cloverwalk_jobs_owned", "Jobs that this node runs", len(self._batch.runner.jobs)
+        )
+        metrics.gauge(
+            "cloverwalk_client_connections",
+            "Open",
+            self._clients.connection_count,
+        )
         coordinator = self._fleet.coordinator
-        known = len(coordinator.registry.live()) if coordinator.is_active else 0
-        uses = self._fleet.slots.slot_time.seconds
-        paces = self._fleet.scheduler.slowdowns
-        metrics.replica_slowdowns = paces.counts_by_class()
-        metrics.gauge("cloverwalk_pace_figures_dropped", "Left out as odd", paces.invalid_count)
-        metrics.slot_seconds = {use.value: seconds for use, seconds in uses.items()}
-        metrics.share_ms = self._fleet.shares.slot_ms()
+        node_count = len(coordinator.registry.live()) if coordinator.is_active else 0
+        seconds_by_use = self._fleet.slot_time_reporter.slot_time.seconds
+        slowdowns = self._fleet.scheduler.slowdowns
+        metrics.replica_slowdowns = slowdowns.counts_by_class()
+        metrics.gauge(
+            "cloverwalk_pace_figures_dropped",
+            "Invalid slowdown values ignored",
+            slowdowns.invalid_count,
+        )
+        metrics.slot_seconds = {use.value: seconds for use, seconds in seconds_by_use.items()}
+        metrics.share_ms = self._fleet.fair_share_reporter.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
-        shut = self._fleet.scheduler.reachability.unreachable_count
-        metrics.gauge("cloverwalk_zones_unreachable", "Pairs of zones, as seen here", shut)
-        metrics.gauge("cloverwalk_coordinated_nodes", "Nodes that report here", known)
-        if self._room is not None:
-            self._room.update_metrics(metrics)
+        unreachable_count = self._fleet.scheduler.reachability.unreachable_count
+        metrics.gauge(
+            "cloverwalk_zones_unreachable",
+            "Unreachable pairs of zones, as seen by this node",
+            unreachable_count,
+        )
+        metrics.gauge(
+            "cloverwalk_coordinated_nodes", "Nodes that report to this coordinator", node_count
+        )
+        if self._resource_monitor is not None:
+            self._resource_monitor.update_metrics(metrics)
         content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         await reply.respond(200, [content_type], metrics.render())
 
-    def _on_refused(self, answer: ErrorResponse) -> None:
+    def _on_refused(self, response: ErrorResponse) -> None:
         self._log.write(
-            catalogue.CALL_REFUSED, status=answer.status, code=answer.code, work=answer.work.value
+            catalogue.CALL_REFUSED,
+            status=response.status,
+            code=response.code,
+            work=response.work.value,
         )
 
     def _limits(self) -> ClientLimits:
@@ -396,21 +424,21 @@
 
     # --- housekeeping ---
 
-    def _note_store_call(self, is_answered: bool) -> None:
+    def _record_store_call(self, is_answered: bool) -> None:
         stage = Stage.STORE_ANSWER if is_answered else Stage.STORE_REFUSAL
         self._startup.record_stage(stage)
 
     async def _housekeeping(self) -> None:
         while True:
-            await curio.sleep(HOUSEKEEPING_S)
+            await curio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._fleet.features.notify_changes()
-            self._restarts.abort_stale()
+            self._restart_handler.abort_stale()
             await self._pool.close_expired()
-            self._refusals.expire()
+            self._quota_refusals.expire()
             self._witness.expire()
             slept_s = self._suspensions.check()
             if slept_s > 0:
-                # Ages and leases have gone on: the node is as one that stood still for so long.
+                # Ages and leases went on meanwhile, as if the node had paused for so long.
                 self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(slept_s, 3))
 
 
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -1,4 +1,4 @@
-"""From a request to its handler: a call on a job, a hand-in, or an online request."""
+"""Dispatches requests: calls on jobs, job submissions and online requests."""
 
 from collections.abc import Callable
 
@@ -20,16 +20,16 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
 
-LONGEST_WAIT_S = 1.0
-STARTING_S = 1.0
-"""A process that has just started has its configuration by then, as a rule."""
+MAX_WAIT_S = 1.0
+STARTING_RETRY_S = 1.0
+"""A process that has just started usually has its configuration after this time."""
 
 STOPPING_RETRY_AFTER_S = 0.02
-"""A client that comes back reaches another node, which need not be waited for."""
+"""The retry reaches another node, so a long delay has no use."""
 
 
 class RequestHandler:
-    """Handles whole requests of clients."""
+    """Handles complete requests of clients."""
 
     def __init__(
         self,
@@ -39,8 +39,8 @@
         jobs: JobService,
         log: ServingLog,
         metrics: ServingMetrics,
-        may_begin: Callable[[], bool],
-        room: ResourceMonitor | None = None,
+        accepts_requests: Callable[[], bool],
+        resource_monitor: ResourceMonitor | None = None,
     ) -> None:
         self._adapter = adapter
         self._codec = adapter.codec
@@ -49,56 +49,56 @@
         self._jobs = jobs
         self._log = log
         self._metrics = metrics
-        self._may_begin = may_begin
-        self._room = room
+        self._accepts_requests = accepts_requests
+        self._resource_monitor = resource_monitor
 
     async def handle(self, request: ClientRequest, reply: Reply) -> None:
-        """Serve one request to its final answer."""
+        """Handle one request until its response is sent."""
         writes = JobWriteTracker()
         try:
             route = await self._dispatch(request, reply, writes)
         except CallError as error:
             if error.code == NODE_FULL:
-                # On the same connection its client would come back to this node.
+                # A retry on the same connection would reach this node again.
                 reply.close_after()
             await self._refuse(request, reply, error_response(error, writes))
             return
         if route is not None:
-            # The relay knows what it sends, and makes the final answer by that.
+            # The relay tracks what it sends, so it creates its error responses itself.
             await self._relay.handle(request, route, reply)
 
-    async def _refuse(self, request: ClientRequest, reply: Reply, answer: ErrorResponse) -> None:
+    async def _refuse(self, request: ClientRequest, reply: Reply, response: ErrorResponse) -> None:
         self._log.write(
             catalogue.CALL_REFUSED,
             request=request.fields.request_id,
             target=request.target[:80],
             tenant=request.tenant,
-            status=answer.status,
-            code=answer.code,
-            work=answer.work.value,
+            status=response.status,
+            code=response.code,
+            work=response.work.value,
             configuration=self._configuration.version,
         )
-        self._metrics.request_ended("call", answer.code, 0.0)
-        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
-        await reply.respond(answer.status, headers, answer.body)
+        self._metrics.request_ended("call", response.code, 0.0)
+        headers = self._codec.local_reply_headers(request.fields.request_id, response.retry_after_s)
+        await reply.respond(response.status, headers, response.body)
 
     async def _dispatch(
         self, request: ClientRequest, reply: Reply, writes: JobWriteTracker
     ) -> Route | None:
-        """Serve a call on a job or a hand-in; return the route of an online request."""
+        """Handle a call on a job or a job submission; return the route of an online request."""
         if self._configuration.current is None:
             message = "this node is starting"
-            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_S)
+            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_S)
         call = self._codec.job_call(request.method, request.target)
         self._identify(request, is_job_call=call is not None)
         if call is not None:
             await self._job_call(request, call, reply, writes)
             return None
-        if not self._may_begin():
-            message = "this node ends too soon"
+        if not self._accepts_requests():
+            message = "this node is stopping"
             raise GatewayError(Reason.UNAVAILABLE, "stopping", message, STOPPING_RETRY_AFTER_S)
-        if self._room is not None and self._room.is_over:
-            raise _node_full("this node's machine is full")
+        if self._resource_monitor is not None and self._resource_monitor.is_overloaded:
+            raise _node_full_error("this node is overloaded")
         route = self._route(request)
         if route.kind is not RouteKind.BATCH:
             return route
@@ -106,7 +106,7 @@
         return None
 
     def _identify(self, request: ClientRequest, is_job_call: bool) -> None:
-        """Set who calls; the key goes no further than here."""
+        """Set the tenant of a request and remove the key from its headers."""
         request.tenant = identify(request, self._configuration, is_job_call)
         if self._configuration.has_tenants:
             request.headers = self._codec.without_key(request.headers)
@@ -125,7 +125,7 @@
     ) -> None:
         match call:
             case ReadJob():
-                wait_s = min(LONGEST_WAIT_S, request.fields.wait_s)
+                wait_s = min(MAX_WAIT_S, request.fields.wait_s)
                 page = await self._jobs.read(call.job_id, request.tenant, call.position, wait_s)
                 body = self._adapter.encode_result_page(page)
                 await reply.respond(200, self._adapter.json_headers, body)
@@ -145,7 +145,7 @@
     ) -> None:
         if request.method != "POST" or not request.fields.request_id:
             raise GatewayError(
-                Reason.INVALID, "not_a_job", "a job is handed in by POST, with an id"
+                Reason.INVALID, "not_a_job", "a job must be submitted by POST and with a request id"
             )
         try:
             items = self._adapter.decode_job_items(request.body)
@@ -153,14 +153,14 @@
             raise GatewayError(Reason.INVALID, "job_invalid", str(error)) from error
         if not items or len(items) > MAX_ITEMS:
             raise GatewayError(Reason.INVALID, "job_invalid", f"a job has 1 to {MAX_ITEMS} items")
-        if len({one.item_id for one in items}) != len(items):
+        if len({item.item_id for item in items}) != len(items):
             raise GatewayError(Reason.INVALID, "job_invalid", "two items have the same id")
         if self._configuration.has_tenants:
             for item in items:
                 item.headers = self._without_key(item.headers)
-        size = sum(len(one.body) for one in items)
-        if self._room is not None and not self._room.takes_job(size):
-            raise _node_full("this node has no room for the job")
+        size = sum(len(item.body) for item in items)
+        if self._resource_monitor is not None and not self._resource_monitor.reserve_for_job(size):
+            raise _node_full_error("this node has no memory for the job")
         submission = Submission(
             request.fields.request_id,
             request.host,
@@ -175,5 +175,5 @@
         await reply.respond(202, headers, b"{}")
 
 
-def _node_full(message: str) -> GatewayError:
+def _node_full_error(message: str) -> GatewayError:
     return GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Watches how full this node's machine is, and tells the parts that decide by it."""
+"""Measures the utilization of this machine and reports it to other components."""
 
 from collections.abc import Callable
 
@@ -19,84 +19,88 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-LOOK_EVERY_S = 0.5
-"""The platform asks once a second whether a node is ready."""
+CHECK_INTERVAL_S = 0.5
+"""Shorter than the second between the readiness probes of the platform."""
 
 HAND_OVER_AFTER_S = 3.0
-"""A coordinator that was over its machine for so long gives its role away: two reports of each
-node have come in that time, so a standby's fullness is not a moment's."""
+"""A coordinator that was overloaded for so long hands its role over. Each node sends at least two
+reports in that time, so the utilization of the standby is not a momentary value."""
 
 
 class ResourceMonitor:
-    """Looks at what is in use while its loop runs."""
+    """Samples the use of the machine's resources while its loop runs."""
 
     def __init__(
         self,
         settings: ServingSettings,
-        most_connections: int,
+        max_connections: int,
         clients: GatewayServer,
         runner: BatchRunner,
-        link: CoordinatorClient,
+        coordinator_client: CoordinatorClient,
         log: ServingLog,
         clock: Callable[[], float],
         processor_s: Callable[[], float],
     ) -> None:
-        held_bytes = int(BUDGET_SHARE * settings.machine.memory_bytes)
-        size = MachineCapacity(
-            most_connections,
+        budget_bytes = int(BUDGET_SHARE * settings.machine.memory_bytes)
+        capacity = MachineCapacity(
+            max_connections,
             settings.machine.link_bytes_per_s,
             min(1.0, settings.cores),
-            held_bytes,
+            budget_bytes,
         )
-        self.memory_budget = MemoryBudget(held_bytes)
-        self.overload_monitor = OverloadMonitor(size, clock())
+        self.memory_budget = MemoryBudget(budget_bytes)
+        self.overload_monitor = OverloadMonitor(capacity, clock())
         self._clients = clients
         self._runner = runner
-        self._link = link
+        self._coordinator_client = coordinator_client
         self._log = log
         self._clock = clock
         self._processor_s = processor_s
-        self._is_told_full = False
+        self._is_logged_full = False
         clients.memory_budget = self.memory_budget
-        link.on_zone_utilization = self._note_peers
+        coordinator_client.on_zone_utilization = self._on_zone_utilization
 
     @property
-    def is_over(self) -> bool:
-        """Whether new requests and jobs are refused."""
+    def is_overloaded(self) -> bool:
+        """Whether the node refuses new requests and jobs."""
         return self.overload_monitor.state is OverloadState.OVERLOADED
 
-    def takes_job(self, size: int) -> bool:
-        """Whether there is memory for a job with so many bytes of bodies; counts it if so."""
+    def reserve_for_job(self, size: int) -> bool:
+        """Return whether the budget has memory for ``size`` bytes of bodies; count them if so."""
         if not self.memory_budget.has_capacity_for_job(size):
             return False
-        # The next look counts it properly, or not at all where it was not taken.
+        # The next check replaces this by the bytes of the jobs that were in fact accepted.
         self.memory_budget.job_bytes += size
         return True
 
     def must_hand_over(self) -> bool:
-        """Whether this node should not coordinate any more."""
+        """Whether this node should hand over the coordinator role."""
         return self.overload_monitor.overloaded_for_s(self._clock()) >= HAND_OVER_AFTER_S
 
     def update_metrics(self, metrics: ServingMetrics) -> None:
-        """Set the figures of this machine's room."""
+        """Set the metrics of this machine's resources."""
         metrics.utilization = {
-            one.value: share for one, share in self.overload_monitor.by_resource.items()
+            resource.value: share for resource, share in self.overload_monitor.by_resource.items()
         }
         metrics.gauge(
-            "cloverwalk_held_bytes", "Held in memory for others", self.memory_budget.total_bytes
+            "cloverwalk_held_bytes",
+            "Buffered for clients, replicas and jobs",
+            self.memory_budget.total_bytes,
+        )
+        dropped_readers = self.memory_budget.dropped_readers_total
+        metrics.gauge(
+            "cloverwalk_readers_given_up", "Clients dropped for not reading", dropped_readers
         )
-        given_up = self.memory_budget.dropped_readers_total
-        metrics.gauge("cloverwalk_readers_given_up", "Clients that don't read", given_up)
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
-            due_at = self._clock() + LOOK_EVERY_S
-            await curio.sleep(LOOK_EVERY_S)
+            due_at = self._clock() + CHECK_INTERVAL_S
+            await curio.sleep(CHECK_INTERVAL_S)
             self.check(max(0.0, self._clock() - due_at))
 
     def check(self, late_s: float) -> None:
-        """Judge by what is in use now; the loop was late by ``late_s``."""
+        """Update the overload state from the current use; the loop woke up ``late_s`` late."""
         self.memory_budget.job_bytes = self._runner.buffered_bytes
         usage = Usage(
             self.memory_budget.sent_bytes,
@@ -107,41 +111,43 @@
         )
         if not self.overload_monitor.update(usage, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, usage=repr(usage))
-        # 0 would say that nobody measures it.
-        self._link.utilization_percent = max(1, round(100 * self.overload_monitor.utilization))
-        self._tell_full()
-        self._tell_given_up()
+        # 0 means that the utilization is not measured.
+        self._coordinator_client.utilization_percent = max(
+            1, round(100 * self.overload_monitor.utilization)
+        )
+        self._log_state_change()
+        self._log_dropped_readers()
 
-    def _note_peers(self, percent: int) -> None:
+    def _on_zone_utilization(self, percent: int) -> None:
         if not self.overload_monitor.set_peer_utilization(percent, self._clock()):
             self._log.write(catalogue.FULLNESS_INVALID, zone_percent=percent)
 
-    def _tell_full(self) -> None:
+    def _log_state_change(self) -> None:
         is_full = self.overload_monitor.state is not OverloadState.NORMAL
-        if is_full == self._is_told_full:
+        if is_full == self._is_logged_full:
             return
-        self._is_told_full = is_full
+        self._is_logged_full = is_full
         self._log.write(
             catalogue.NODE_FULL if is_full else catalogue.NODE_TAKES_AGAIN,
             verdict=self.overload_monitor.state.value,
             scarcest=self.overload_monitor.scarcest.value,
-            percent=self._link.utilization_percent,
+            percent=self._coordinator_client.utilization_percent,
             **{
-                one.value: round(100 * share)
-                for one, share in self.overload_monitor.by_resource.items()
+                resource.value: round(100 * share)
+                for resource, share in self.overload_monitor.by_resource.items()
             },
         )
 
-    def _tell_given_up(self) -> None:
-        """One line for all clients that were given up since the last look."""
-        told = self.memory_budget.take_dropped_readers()
-        if told.count == 0:
+    def _log_dropped_readers(self) -> None:
+        """Write one line for all clients that were dropped since the previous check."""
+        dropped = self.memory_budget.take_dropped_readers()
+        if dropped.count == 0:
             return
         self._log.write(
             catalogue.READERS_GIVEN_UP,
-            clients=told.count,
-            most_bytes=told.max_bytes,
-            longest_s=round(told.max_stalled_s, 2),
+            clients=dropped.count,
+            most_bytes=dropped.max_bytes,
+            longest_s=round(dropped.max_stalled_s, 2),
             held_bytes=self.memory_budget.total_bytes,
             limit_bytes=self.memory_budget.limit,
         )
--- a/src/cloverwalk/telemetry/timeline.py
+++ b/src/cloverwalk/telemetry/timeline.py
@@ -1,4 +1,4 @@
-"""What a fleet did second by second, out of the log lines of its nodes."""
+"""Reports the work of a fleet second by second, from the log lines of its nodes."""
 
 import statistics
 from collections import Counter
@@ -15,21 +15,21 @@
 
 @attrs.define
 class SecondStats:
-    """One second of a fleet. Work in flight is that at the end of the second."""
+    """Work of the fleet in one second; work in flight is counted at the end of the second."""
 
     at_s: int
     answered: int = 0
     first_ms: list[float] = attrs.Factory(list)
-    """Time from each answered request to its first event."""
+    """Time to the first event of each answered request."""
 
     given_up_by_code: Counter[str] = attrs.Factory(Counter)
     online: int = 0
     batch: int = 0
     unlisted: int = 0
-    """Items of jobs that are open and whose results are not listed yet."""
+    """Items of open jobs whose results are not listed yet."""
 
     def first_event_quantile_ms(self, share: float) -> float | None:
-        """Return the time within which ``share`` of the first events came, None without any.
+        """Return the ``share`` quantile of the times to the first event, None without any.
 
         >>> second = SecondStats(0, first_ms=[10.0, 20.0, 30.0, 40.0])
         >>> second.first_event_quantile_ms(0.5), SecondStats(1).first_event_quantile_ms(0.5)
@@ -43,22 +43,22 @@
         return cuts[round(share * PERCENT) - 1]
 
 
-class _Fleet:
-    """Work in flight, followed line by line. What a node had is gone with its process."""
+class _WorkInFlight:
+    """Work in flight, updated line by line. A restarted node has none."""
 
     def __init__(self) -> None:
         self.online: set[tuple[str, str]] = set()
         self.batch: set[tuple[str, str]] = set()
         self.unlisted_by_job: dict[str, int] = {}
 
-    def take(self, line: LogLine) -> None:
-        """Follow one line."""
+    def apply(self, line: LogLine) -> None:
+        """Update the work in flight from one line."""
         request = str(line.fields.get("request", ""))
         key = (line.node, request)
         match line.number:
             case catalogue.SERVING_STARTED:
-                self.online = {one for one in self.online if one[0] != line.node}
-                self.batch = {one for one in self.batch if one[0] != line.node}
+                self.online = {entry for entry in self.online if entry[0] != line.node}
+                self.batch = {entry for entry in self.batch if entry[0] != line.node}
             case catalogue.REPLICA_CHOSEN:
                 self.online.add(key)
             case catalogue.REPLICA_FAILED | catalogue.REQUEST_ANSWERED | catalogue.REQUEST_ENDED:
@@ -80,24 +80,24 @@
 def timeline_of(lines: Iterable[LogLine]) -> list[SecondStats]:
     """Return every second from the first line to the last.
 
-    Lines that a node left out under load are missing: the figures are then too low.
+    Counts are too low if nodes dropped log lines under load.
     """
     ordered = sorted(lines, key=lambda line: line.time_s)
     if not ordered:
         return []
-    fleet = _Fleet()
+    fleet = _WorkInFlight()
     seconds = [SecondStats(int(ordered[0].time_s // 1))]
     for line in ordered:
         while line.time_s >= seconds[-1].at_s + 1:
             _close(seconds[-1], fleet)
             seconds.append(SecondStats(seconds[-1].at_s + 1))
-        fleet.take(line)
+        fleet.apply(line)
         _count(seconds[-1], line)
     _close(seconds[-1], fleet)
     return seconds
 
 
-def _close(second: SecondStats, fleet: _Fleet) -> None:
+def _close(second: SecondStats, fleet: _WorkInFlight) -> None:
     second.online = len(fleet.online)
     second.batch = len(fleet.batch)
     second.unlisted = sum(fleet.unlisted_by_job.values())
--- a/src/cloverwalk/tenants/identification.py
+++ b/src/cloverwalk/tenants/identification.py
@@ -1,7 +1,7 @@
-"""Who calls: every request is identified before anything else is spent on it.
+"""Identifies the tenant of a request, before any other work is done for it.
 
-Keys are looked at for each request by the configuration in force, also on connections that were
-opened under an earlier one.
+The key of each request is checked against the configuration in force, also on connections that
+were opened under an earlier configuration.
 """
 
 from cloverwalk.core.error_response import Reason
@@ -10,27 +10,27 @@
 from cloverwalk.gateway.messages import ClientRequest
 
 ANONYMOUS = ""
-"""The tenant's name of a caller that needs no key."""
+"""The tenant name of callers without a tenant."""
 
 
-def identify(request: ClientRequest, known: ConfigurationHolder, is_job_call: bool) -> str:
-    """Return the name of the tenant that sends a request; raise GatewayError (no key).
+def identify(request: ClientRequest, configurations: ConfigurationHolder, is_job_call: bool) -> str:
+    """Return the name of the tenant that sent a request; raise GatewayError without a valid key.
 
-    A configuration without tenants knows anonymous callers only. A caller of a public route needs
-    no key; one with a known key is still its tenant. A request without a route needs none either,
-    since it goes nowhere. ``is_job_call`` tells that the request is a call on a job, which has the
-    host of its route and a path of its own.
+    Without tenants in the configuration all callers are anonymous. Public routes need no key, but
+    a caller with a valid key is still identified. A request without a route needs no key, since it
+    is rejected anyway. ``is_job_call`` marks a call on a job: it has the host of the job's route,
+    but not its path.
     """
-    configuration = known.current
+    configuration = configurations.current
     if configuration is None or configuration.tenants is None:
         return ANONYMOUS
     digest = request.fields.key_digest
-    tenant = None if digest is None else known.tenants.by_digest.get(digest)
+    tenant = None if digest is None else configurations.tenants.by_digest.get(digest)
     if tenant is not None:
         return tenant.name
     if is_job_call:
         needs_key = not any(
-            _takes_jobs_of_anybody(one, request.host) for one in configuration.routes
+            _accepts_anonymous_jobs(candidate, request.host) for candidate in configuration.routes
         )
     else:
         route = configuration.find_route(request.host, request.path)
@@ -38,10 +38,10 @@
     if not needs_key:
         return ANONYMOUS
     if digest is None:
-        raise GatewayError(Reason.NO_KEY, "key_missing", "a key is needed")
-    raise GatewayError(Reason.NO_KEY, "key_unknown", "this key is not known")
+        raise GatewayError(Reason.NO_KEY, "key_missing", "the request has no API key")
+    raise GatewayError(Reason.NO_KEY, "key_unknown", "the API key is not valid")
 
 
-def _takes_jobs_of_anybody(route: Route, host: str) -> bool:
-    is_here = route.host == host.rsplit(":", 1)[0].lower()
-    return is_here and route.is_public and route.kind is RouteKind.BATCH
+def _accepts_anonymous_jobs(route: Route, host: str) -> bool:
+    is_same_host = route.host == host.rsplit(":", 1)[0].lower()
+    return is_same_host and route.is_public and route.kind is RouteKind.BATCH
--- a/src/cloverwalk/tenants/quota_refusals.py
+++ b/src/cloverwalk/tenants/quota_refusals.py
@@ -1,4 +1,4 @@
-"""What a node remembers of refusals by quota, so that an eager tenant costs little."""
+"""Caches quota refusals at a node, so that a tenant over its quota causes little load."""
 
 from collections.abc import Callable
 
@@ -7,63 +7,64 @@
 from cloverwalk.core import catalogue
 from cloverwalk.telemetry.log import ServingLog
 
-LEAST_MEMORY_S = 0.1
-"""A refusal holds at a node for so long at least. The tokens that come up meanwhile stay in the
-tenant's bucket, so the tenant loses none; ten asks a second and node are left of any number."""
+MIN_REFUSAL_S = 0.1
+"""Minimum time for which a node refuses a tenant without a placement request. The tenant loses no
+tokens by it, as they stay in its bucket; each node sends at most ten placement requests a second
+for a tenant over its quota."""
 
-OVER_AFTER_S = 2.0
-"""A tenant that was refused nothing for so long keeps to its quota again."""
+REFUSAL_EXPIRY_S = 2.0
+"""A tenant without a refusal for so long counts as within its quota again."""
 
 
 @attrs.define
-class _Refused:
-    until: float
-    last_at: float
+class _Refusal:
+    ends_at: float
+    last_refused_at: float
     count: int = 0
 
 
 class QuotaRefusalCache:
-    """Tenants that the coordinator has refused a request lately, by name.
+    """Tenants that the coordinator refused lately, by name.
 
-    There is one line in the log when a tenant is first refused, and one when that is over.
+    One log line is written when the refusals of a tenant begin, and one when they end.
     """
 
     def __init__(self, log: ServingLog, clock: Callable[[], float]) -> None:
         self._log = log
         self._clock = clock
-        self._by_name: dict[str, _Refused] = {}
+        self._by_name: dict[str, _Refusal] = {}
 
     def remaining_s(self, tenant: str) -> float:
-        """Return for how long requests of a tenant are refused without asking; 0 is not."""
-        known = self._by_name.get(tenant)
-        if known is None:
+        """Return how long requests of a tenant are still refused locally, 0 if they are not."""
+        refusal = self._by_name.get(tenant)
+        if refusal is None:
             return 0.0
-        rest_s = known.until - self._clock()
-        if rest_s <= 0:
+        remaining_s = refusal.ends_at - self._clock()
+        if remaining_s <= 0:
             return 0.0
-        self._note(known)
-        return rest_s
+        self._record_refusal(refusal)
+        return remaining_s
 
     def record(self, tenant: str, retry_after_s: float) -> None:
-        """The coordinator has refused a request."""
+        """Record that the coordinator refused a request."""
         now = self._clock()
-        known = self._by_name.get(tenant)
-        if known is None:
-            known = self._by_name[tenant] = _Refused(now, now)
+        refusal = self._by_name.get(tenant)
+        if refusal is None:
+            refusal = self._by_name[tenant] = _Refusal(now, now)
             self._log.write(
                 catalogue.TENANT_REFUSED, tenant=tenant, retry_after_s=round(retry_after_s, 3)
             )
-        known.until = now + max(LEAST_MEMORY_S, retry_after_s)
-        self._note(known)
+        refusal.ends_at = now + max(MIN_REFUSAL_S, retry_after_s)
+        self._record_refusal(refusal)
 
-    def _note(self, known: _Refused) -> None:
-        known.last_at = self._clock()
-        known.count += 1
+    def _record_refusal(self, refusal: _Refusal) -> None:
+        refusal.last_refused_at = self._clock()
+        refusal.count += 1
 
     def expire(self) -> None:
-        """Forget tenants that were refused nothing lately."""
+        """Remove tenants without recent refusals."""
         now = self._clock()
-        for name, known in list(self._by_name.items()):
-            if now - known.last_at > OVER_AFTER_S:
+        for name, refusal in list(self._by_name.items()):
+            if now - refusal.last_refused_at > REFUSAL_EXPIRY_S:
                 del self._by_name[name]
-                self._log.write(catalogue.TENANT_WITHIN_QUOTA, tenant=name, refused=known.count)
+                self._log.write(catalogue.TENANT_WITHIN_QUOTA, tenant=name, refused=refusal.count)
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -1,4 +1,4 @@
-"""What waits for the store goes on as soon as the store is back."""
+"""Store health and the store clock: waiting work continues as soon as the store recovers."""
 
 import contextlib
 
@@ -22,18 +22,18 @@
 from cloverwalk.store.types import CommitStatus, Put, RowKey, StoreError, Transaction
 
 HOUR_MS = 3_600_000.0
-LIMIT_S = 5.0
+TEST_TIMEOUT_S = 5.0
 
 
-def in_time(test: object) -> None:
+def run_with_timeout(test: object) -> None:
     async def main() -> None:
-        async with curio.timeout_after(LIMIT_S):
+        async with curio.timeout_after(TEST_TIMEOUT_S):
             await test()  # type: ignore[operator]
 
     curio.run(main)
 
 
-def test_a_long_pause_ends_with_the_return_of_the_store() -> None:
+def test_backoff_ends_when_the_store_recovers() -> None:
     async def test() -> None:
         health = StoreHealth(Clock(HandClock()))
         await health.record_failure()
@@ -44,20 +44,20 @@
         await task.join()
         assert not health.is_unavailable
 
-    in_time(test)
+    run_with_timeout(test)
 
 
-def have_all_feeds_failed(node: ServingNode) -> bool:
-    """Whether the last call of each table that a node has followed was refused."""
+def all_feeds_failed(node: ServingNode) -> bool:
+    """Whether the last call for each table that the node follows was refused."""
     feeds = (node._configuration_follower, node._replica_follower, node._batch.follower)
     followed = [feed for feed in feeds if feed.confirmed_at > float("-inf")]
     return all(feed._lost_since is not None for feed in followed)
 
 
-def test_a_node_that_learns_of_the_return_first_tells_its_peers(monkeypatch: object) -> None:
+def test_a_node_that_sees_the_store_recover_notifies_its_peers(monkeypatch: object) -> None:
     async def test(world: FleetWorld) -> None:
-        monkeypatch.setattr(store_probe, "PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(store_probe, "FAR_PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "COORDINATOR_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(store_probe, "NODE_PROBE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "FIRST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(follower, "LONGEST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(election, "VERIFY_EVERY_S", HOUR_MS)  # type: ignore[attr-defined]
@@ -65,19 +65,19 @@
         await world.until(lambda: len(world.coordinator_roster()) == 3)
         world.store.is_busy = True
         healths = [node._health for node in world.nodes]
-        # A feed that was under way is answered, after another one of its node may have failed.
-        await world.until(lambda: all(have_all_feeds_failed(node) for node in world.nodes))
-        assert all(one.is_unavailable for one in healths)
+        # A pending feed call may still be answered after another feed of the node has failed.
+        await world.until(lambda: all(all_feeds_failed(node) for node in world.nodes))
+        assert all(health.is_unavailable for health in healths)
         world.store.is_busy = False
-        # One that is no coordinator learns it first: the others hear of it by way of that one.
-        first = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
+        # A node other than the coordinator sees it first; the others learn it through that node.
+        first = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await first._health.hint_recovery()
-        await world.until(lambda: not any(one.is_unavailable for one in healths))
+        await world.until(lambda: not any(health.is_unavailable for health in healths))
 
     in_world(test)
 
 
-def test_each_answer_and_failure_of_the_store_is_noted() -> None:
+def test_each_store_answer_and_failure_updates_the_health() -> None:
     async def test() -> None:
         inner = MemoryStore()
         health = StoreHealth(Clock(HandClock()))
@@ -97,14 +97,14 @@
             await call()
             assert not health.is_unavailable
 
-    in_time(test)
+    run_with_timeout(test)
 
 
-def test_every_answer_tells_the_time_of_the_store() -> None:
+def test_every_store_answer_sets_the_store_clock() -> None:
     async def test() -> None:
         inner = MemoryStore()
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
-        told = []
+        times = []
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
             time = StoreClock(Clock(lambda: 1.0))
@@ -117,13 +117,13 @@
                 "changes": ("t", 0, 0.01),
             }
             await getattr(store, call)(*arguments[call])
-            told.append(time.now())
-        assert told == [exactly(at_ms) for at_ms in (5000.0, 10000.0, 15000.0, 20000.0)]
+            times.append(time.now())
+        assert times == [exactly(at_ms) for at_ms in (5000.0, 10000.0, 15000.0, 20000.0)]
 
-    in_time(test)
+    run_with_timeout(test)
 
 
-def test_a_call_without_an_answer_tells_no_time() -> None:
+def test_an_unanswered_call_does_not_set_the_store_clock() -> None:
     async def test() -> None:
         inner = MemoryStore()
         inner.is_down = True
@@ -133,32 +133,32 @@
         await store.commit(put, 1.0)
         assert time.now() is None
 
-    in_time(test)
+    run_with_timeout(test)
 
 
-def test_an_answer_that_lay_unread_does_not_set_the_time_back() -> None:
+def test_an_answer_read_late_does_not_set_the_store_clock_back() -> None:
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 4.0
-    time.record_answer(1100.0, asked_at_ms=time.steady_ms() - 3900.0)
+    time.record_answer(1100.0, sent_at_ms=time.monotonic_ms() - 3900.0)
     estimate = time.now()
     assert estimate is not None and 4990.0 < estimate.earliest_ms <= 5000.0
     assert 5000.0 <= estimate.latest_ms < 5010.0
 
 
-def test_a_machine_that_was_suspended_knows_the_time_again() -> None:
-    """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
+def test_the_store_clock_recovers_after_a_machine_suspension() -> None:
+    """The monotonic clock stopped during the suspension, so the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
-    time.record_answer(1000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 1.0
-    time.record_answer(32_000.0, asked_at_ms=time.steady_ms() - 4.0)
-    known = time.now()
-    assert known is not None
-    assert (known.earliest_ms, known.latest_ms) == (32_000.0, 32_004.0)
+    time.record_answer(32_000.0, sent_at_ms=time.monotonic_ms() - 4.0)
+    estimate = time.now()
+    assert estimate is not None
+    assert (estimate.earliest_ms, estimate.latest_ms) == (32_000.0, 32_004.0)
     now.now += 1.0
-    time.record_answer(1_000.0, asked_at_ms=time.steady_ms())
+    time.record_answer(1_000.0, sent_at_ms=time.monotonic_ms())
     assert time.now() == exactly(1_000.0)
 
 
@@ -170,29 +170,29 @@
         max_size=8,
     ),
 )
-def test_the_time_of_the_store_lies_within_the_bounds(
+def test_the_store_time_lies_within_the_estimated_bounds(
     zero_ms: float, calls: list[tuple[float, float, float, float]]
 ) -> None:
-    """Whatever answers take to come and to be read, and whatever the clocks drift between them."""
+    """For any delay of answers, any delay in reading them, and any clock drift in between."""
     now = HandClock(step_s=0.0)
     time = StoreClock(Clock(now))
     store_ms = zero_ms
-    for out_s, back_s, rest_s, drift in calls:
-        asked_at_ms = time.steady_ms()
+    for out_s, back_s, idle_s, drift in calls:
+        asked_at_ms = time.monotonic_ms()
         now.now += out_s
         store_ms += out_s * 1000
-        told_ms = store_ms
+        reported_ms = store_ms
         now.now += back_s
         store_ms += back_s * 1000
-        time.record_answer(told_ms, asked_at_ms)
-        now.now += rest_s
-        store_ms += rest_s * 1000 * (1 + drift)
-        known = time.now()
-        assert known is not None
-        assert known.earliest_ms - 0.01 <= store_ms <= known.latest_ms + 0.01
+        time.record_answer(reported_ms, asked_at_ms)
+        now.now += idle_s
+        store_ms += idle_s * 1000 * (1 + drift)
+        estimate = time.now()
+        assert estimate is not None
+        assert estimate.earliest_ms - 0.01 <= store_ms <= estimate.latest_ms + 0.01
 
 
-def test_a_transaction_in_a_long_pause_is_repeated_at_once(monkeypatch: object) -> None:
+def test_a_transaction_in_backoff_is_retried_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
         monkeypatch.setattr(commit, "FIRST_PAUSE_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
         inner = MemoryStore()
@@ -209,10 +209,10 @@
         outcome = await task.join()
         assert outcome.status is CommitStatus.COMMITTED
 
-    in_time(test)
+    run_with_timeout(test)
 
 
-def test_output_of_running_items_is_saved_when_the_store_is_back(monkeypatch: object) -> None:
+def test_running_items_are_checkpointed_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
         monkeypatch.setattr(checkpoint, "SAVE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
         store = MemoryStore()
@@ -229,7 +229,7 @@
                 return
 
         async def no_conflict(_job: JobRun) -> None:
-            raise AssertionError("nobody else has changed the job")
+            raise AssertionError("no other node has changed the job")
 
         health = StoreHealth(Clock(HandClock()))
         await health.record_failure()
@@ -241,4 +241,4 @@
             await curio.sleep(0)
         await task.cancel()
 
-    in_time(test)
+    run_with_timeout(test)
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -1,4 +1,4 @@
-"""Callers with keys at real sockets: who is served, in whose name, and what nobody may see."""
+"""Tenants over real sockets: identification by key, ownership of jobs, quotas, secrecy of keys."""
 
 import json
 from pathlib import Path
@@ -27,22 +27,26 @@
 from cloverwalk.platform import names
 from cloverwalk.telemetry.tenant_metrics import (
     MAX_LABELS,
-    OTHERS,
+    OTHER_TENANTS,
     TenantMetrics,
     TenantOutcome,
 )
 
 TENANT = names.TENANT.decode().lower()
 AUTHORIZATION = names.AUTHORIZATION.decode().lower()
-FIRST, SECOND, OTHER = "first-key-of-quiz", "second-key-of-quiz", "key-of-the-archive"
+FIRST_KEY, SECOND_KEY, OTHER_TENANT_KEY = (
+    "first-key-of-quiz",
+    "second-key-of-quiz",
+    "key-of-the-archive",
+)
 
 
-def tenant(name: str, keys: list[str], **more: Any) -> dict[str, Any]:
-    return {"name": name, "api_keys": keys, **more}
+def tenant(name: str, keys: list[str], **fields: Any) -> dict[str, Any]:
+    return {"name": name, "api_keys": keys, **fields}
 
 
 def with_tenants(version: int, quiz_keys: list[str] | None = None, **limits: Any) -> dict[str, Any]:
-    keys = [FIRST, SECOND] if quiz_keys is None else quiz_keys
+    keys = [FIRST_KEY, SECOND_KEY] if quiz_keys is None else quiz_keys
     routes = [
         route("chat", "/chat/", "streaming", resumable=True),
         route("once", "/once/", "streaming", max_attempts=1),
@@ -50,19 +54,21 @@
         route("jobs", "/jobs/", "batch", completion_target_ms=20000, retention_s=60),
         route("few", "/few/", "batch", retention_s=60, max_queued_tokens=50),
     ]
-    tenants = [tenant("quiz", keys, **limits), tenant("archive", [OTHER])]
+    tenants = [tenant("quiz", keys, **limits), tenant("archive", [OTHER_TENANT_KEY])]
     return configuration(version, routes, tenants)
 
 
-async def started(world: FleetWorld, replicas: int = 1, nodes: int = 1, **limits: Any) -> None:
+async def start_with_tenants(
+    world: FleetWorld, replicas: int = 1, nodes: int = 1, **limits: Any
+) -> None:
     await world.start(replicas=replicas, nodes=nodes)
-    await put(world, with_tenants(2, **limits))
+    await put_configuration(world, with_tenants(2, **limits))
 
 
-async def put(world: FleetWorld, document: dict[str, Any]) -> None:
+async def put_configuration(world: FleetWorld, document: dict[str, Any]) -> None:
     world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, document)
     version = document["version"]
-    await world.until(lambda: all(one._configuration.version == version for one in world.nodes))
+    await world.until(lambda: all(node._configuration.version == version for node in world.nodes))
 
 
 async def call_on_job(world: FleetWorld, method: str, job_id: str, key: str) -> Answer:
@@ -75,14 +81,14 @@
         [],
         [("Authorization", "Bearer no-such-key")],
         [("Authorization", "Bearer")],
-        [("Authorization", f"Basic {FIRST}")],
-        [("Authorization", FIRST)],
-        [("Authorization", f"Bearer {FIRST}"), ("Authorization", f"Bearer {FIRST}")],
+        [("Authorization", f"Basic {FIRST_KEY}")],
+        [("Authorization", FIRST_KEY)],
+        [("Authorization", f"Bearer {FIRST_KEY}"), ("Authorization", f"Bearer {FIRST_KEY}")],
     ],
 )
-def test_a_request_without_a_known_key_is_refused_at_once(headers: list[tuple[str, str]]) -> None:
+def test_a_request_without_a_valid_key_is_rejected(headers: list[tuple[str, str]]) -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         request = [(names.REQUEST_ID.decode(), "id-1"), *headers]
         answer = await world.call("POST", "/chat/a", b"prompt", request)
         assert (answer.status, answer.is_whole) == (401, True)
@@ -97,13 +103,13 @@
     in_world(test)
 
 
-def test_a_replica_gets_the_name_of_the_tenant_and_no_key() -> None:
+def test_a_replica_receives_the_tenant_name_and_no_key() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         headers = [
             (names.REQUEST_ID.decode(), "id-1"),
             (names.TENANT.decode(), "archive"),
-            ("authorization", f"bearer {SECOND}"),
+            ("authorization", f"bearer {SECOND_KEY}"),
             ("X-Other", "kept"),
         ]
         assert (await world.call("POST", "/chat/a", b"prompt", headers)).status == 200
@@ -118,8 +124,8 @@
 
 def test_a_public_route_needs_no_key() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
-        for key, name in (("", None), ("no-such-key", None), (OTHER, "archive")):
+        await start_with_tenants(world)
+        for key, name in (("", None), ("no-such-key", None), (OTHER_TENANT_KEY, "archive")):
             assert (await world.ask("/open/a", key=key)).status == 200
             arrival = world.replicas[0].arrivals[-1]
             assert arrival.headers.get(TENANT) == name
@@ -128,7 +134,7 @@
     in_world(test)
 
 
-def test_without_tenants_headers_of_callers_pass_but_for_the_name_of_a_tenant() -> None:
+def test_without_tenants_only_the_tenant_header_is_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [(names.REQUEST_ID.decode(), "id-1"), (names.TENANT.decode(), "quiz")]
@@ -140,9 +146,9 @@
     in_world(test)
 
 
-def test_a_key_that_was_taken_away_is_refused_on_a_kept_connection() -> None:
+def test_a_revoked_key_is_rejected_on_an_open_connection() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         sock = await world.connect()
         http = h11.Connection(h11.CLIENT)
 
@@ -159,40 +165,44 @@
             http.start_next_cycle()
             return answer.status
 
-        assert await ask(FIRST) == 200
-        await put(world, with_tenants(3, [SECOND, "a-new-key"]))
-        assert [await ask(FIRST), await ask(SECOND), await ask("a-new-key")] == [401, 200, 200]
+        assert await ask(FIRST_KEY) == 200
+        await put_configuration(world, with_tenants(3, [SECOND_KEY, "a-new-key"]))
+        assert [await ask(FIRST_KEY), await ask(SECOND_KEY), await ask("a-new-key")] == [
+            401,
+            200,
+            200,
+        ]
 
     in_world(test)
 
 
-def test_a_node_that_the_store_refuses_learns_of_keys_from_its_peers() -> None:
+def test_a_node_without_the_store_receives_keys_from_its_peers() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2)
+        await start_with_tenants(world, nodes=2)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        await other._configuration_follower._health.record_failure()
-        other._configuration_follower._on_changes = nothing
-        other._configuration_follower._on_whole = nothing
-        await put(world, with_tenants(3, [SECOND]))
-        index = world.nodes.index(other)
-        assert (await world.ask("/chat/a", key=FIRST, node=index)).status == 401
-        assert (await world.ask("/chat/a", key=SECOND, node=index)).status == 200
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        await follower._configuration_follower._health.record_failure()
+        follower._configuration_follower._on_changes = ignore_page
+        follower._configuration_follower._on_whole = ignore_page
+        await put_configuration(world, with_tenants(3, [SECOND_KEY]))
+        index = world.nodes.index(follower)
+        assert (await world.ask("/chat/a", key=FIRST_KEY, node=index)).status == 401
+        assert (await world.ask("/chat/a", key=SECOND_KEY, node=index)).status == 200
 
     in_world(test)
 
 
-async def nothing(_page: object) -> None:
+async def ignore_page(_page: object) -> None:
     return
 
 
-def test_a_bad_tenant_keeps_the_version_before_in_force() -> None:
+def test_an_invalid_tenant_leaves_the_previous_configuration_in_force() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
-        bad = with_tenants(3, [SECOND], rate_per_s=-1)
-        world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, bad)
-        await put(world, with_tenants(4, [FIRST]))
-        assert (await world.ask("/chat/a", key=FIRST)).status == 200
+        await start_with_tenants(world)
+        invalid = with_tenants(3, [SECOND_KEY], rate_per_s=-1)
+        world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, invalid)
+        await put_configuration(world, with_tenants(4, [FIRST_KEY]))
+        assert (await world.ask("/chat/a", key=FIRST_KEY)).status == 200
 
     in_world(test)
 
@@ -200,51 +210,53 @@
 # --- jobs ---
 
 
-def test_a_job_belongs_to_its_tenant() -> None:
+def test_a_job_is_visible_to_its_tenant_only() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2)
-        assert (await world.hand_in("j", key=FIRST)).status == 202
+        await start_with_tenants(world, nodes=2)
+        assert (await world.hand_in("j", key=FIRST_KEY)).status == 202
         for method in ("GET", "DELETE"):
-            theirs = await call_on_job(world, method, "j", OTHER)
-            nobodys = await call_on_job(world, method, "no-such-job", OTHER)
-            assert (theirs.status, theirs.body) == (nobodys.status, nobodys.body)
-            assert theirs.status == 404
+            foreign_job = await call_on_job(world, method, "j", OTHER_TENANT_KEY)
+            missing_job = await call_on_job(world, method, "no-such-job", OTHER_TENANT_KEY)
+            assert (foreign_job.status, foreign_job.body) == (missing_job.status, missing_job.body)
+            assert foreign_job.status == 404
         item = f"{names.ITEM_PREFIX}j?id=j-0"
-        assert (await world.call("GET", item, headers=with_key(OTHER))).status == 404
-        # Another key of the same tenant will do, also once the first is gone.
-        await put(world, with_tenants(3, [SECOND]))
-        results = await world.until_done("j", 3, node=1, key=SECOND)
-        assert {one["state"] for one in results} == {"succeeded"}
-        assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
-        assert (await call_on_job(world, "DELETE", "j", SECOND)).status == 200
-        assert {one.headers.get(TENANT) for one in world.replicas[0].arrivals} == {"quiz"}
+        assert (await world.call("GET", item, headers=with_key(OTHER_TENANT_KEY))).status == 404
+        # Another key of the same tenant gives access too, also after the first was removed.
+        await put_configuration(world, with_tenants(3, [SECOND_KEY]))
+        results = await world.until_done("j", 3, node=1, key=SECOND_KEY)
+        assert {result["state"] for result in results} == {"succeeded"}
+        assert (await call_on_job(world, "DELETE", "j", SECOND_KEY)).status == 200
+        assert (await call_on_job(world, "DELETE", "j", SECOND_KEY)).status == 200
+        assert {arrival.headers.get(TENANT) for arrival in world.replicas[0].arrivals} == {"quiz"}
 
     in_world(test)
 
 
-def test_items_go_on_in_the_name_of_their_tenant_at_another_node() -> None:
+def test_items_keep_their_tenant_after_a_job_takeover() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=30, event_s=0.05)
-        await put(world, with_tenants(2))
+        await put_configuration(world, with_tenants(2))
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        assert (await world.hand_in("j", node=0, key=FIRST)).status == 202
-        await world.until(lambda: any(one.arrivals for one in world.replicas))
+        assert (await world.hand_in("j", node=0, key=FIRST_KEY)).status == 202
+        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
         await world.kill_node(0)
-        await world.until_done("j", 3, node=1, key=FIRST)
-        arrivals = [one for replica in world.replicas for one in replica.arrivals]
+        await world.until_done("j", 3, node=1, key=FIRST_KEY)
+        arrivals = [arrival for replica in world.replicas for arrival in replica.arrivals]
         assert len(arrivals) > 3
-        assert {one.headers.get(TENANT) for one in arrivals} == {"quiz"}
+        assert {arrival.headers.get(TENANT) for arrival in arrivals} == {"quiz"}
 
     in_world(test)
 
 
-def test_the_waiting_tokens_of_one_tenant_are_not_anothers() -> None:
+def test_the_queued_token_limit_is_counted_per_tenant() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world)
+        await start_with_tenants(world)
         world.replicas[0].event_s = 5.0
-        assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST)).status == 202
-        assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST)).status == 429
-        assert (await world.hand_in("c", count=4, path="/few/x", key=OTHER)).status == 202
+        assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST_KEY)).status == 202
+        assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST_KEY)).status == 429
+        assert (
+            await world.hand_in("c", count=4, path="/few/x", key=OTHER_TENANT_KEY)
+        ).status == 202
 
     in_world(test)
 
@@ -252,49 +264,53 @@
 # --- quotas ---
 
 
-def test_a_tenant_beyond_its_quota_is_refused_at_once_and_the_others_are_served() -> None:
+def test_a_tenant_over_its_quota_is_refused_and_others_are_served() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2, rate_per_s=2.0, burst=4)
+        await start_with_tenants(world, nodes=2, rate_per_s=2.0, burst=4)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        answers = [await world.ask("/chat/a", key=FIRST, node=number % 2) for number in range(40)]
-        refused = [one for one in answers if one.status == 429]
-        assert {one.status for one in answers} == {200, 429}
+        answers = [
+            await world.ask("/chat/a", key=FIRST_KEY, node=number % 2) for number in range(40)
+        ]
+        refused = [answer for answer in answers if answer.status == 429]
+        assert {answer.status for answer in answers} == {200, 429}
         assert 0 < len(answers) - len(refused) <= (4 + 2 * 5) * 1.1 + 20
-        assert all(0 <= float(one.headers["retry-after"]) <= 0.5 for one in refused)
-        assert (await world.ask("/chat/a", key=OTHER)).status == 200
-        served = len([one for one in world.replicas[0].arrivals if one.headers[TENANT] == "quiz"])
+        assert all(0 <= float(answer.headers["retry-after"]) <= 0.5 for answer in refused)
+        assert (await world.ask("/chat/a", key=OTHER_TENANT_KEY)).status == 200
+        served = len(
+            [arrival for arrival in world.replicas[0].arrivals if arrival.headers[TENANT] == "quiz"]
+        )
         assert served == len(answers) - len(refused)
 
     in_world(test)
 
 
-def test_refusals_by_quota_cost_the_coordinator_little() -> None:
+def test_most_quota_refusals_need_no_placement_request() -> None:
     async def test(world: FleetWorld) -> None:
-        await started(world, nodes=2, rate_per_s=0.2, burst=1)
+        await start_with_tenants(world, nodes=2, rate_per_s=0.2, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        index = world.nodes.index(other)
-        asked = 0
-        send_ask = other._fleet.link.send_ask
-
-        async def counting(ask: messages.PlacementRequest) -> messages.Contact | None:
-            nonlocal asked
-            asked += 1
-            return await send_ask(ask)
-
-        other._fleet.link.send_ask = counting  # type: ignore[method-assign]
-        answers = [await world.ask("/chat/a", key=FIRST, node=index) for _ in range(60)]
-        refused = sum(one.status == 429 for one in answers)
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        index = world.nodes.index(follower)
+        request_count = 0
+        send_request = follower._fleet.link.send_ask
+
+        async def counting_send(ask: messages.PlacementRequest) -> messages.Contact | None:
+            nonlocal request_count
+            request_count += 1
+            return await send_request(ask)
+
+        follower._fleet.link.send_ask = counting_send  # type: ignore[method-assign]
+        answers = [await world.ask("/chat/a", key=FIRST_KEY, node=index) for _ in range(60)]
+        refused = sum(answer.status == 429 for answer in answers)
         assert refused > 30
-        assert asked - (len(answers) - refused) < refused / 2
+        assert request_count - (len(answers) - refused) < refused / 2
 
     in_world(test)
 
 
-# --- keys stay here ---
+# --- secrecy of keys ---
 
 
-def test_no_key_stands_in_any_output(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_output_contains_a_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     datagrams: list[bytes] = []
     encode = messages.encode_datagram
 
@@ -309,19 +325,19 @@
         log = tmp_path / "log"
         log.touch()
         world.log_path = str(log)
-        await started(world, nodes=2, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, nodes=2, rate_per_s=1.0, burst=1)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
-        held = [await world.hand_in("j", key=FIRST)]
+        answers = [await world.hand_in("j", key=FIRST_KEY)]
         for number in range(30):
-            held.append(await world.ask("/chat/a", key=FIRST, node=number % 2))
-        held.append(await world.ask("/chat/a", key="no-such-key"))
-        held.append(await call_on_job(world, "GET", "j", OTHER))
-        await world.until_done("j", 3, key=FIRST)
-        # A process that has just started is sent the configuration by its peer.
-        other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
-        other._configuration.current = None
-        await world.until(lambda: other._configuration.current is not None)
-        assert any(b'"configuration"' in one for one in datagrams)
+            answers.append(await world.ask("/chat/a", key=FIRST_KEY, node=number % 2))
+        answers.append(await world.ask("/chat/a", key="no-such-key"))
+        answers.append(await call_on_job(world, "GET", "j", OTHER_TENANT_KEY))
+        await world.until_done("j", 3, key=FIRST_KEY)
+        # A process that has just started receives the configuration from a peer.
+        follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
+        follower._configuration.current = None
+        await world.until(lambda: follower._configuration.current is not None)
+        assert any(b'"configuration"' in datagram for datagram in datagrams)
         metrics = await world.call(
             "GET", "/metrics", address=world.nodes[0]._settings.metrics_address
         )
@@ -330,11 +346,11 @@
             for key, row in world.store.rows._rows.items()
             if key.table != names.OPERATOR_TABLE
         ]
-        sent = [str(one.raw_headers) for one in world.replicas[0].arrivals]
+        sent = [str(arrival.raw_headers) for arrival in world.replicas[0].arrivals]
         outputs = {
             "log": log.read_text(),
             "datagrams": str(datagrams),
-            "answers": str(held),
+            "answers": str(answers),
             "metrics": str(metrics.body),
             "store": str(rows),
             "replica": str(sent),
@@ -343,7 +359,7 @@
         leaks = [
             (where, key)
             for where, text in outputs.items()
-            for key in (FIRST, SECOND, OTHER, "no-such-key")
+            for key in (FIRST_KEY, SECOND_KEY, OTHER_TENANT_KEY, "no-such-key")
             if key in text
         ]
         assert leaks == []
@@ -351,20 +367,20 @@
     in_world(test)
 
 
-def test_the_log_names_a_tenant_when_it_is_first_refused_and_when_that_is_over(
+def test_the_log_records_the_start_and_end_of_quota_refusals(
     tmp_path: Path,
 ) -> None:
     async def test(world: FleetWorld) -> None:
         log = tmp_path / "log"
         log.touch()
         world.log_path = str(log)
-        await started(world, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
-            await world.ask("/chat/a", key=FIRST)
+            await world.ask("/chat/a", key=FIRST_KEY)
 
         def events(number: int) -> list[dict[str, Any]]:
             lines = [json.loads(line) for line in log.read_text().splitlines()]
-            return [one for one in lines if one["number"] == number]
+            return [line for line in lines if line["number"] == number]
 
         await world.until(lambda: len(events(catalogue.TENANT_WITHIN_QUOTA)) == 1)
         (refused,) = events(catalogue.TENANT_REFUSED)
@@ -375,7 +391,7 @@
     in_world(test)
 
 
-def test_a_request_that_waits_in_a_node_without_a_coordinator_is_not_lost() -> None:
+def test_a_request_received_before_a_coordinator_is_known_is_served() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=0)
         world.store.put(
@@ -384,21 +400,21 @@
         await world.add_node()
         await world.until(lambda: world.nodes[0].is_ready)
         async with curio.timeout_after(5):
-            assert (await world.ask("/chat/a", key=FIRST)).status == 200
+            assert (await world.ask("/chat/a", key=FIRST_KEY)).status == 200
 
     in_world(test)
 
 
-def test_the_command_tells_use_and_quota_by_tenant_and_node(
+def test_the_tenants_command_prints_use_and_quota(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     texts: dict[str, str] = {}
 
     async def test(world: FleetWorld) -> None:
-        await started(world, rate_per_s=1.0, burst=1)
+        await start_with_tenants(world, rate_per_s=1.0, burst=1)
         for _ in range(30):
-            await world.ask("/chat/a", key=FIRST)
-        await world.ask("/chat/a", key=OTHER)
+            await world.ask("/chat/a", key=FIRST_KEY)
+        await world.ask("/chat/a", key=OTHER_TENANT_KEY)
         address = world.nodes[0]._settings.metrics_address
         answer = await world.call("GET", "/metrics", address=address)
         texts["127.0.0.2:7735"] = answer.body.decode()
@@ -409,9 +425,9 @@
         return texts[address]
 
     monkeypatch.setattr(tenants_command, "_fetch", fetch)
-    told = CliRunner().invoke(cli, ["tenants", "127.0.0.2:7735", "--json"])
-    assert told.exit_code == 0
-    by_tenant = {one["tenant"]: one for one in json.loads(told.output)}
+    result = CliRunner().invoke(cli, ["tenants", "127.0.0.2:7735", "--json"])
+    assert result.exit_code == 0
+    by_tenant = {entry["tenant"]: entry for entry in json.loads(result.output)}
     quiz = by_tenant["quiz"]
     assert (quiz["rate_per_s"], quiz["burst"]) == (1.0, 1.0)
     assert quiz["counts"]["answered"] + quiz["counts"]["over_quota"] == 30
@@ -422,13 +438,13 @@
     assert table.output.splitlines()[1].split()[:3] == ["archive", "127.0.0.2:7735", "1"]
 
 
-def test_the_command_says_which_address_is_none() -> None:
-    told = CliRunner().invoke(cli, ["tenants", "nowhere"])
-    assert told.exit_code == EXIT_USAGE
-    assert "'nowhere' is not an address" in told.output
+def test_the_tenants_command_rejects_an_invalid_address() -> None:
+    result = CliRunner().invoke(cli, ["tenants", "nowhere"])
+    assert result.exit_code == EXIT_USAGE
+    assert "'nowhere' is not an address" in result.output
 
 
-def test_metrics_name_the_largest_tenants_only() -> None:
+def test_metrics_label_only_the_largest_tenants() -> None:
     metrics = TenantMetrics()
     for number in range(100):
         for _ in range(number + 1):
@@ -436,4 +452,4 @@
     counts = metrics.counts()
     assert len(counts) == MAX_LABELS + 1
     assert counts["t99", TenantOutcome.ANSWERED] == 100
-    assert counts[OTHERS, TenantOutcome.ANSWERED] == sum(range(1, 81))
+    assert counts[OTHER_TENANTS, TenantOutcome.ANSWERED] == sum(range(1, 81))
