--- a/src/cloverwalk/scheduling/arrivals.py
+++ b/src/cloverwalk/scheduling/arrivals.py
@@ -2,7 +2,7 @@
 
 import math
 
-WINDOW_S = 0.5
+AVERAGING_WINDOW_S = 0.5
 """Time over which arrivals are averaged: bursts last some seconds, and must be seen within one."""
 
 
@@ -11,7 +11,7 @@
 
     >>> rate = ArrivalRate()
     >>> for tenth in range(50):
-    ...     rate.note(tenth / 10)
+    ...     rate.record(tenth / 10)
     >>> round(rate.per_s(4.95))
     10
     >>> rate.per_s(9.0) < 0.1
@@ -20,13 +20,13 @@
 
     def __init__(self) -> None:
         self._per_s = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """A request arrived."""
-        self._per_s = self.per_s(now) + 1 / WINDOW_S
-        self._at = now
+        self._per_s = self.per_s(now) + 1 / AVERAGING_WINDOW_S
+        self._updated_at = now
 
     def per_s(self, now: float) -> float:
         """Return the present rate."""
-        return self._per_s * math.exp(-max(0.0, now - self._at) / WINDOW_S)
+        return self._per_s * math.exp(-max(0.0, now - self._updated_at) / AVERAGING_WINDOW_S)
--- a/src/cloverwalk/scheduling/batch_limits.py
+++ b/src/cloverwalk/scheduling/batch_limits.py
@@ -8,21 +8,21 @@
 
 from cloverwalk.fleet.in_flight import InFlight
 
-PAYS_START_RATIO = 8.4
+MIN_RUN_PREFILL_RATIO = 8.4
 """An item that gives way sooner than this many times the reading of its prompt was hardly worth
 its start: the prompt is read, and the replica's other work held up. With prompts of 24 ms (1,200
 tokens) 200 ms had measured best: without it, runs cut in a day doubled (469 to 998), and items came
 late. With prompts of 5 ms, 200 ms kept 60 of 216 slots idle in a burst; the ratio gave 0.031 more
 of a day's worth there, mean of ten pairs of days on fleets of 6 to 45 replicas."""
 
-PAYS_START_LEAST_MS = 20.0
+MIN_RUN_MS = 20.0
 """The same for items of any prompt: a grant, a connection and a revoke take milliseconds each."""
 
-MOST_READING_MS = 60.0
+MAX_PREFILL_BACKLOG_MS = 60.0
 """A replica with more prompts to read gets no items yet: online requests would wait for them."""
 
 
-def reserved_slots(arrivals_per_s: float, reading_ms: float) -> int:
+def reserved_slots(arrivals_per_s: float, prefill_ms: float) -> int:
     """Return how many slots, of all replicas together, items leave free.
 
     As many as online requests arrive while an item would not pay its start; ``reading_ms`` is the
@@ -31,8 +31,8 @@
     >>> reserved_slots(60.0, 24.0), reserved_slots(60.0, 5.0), reserved_slots(2.0, 24.0)
     (12, 3, 0)
     """
-    pays_after_ms = max(PAYS_START_LEAST_MS, PAYS_START_RATIO * reading_ms)
-    return round(arrivals_per_s * pays_after_ms / 1000)
+    min_run_ms = max(MIN_RUN_MS, MIN_RUN_PREFILL_RATIO * prefill_ms)
+    return round(arrivals_per_s * min_run_ms / 1000)
 
 
 def batch_room(slots: int, in_flight: InFlight) -> int:
@@ -44,13 +44,13 @@
     return max(0, slots - in_flight.total)
 
 
-def may_read_more(reading_ms: float) -> bool:
+def may_prefill_more(prefill_ms: float) -> bool:
     """Whether a replica with room may be sent the prompt of an item now.
 
-    >>> may_read_more(50.0), may_read_more(90.0)
+    >>> may_prefill_more(50.0), may_prefill_more(90.0)
     (True, False)
     """
-    return reading_ms <= MOST_READING_MS
+    return prefill_ms <= MAX_PREFILL_BACKLOG_MS
 
 
 def items_to_preempt(slots: int, in_flight: InFlight) -> int:
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -21,28 +21,28 @@
     """Decisions by node, numbered as they are begun.
 
     >>> outbox = Outbox()
-    >>> outbox.of("n1").number, outbox.of("n1").number, outbox.of("n2").number
+    >>> outbox.for_node("n1").number, outbox.for_node("n1").number, outbox.for_node("n2").number
     (1, 1, 1)
-    >>> sorted(outbox.pop()), outbox.of("n1").number, outbox.last_number("n2")
+    >>> sorted(outbox.pop()), outbox.for_node("n1").number, outbox.last_number("n2")
     (['n1', 'n2'], 2, 1)
     """
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
-        self._open: dict[str, Decisions] = {}
+        self._pending: dict[str, Decisions] = {}
 
-    def of(self, node: str) -> Decisions:
+    def for_node(self, node: str) -> Decisions:
         """Return the decisions for a node that are not told yet."""
-        decisions = self._open.get(node)
+        decisions = self._pending.get(node)
         if decisions is None:
             self._numbers[node] = number = self._numbers.get(node, 0) + 1
-            decisions = self._open[node] = Decisions(number)
+            decisions = self._pending[node] = Decisions(number)
         return decisions
 
     def pop(self) -> dict[str, Decisions]:
         """Return what was decided since the last call."""
-        taken, self._open = self._open, {}
-        return taken
+        popped, self._pending = self._pending, {}
+        return popped
 
     def last_number(self, node: str) -> int:
         """Return the number of the last decisions for a node."""
--- a/src/cloverwalk/scheduling/fair_shares.py
+++ b/src/cloverwalk/scheduling/fair_shares.py
@@ -16,21 +16,21 @@
 
 from cloverwalk.core.fair_share import FairShare
 
-MOST_AHEAD_MS = 4000.0
+MAX_AHEAD_MS = 4000.0
 """Slot time by which a tenant may be ahead of others that wait, in ms. It is what an idle tenant
 saves up, what is held against a busy one, and what a takeover may get wrong: some ten requests."""
 
 STEP_MS = 500.0
 """Tenants that differ by less slot time than this, in ms, count as equal: about one request."""
 
-AHEAD_MS = MOST_AHEAD_MS / 2
+AHEAD_THRESHOLD_MS = MAX_AHEAD_MS / 2
 """From so much slot time on, in ms, a tenant counts as ahead of its share: it leaves part of the
 replicas' queues to the others while some of these wait. Half: those below it stay untouched."""
 
-MOST_TOLD = 64
+MAX_REPLICATED_TENANTS = 64
 """Tenants that a standby is told of, those furthest ahead: 2 KB in a message each 0.25 s."""
 
-LONGEST_WORK_MS = 3_600_000.0
+MAX_WORK_MS = 3_600_000.0
 """No request or item holds a slot for longer than an hour; a larger figure is a fault."""
 
 EQUAL_WEIGHT = 1.0
@@ -50,21 +50,21 @@
 
     def __init__(self) -> None:
         self._by_rank: dict[int, FairShare[str]] = {}
-        self._told: dict[str, float] = {}
+        self._replicated_usage: dict[str, float] = {}
         self.slot_ms: Counter[str] = Counter()
         """Slot time that was given, by whether the tenant was ahead of its share then."""
 
-        self.held_back: Counter[str] = Counter()
-        """Requests that were sent away for shares, by tenant, until ``take_held_back``."""
+        self.throttled: Counter[str] = Counter()
+        """Requests that were sent away for shares, by tenant, until ``pop_throttled``."""
 
-        self.dropped = 0
+        self.invalid_count = 0
         """Bad figures that were left out."""
 
-    def _of(self, rank: int) -> FairShare[str]:
+    def _for_rank(self, rank: int) -> FairShare[str]:
         shares = self._by_rank.get(rank)
         if shares is None:
-            shares = self._by_rank[rank] = FairShare(MOST_AHEAD_MS)
-            for tenant, ahead_ms in self._told.items():
+            shares = self._by_rank[rank] = FairShare(MAX_AHEAD_MS)
+            for tenant, ahead_ms in self._replicated_usage.items():
                 shares.put_ahead(tenant, ahead_ms)
         return shares
 
@@ -72,56 +72,56 @@
 
     def ahead_ms(self, rank: int, tenant: str) -> float:
         """Return the slot time by which a tenant is ahead of one that was idle for long."""
-        return self._of(rank).ahead(tenant)
+        return self._for_rank(rank).ahead(tenant)
 
     def step(self, rank: int, tenant: str) -> int:
         """Return the place of a tenant's work: a lower step comes first."""
-        return int(self._of(rank).ahead(tenant) / STEP_MS)
+        return int(self._for_rank(rank).ahead(tenant) / STEP_MS)
 
-    def place(self, rank: int, tenant: str) -> int:
+    def start_step(self, rank: int, tenant: str) -> int:
         """Return the place of a tenant's work among others of its rank: a lower one comes first.
 
         Unlike its step, it is not changed by what others are charged, so an order may keep it.
         """
-        return int(self._of(rank).start_time(tenant) / STEP_MS)
+        return int(self._for_rank(rank).start_time(tenant) / STEP_MS)
 
-    def places(self, rank: int, tenants: Iterable[str]) -> dict[str, int]:
+    def start_steps(self, rank: int, tenants: Iterable[str]) -> dict[str, int]:
         """Return the same of several tenants' work."""
-        starts = self._of(rank).start_times(tenants)
-        return {tenant: int(at_ms / STEP_MS) for tenant, at_ms in starts.items()}
+        starts = self._for_rank(rank).start_times(tenants)
+        return {tenant: int(start_ms / STEP_MS) for tenant, start_ms in starts.items()}
 
     def steps(self, rank: int, tenants: Iterable[str]) -> dict[str, int]:
         """Return the places of several tenants' work."""
-        ahead = self._of(rank).ahead_of(tenants)
-        return {tenant: int(by_ms / STEP_MS) for tenant, by_ms in ahead.items()}
+        ahead = self._for_rank(rank).ahead_of(tenants)
+        return {tenant: int(ahead_ms / STEP_MS) for tenant, ahead_ms in ahead.items()}
 
     def is_ahead(self, rank: int, tenant: str) -> bool:
         """Whether a tenant has had clearly more than its share lately."""
-        return self.ahead_ms(rank, tenant) >= AHEAD_MS
+        return self.ahead_ms(rank, tenant) >= AHEAD_THRESHOLD_MS
 
     # --- what was given ---
 
     def charge(self, rank: int, tenant: str, work_ms: float, waiting: Iterable[str]) -> None:
         """A tenant's work gets a slot for an expected time; ``waiting`` are tenants that wait."""
-        work_ms = self._sane(work_ms)
+        work_ms = self._valid_ms(work_ms)
         self.slot_ms["ahead" if self.is_ahead(rank, tenant) else "within"] += round(work_ms)
-        self._of(rank).charge(tenant, work_ms, EQUAL_WEIGHT, waiting)
+        self._for_rank(rank).charge(tenant, work_ms, EQUAL_WEIGHT, waiting)
 
-    def correct(self, rank: int, tenant: str, more_ms: float) -> None:
+    def correct(self, rank: int, tenant: str, extra_ms: float) -> None:
         """A tenant's work took so much more than was expected; a negative figure is less."""
-        sign = -1 if more_ms < 0 else 1
-        self._of(rank).correct(tenant, sign * self._sane(abs(more_ms)), EQUAL_WEIGHT)
+        sign = -1 if extra_ms < 0 else 1
+        self._for_rank(rank).correct(tenant, sign * self._valid_ms(abs(extra_ms)), EQUAL_WEIGHT)
 
-    def _sane(self, figure_ms: float) -> float:
-        if math.isfinite(figure_ms) and 0 <= figure_ms <= LONGEST_WORK_MS:
-            return figure_ms
-        self.dropped += 1
+    def _valid_ms(self, duration_ms: float) -> float:
+        if math.isfinite(duration_ms) and 0 <= duration_ms <= MAX_WORK_MS:
+            return duration_ms
+        self.invalid_count += 1
         return 0.0
 
-    def take_held_back(self) -> Counter[str]:
+    def pop_throttled(self) -> Counter[str]:
         """Return the requests that were sent away for shares since the last call, by tenant."""
-        taken, self.held_back = self.held_back, Counter()
-        return taken
+        popped, self.throttled = self.throttled, Counter()
+        return popped
 
     # --- takeover ---
 
@@ -129,12 +129,16 @@
         """Return the tenants that are ahead, in ms, for a node that may have to take over."""
         ahead: dict[str, float] = {}
         for shares in self._by_rank.values():
-            for tenant, by_ms in shares.all_ahead().items():
-                ahead[tenant] = max(by_ms, ahead.get(tenant, 0.0))
-        largest = sorted(ahead.items(), key=lambda one: (-one[1], one[0]))[:MOST_TOLD]
-        return {tenant: round(by_ms) for tenant, by_ms in largest if by_ms >= STEP_MS}
+            for tenant, ahead_ms in shares.all_ahead().items():
+                ahead[tenant] = max(ahead_ms, ahead.get(tenant, 0.0))
+        largest = sorted(ahead.items(), key=lambda item: (-item[1], item[0]))[
+            :MAX_REPLICATED_TENANTS
+        ]
+        return {tenant: round(ahead_ms) for tenant, ahead_ms in largest if ahead_ms >= STEP_MS}
 
     def apply_usage(self, used: Mapping[str, float]) -> None:
         """Take the coordinator's count in place of an own one."""
-        self._told = {tenant: self._sane(by_ms) for tenant, by_ms in used.items()}
+        self._replicated_usage = {
+            tenant: self._valid_ms(ahead_ms) for tenant, ahead_ms in used.items()
+        }
         self._by_rank.clear()
--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -65,106 +65,106 @@
         self._configuration = configuration
         self._is_memory_scarce = is_memory_scarce
         self._lost_zones = lost_zones
-        self._tells_pace: set[str] = set()
-        self._known: dict[Feature, FeatureState] = {}
-        self._found: dict[Feature, bool] = {}
-        """Which parts are on under ``_found_for``."""
+        self._services_with_slowdown: set[str] = set()
+        self._notified: dict[Feature, FeatureState] = {}
+        self._cached: dict[Feature, bool] = {}
+        """Which parts are on under ``_cached_for``."""
 
-        self._found_for: Configuration | None = None
-        self.on_change: Callable[[FeatureState], None] = _nobody
+        self._cached_for: Configuration | None = None
+        self.on_change: Callable[[FeatureState], None] = _ignore_change
 
     def note_told_pace(self, service: str) -> None:
         """A replica of a service told how fast it works now."""
-        if service in self._tells_pace:
+        if service in self._services_with_slowdown:
             return
-        self._tells_pace.add(service)
-        self._found.clear()
+        self._services_with_slowdown.add(service)
+        self._cached.clear()
         self.notify_changes()
 
     def is_on(self, feature: Feature) -> bool:
         """Whether a part is in force; decisions ask many times, so what was found is kept."""
         current = self._configuration.current
-        if current is not self._found_for:
-            self._found_for = current
-            self._found.clear()
-        found = self._found.get(feature)
+        if current is not self._cached_for:
+            self._cached_for = current
+            self._cached.clear()
+        found = self._cached.get(feature)
         if found is None:
-            found = self._found[feature] = self._state(feature).is_on
+            found = self._cached[feature] = self._state(feature).is_on
         return found
 
     def states(self) -> list[FeatureState]:
         """Return all parts, in the order of their declaration."""
-        return [self._state(one) for one in Feature]
+        return [self._state(feature) for feature in Feature]
 
     def notify_changes(self) -> None:
         """Tell what has changed since the last look; to be called after news."""
         for state in self.states():
-            if self._known.get(state.feature) != state:
-                self._known[state.feature] = state
+            if self._notified.get(state.feature) != state:
+                self._notified[state.feature] = state
                 self.on_change(state)
 
     def _state(self, feature: Feature) -> FeatureState:
         match feature:
             case Feature.REPLICA_PACE:
-                return self._pace()
+                return self._slowdown_state()
             case Feature.FAIR_SHARES:
-                return self._shares()
+                return self._fair_shares_state()
             case Feature.REPLICA_MEMORY:
-                return self._memory()
+                return self._memory_state()
             case Feature.NODE_CAPACITY:
-                return self._capacity()
+                return self._node_capacity_state()
             case Feature.ZONE_LOSS:
-                return self._zone_loss()
+                return self._zone_loss_state()
             case Feature.OVERLOAD_ORDER:
-                return self._order()
+                return self._overload_order_state()
 
-    def _pace(self) -> FeatureState:
+    def _slowdown_state(self) -> FeatureState:
         feature = Feature.REPLICA_PACE
-        if self._tells_pace:
-            told = ", ".join(sorted(self._tells_pace))
-            return FeatureState(feature, True, f"replicas tell their pace: {told}")
+        if self._services_with_slowdown:
+            services = ", ".join(sorted(self._services_with_slowdown))
+            return FeatureState(feature, True, f"replicas tell their pace: {services}")
         return FeatureState(feature, False, "no replica tells its pace")
 
-    def _shares(self) -> FeatureState:
+    def _fair_shares_state(self) -> FeatureState:
         feature = Feature.FAIR_SHARES
         if self._configuration.has_tenants:
             return FeatureState(feature, True, "the configuration names tenants")
         return FeatureState(feature, False, "the configuration names no tenants")
 
-    def _order(self) -> FeatureState:
+    def _overload_order_state(self) -> FeatureState:
         feature = Feature.OVERLOAD_ORDER
         if self._configuration.has_tenants:
             return FeatureState(feature, True, "the configuration names tenants")
-        if self._tells_pace:
+        if self._services_with_slowdown:
             return FeatureState(feature, True, "replicas tell their pace")
         return FeatureState(feature, False, "no tenants are named, and no replica tells its pace")
 
-    def _memory(self) -> FeatureState:
+    def _memory_state(self) -> FeatureState:
         feature = Feature.REPLICA_MEMORY
         if not self._is_memory_scarce:
             return FeatureState(feature, False, "the settings do not say that memory is scarce")
-        if not _tells_memory(self._configuration.current):
+        if not _has_memory_size(self._configuration.current):
             return FeatureState(feature, False, "no service tells its replicas' memory")
         return FeatureState(feature, True, "memory is scarce, and services tell their replicas'")
 
-    def _capacity(self) -> FeatureState:
+    def _node_capacity_state(self) -> FeatureState:
         feature = Feature.NODE_CAPACITY
         if self._is_memory_scarce:
             return FeatureState(feature, True, "the settings say that memory is scarce")
         return FeatureState(feature, False, "the settings do not say that memory is scarce")
 
-    def _zone_loss(self) -> FeatureState:
+    def _zone_loss_state(self) -> FeatureState:
         feature = Feature.ZONE_LOSS
         if self._lost_zones > 0:
             return FeatureState(feature, True, "the settings say that a whole zone may be lost")
         return FeatureState(feature, False, "the settings name no zone that may be lost")
 
 
-def _tells_memory(configuration: Configuration | None) -> bool:
+def _has_memory_size(configuration: Configuration | None) -> bool:
     if configuration is None:
         return False
-    return any(one.memory_tokens > 0 for one in configuration.services.values())
+    return any(service.memory_tokens > 0 for service in configuration.services.values())
 
 
-def _nobody(state: FeatureState) -> None:
+def _ignore_change(state: FeatureState) -> None:
     return
--- a/src/cloverwalk/scheduling/item_sort_key.py
+++ b/src/cloverwalk/scheduling/item_sort_key.py
@@ -10,40 +10,40 @@
 """Step of items that can't be in time any more: behind all others."""
 
 
-def band_of(due_step: int) -> int:
+def band_of(sort_key: int) -> int:
     """Return what lateness and rank make of a step; items of one band differ by due time only.
 
     >>> band_of(5) == band_of(-5) != band_of(PRIORITY_STRIDE + 5)
     True
     """
-    return (due_step + PRIORITY_STRIDE // 2) // PRIORITY_STRIDE
+    return (sort_key + PRIORITY_STRIDE // 2) // PRIORITY_STRIDE
 
 
-def band_end(due_step: int) -> int:
+def band_end(sort_key: int) -> int:
     """Return the first step beyond the band of a step.
 
     >>> step = 3 * PRIORITY_STRIDE + 5
     >>> band_of(band_end(step) - 1) == band_of(step), band_of(band_end(step)) == band_of(step) + 1
     (True, True)
     """
-    return (band_of(due_step) + 1) * PRIORITY_STRIDE - PRIORITY_STRIDE // 2
+    return (band_of(sort_key) + 1) * PRIORITY_STRIDE - PRIORITY_STRIDE // 2
 
 
-def rank_of(due_step: int) -> int:
+def rank_of(sort_key: int) -> int:
     """Return the rank in a step.
 
     >>> rank_of(7), rank_of(2 * PRIORITY_STRIDE + 7), rank_of(LATE_OFFSET + PRIORITY_STRIDE)
     (0, 2, 1)
     """
-    return band_of(due_step) % (LATE_OFFSET // PRIORITY_STRIDE)
+    return band_of(sort_key) % (LATE_OFFSET // PRIORITY_STRIDE)
 
 
-def due_ms(due_step: int) -> float:
+def due_ms(sort_key: int) -> float:
     """Return the due time of a step, in the store's time; infinite for items that are late anyhow.
 
     >>> due_ms(40 + 2 * PRIORITY_STRIDE), due_ms(40 + LATE_OFFSET)
     (10000.0, inf)
     """
-    if due_step >= LATE_OFFSET:
+    if sort_key >= LATE_OFFSET:
         return float("inf")
-    return float(due_step % PRIORITY_STRIDE * DUE_TIME_RESOLUTION_MS)
+    return float(sort_key % PRIORITY_STRIDE * DUE_TIME_RESOLUTION_MS)
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -12,15 +12,15 @@
 from cloverwalk.gateway.configuration import ConfigurationHolder, Route
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.scheduling.admission import (
-    AHEAD_QUEUE_SHARE,
-    CROWD_OVER_S,
+    AHEAD_QUEUE_FRACTION,
     MAX_QUEUE_WAIT_S,
-    CrowdWatch,
+    OVERLOAD_END_DELAY_S,
+    OverloadDurationEstimator,
     PlacementVerdict,
     Prospect,
-    ReturnBook,
+    RetryDetector,
     decide,
-    most_wait_ms,
+    max_wait_ms,
     retry_after_s,
     slot_wait_ms,
 )
@@ -28,22 +28,22 @@
 from cloverwalk.scheduling.decisions import Outbox
 from cloverwalk.scheduling.fair_shares import FairShares
 from cloverwalk.scheduling.features import Feature, Features
-from cloverwalk.scheduling.overload_order import is_hopeless
-from cloverwalk.scheduling.queued_requests import AskId, HeldRequest, HeldRequests, QueueKey
+from cloverwalk.scheduling.overload_order import will_miss_deadline
+from cloverwalk.scheduling.queued_requests import QueuedRequest, QueuedRequests, QueueKey, RequestId
 from cloverwalk.scheduling.quotas import FleetQuotas, QuotaVerdict
 from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_view import ReplicaView
 from cloverwalk.scheduling.selection import (
-    ONCE_OTHER_ZONE_MS,
-    OTHER_ZONE_MS,
+    NON_RETRYABLE_OTHER_ZONE_COST_MS,
+    OTHER_ZONE_COST_MS,
     Candidate,
     Demand,
     choose,
-    expected_reading_ms,
+    expected_prefill_ms,
 )
 from cloverwalk.scheduling.service_times import ServiceTimes
 
-HELD_UNASKED_S = 0.8
+QUEUED_REQUEST_TTL_S = 0.8
 """A held request that its node has not asked for again for so long is given up there."""
 
 
@@ -55,17 +55,17 @@
     ahead_ms: int = 0
     """Slot time by which its tenant is ahead of others, where its share counted."""
 
-    return_after_s: float = 0.0
+    retry_after_s: float = 0.0
     """With RETRY_LATER: when it should come back."""
 
 
 class OnlineQueue:
-    """Answers asks. ``try_held`` places those that wait, in their order."""
+    """Answers asks. ``place_queued`` places those that wait, in their order."""
 
     def __init__(
         self,
         replicas: ReplicaView,
-        book: ReplicaLoadTracker,
+        load_tracker: ReplicaLoadTracker,
         outbox: Outbox,
         configuration: ConfigurationHolder,
         times: ServiceTimes,
@@ -76,21 +76,21 @@
     ) -> None:
         self._features = features
         self.shares = FairShares()
-        self._held = HeldRequests(features, self.shares)
-        self._ahead_at: dict[int, float] = {}
+        self._queued = QueuedRequests(features, self.shares)
+        self._ahead_seen_at: dict[int, float] = {}
         """When a request of a tenant ahead of its share last came, by rank."""
 
         self._quotas = quotas
         self._ledger = ledger
         self._replicas = replicas
-        self._book = book
+        self._load_tracker = load_tracker
         self._outbox = outbox
         self._configuration = configuration
         self._times = times
         self._random = random
         self._arrivals: dict[str, ArrivalRate] = {}
-        self._crowd = CrowdWatch()
-        self._returns = ReturnBook()
+        self._overload = OverloadDurationEstimator()
+        self._retry_detector = RetryDetector()
 
     def arrivals_per_s(self, service: str, now: float) -> float:
         """Return how fast requests for a service come."""
@@ -99,217 +99,239 @@
 
     # --- asks ---
 
-    def answer(self, node: str, zone: str, ask: PlacementRequest, now: float) -> str:
+    def handle_request(self, node: str, zone: str, request: PlacementRequest, now: float) -> str:
         """Answer an ask; return the replica that got a request by it, empty for none."""
-        held = self._held.find((node, ask.number))
-        if held is not None:
-            held.ask, held.heard_at = ask, now
-            return self._try(held, False, now) or ""
-        if ask.content and not self._ledger.try_admit(ask.content, now):
-            self._outbox.of(node).placements.append(
-                Placement(ask.number, PlacementVerdict.CONTAINED)
+        queued = self._queued.find((node, request.number))
+        if queued is not None:
+            queued.request, queued.last_received_at = request, now
+            return self._place_or_queue(queued, False, now) or ""
+        if request.content and not self._ledger.try_admit(request.content, now):
+            self._outbox.for_node(node).placements.append(
+                Placement(request.number, PlacementVerdict.CONTAINED)
             )
             return ""
-        if not self._replicas.can_ever_fit(ask):
-            self._outbox.of(node).placements.append(
-                Placement(ask.number, PlacementVerdict.TOO_LARGE)
+        if not self._replicas.can_ever_fit(request):
+            self._outbox.for_node(node).placements.append(
+                Placement(request.number, PlacementVerdict.TOO_LARGE)
             )
             return ""
-        refusal = self._take_token(ask, now)
+        refusal = self._reserve_token(request, now)
         if refusal is not None:
-            self._outbox.of(node).placements.append(refusal)
+            self._outbox.for_node(node).placements.append(refusal)
             return ""
-        priority = self._priority(ask.route, ask.tenant)
-        held = HeldRequest(node, zone, ask, now, now, QueueKey(priority, ask.tenant))
-        held.has_token = ask.quota_token is QuotaTokenUse.NEW
-        held.expect(self._times.first_event_ms(ask.route))
-        self._arrivals.setdefault(ask.service, ArrivalRate()).note(now)
-        deadline_s = None if ask.deadline_ms is None else ask.deadline_ms / 1000
-        may_return = not self._returns.came_back(ask.route, deadline_s)
-        return self._try(held, may_return, now) or ""
-
-    def _take_token(self, ask: PlacementRequest, now: float) -> Placement | None:
+        priority = self._priority(request.route, request.tenant)
+        queued = QueuedRequest(node, zone, request, now, now, QueueKey(priority, request.tenant))
+        queued.has_token = request.quota_token is QuotaTokenUse.NEW
+        queued.expect(self._times.first_event_ms(request.route))
+        self._arrivals.setdefault(request.service, ArrivalRate()).record(now)
+        deadline_s = None if request.deadline_ms is None else request.deadline_ms / 1000
+        may_retry_later = not self._retry_detector.is_retry(request.route, deadline_s)
+        return self._place_or_queue(queued, may_retry_later, now) or ""
+
+    def _reserve_token(self, request: PlacementRequest, now: float) -> Placement | None:
         """Take a token of the tenant's quota; return the answer where there is none."""
-        if ask.quota_token is not QuotaTokenUse.NEW:
+        if request.quota_token is not QuotaTokenUse.NEW:
             return None
-        match self._quotas.reserve(ask.tenant, now):
+        match self._quotas.reserve(request.tenant, now):
             case QuotaVerdict.TAKEN:
                 return None
             case QuotaVerdict.OVER:
-                wait_s = round(self._quotas.wait_s(ask.tenant, now), 3)
-                return Placement(ask.number, PlacementVerdict.OVER_QUOTA, retry_after_s=wait_s)
+                wait_s = round(self._quotas.wait_s(request.tenant, now), 3)
+                return Placement(request.number, PlacementVerdict.OVER_QUOTA, retry_after_s=wait_s)
             case QuotaVerdict.UNKNOWN:
                 # A node that has just started soon finds a coordinator; its requests ask again.
-                may_wait = not self._quotas.knows_fleet and not ask.must_place
+                may_wait = not self._quotas.knows_fleet and not request.must_place
                 return Placement(
-                    ask.number,
+                    request.number,
                     PlacementVerdict.QUEUE if may_wait else PlacementVerdict.QUOTA_UNKNOWN,
                 )
 
     def withdraw(self, node: str, number: int, now: float) -> None:
         """A request waits no more."""
-        self._drop((node, number), now)
+        self._remove((node, number), now)
 
     def remove_node(self, node: str, now: float) -> None:
         """A node is gone, and its requests with it."""
-        for held in self._held.all():
-            if held.node == node:
-                self._drop(held.ask_id, now)
+        for queued in self._queued.all():
+            if queued.node == node:
+                self._remove(queued.request_id, now)
 
-    def _drop(self, ask_id: AskId, now: float) -> None:
-        held = self._held.remove(ask_id)
-        if held is not None and held.has_token:
-            self._quotas.release(held.ask.tenant, now)
+    def _remove(self, ask_id: RequestId, now: float) -> None:
+        queued = self._queued.remove(ask_id)
+        if queued is not None and queued.has_token:
+            self._quotas.release(queued.request.tenant, now)
 
     def expire(self, now: float) -> None:
         """Give up requests that their nodes have not asked for again."""
-        for held in self._held.all():
-            if now - held.heard_at > HELD_UNASKED_S:
-                self._drop(held.ask_id, now)
+        for queued in self._queued.all():
+            if now - queued.last_received_at > QUEUED_REQUEST_TTL_S:
+                self._remove(queued.request_id, now)
 
-    def try_held(self, now: float) -> list[str]:
+    def place_queued(self, now: float) -> list[str]:
         """Place waiting requests while there are slots; return the replicas that got one."""
-        got: list[str] = []
-        for held in self._held.in_turn(now):
-            replica_id = self._try(held, False, now)
+        replica_ids: list[str] = []
+        for queued in self._queued.in_order(now):
+            replica_id = self._place_or_queue(queued, False, now)
             if replica_id is not None:
-                got.append(replica_id)
-            elif not held.waits_for_memory:
+                replica_ids.append(replica_id)
+            elif not queued.waits_for_memory:
                 break
-        return got
+        return replica_ids
 
     # --- one request ---
 
-    def _try(self, held: HeldRequest, may_return: bool, now: float) -> str | None:
+    def _place_or_queue(
+        self, queued: QueuedRequest, may_retry_later: bool, now: float
+    ) -> str | None:
         """Answer a request for good, or hold it.
 
         Returns the replica that it goes to, an empty text for a refusal, None when it is held.
         """
-        held.waits_for_memory = False
-        candidates = self._replicas.candidates(held.node, held.ask, now)
-        demand = self._demand(held)
+        queued.waits_for_memory = False
+        candidates = self._replicas.candidates(queued.node, queued.request, now)
+        demand = self._demand(queued)
         chosen = choose(candidates, demand)
-        if chosen is None and self._replicas.has_usable(held.ask.service):
+        if chosen is None and self._replicas.has_usable(queued.request.service):
             # Each has too little memory left; it is as if all their slots were taken.
-            return self._wait_for_memory(held, now)
+            return self._queue_for_memory(queued, now)
         if chosen is None:
-            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.NO_REPLICA), now)
-        wait_ms = self._wait_ms(held.ask.route, chosen)
-        if wait_ms > 0 and self._is_hopeless(held, candidates, now):
-            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.RETRY_LATER), now)
-        admission = self._admit(held, chosen, wait_ms, may_return, now)
+            return self._refuse(
+                queued, Placement(queued.request.number, PlacementVerdict.NO_REPLICA), now
+            )
+        wait_ms = self._wait_ms(queued.request.route, chosen)
+        if wait_ms > 0 and self._will_miss_deadline(queued, candidates, now):
+            return self._refuse(
+                queued, Placement(queued.request.number, PlacementVerdict.RETRY_LATER), now
+            )
+        admission = self._admit(queued, chosen, wait_ms, may_retry_later, now)
         if admission.verdict is PlacementVerdict.RETRY_LATER:
-            return self._send_away(held, admission, now)
+            return self._refuse_with_retry_time(queued, admission, now)
         if admission.verdict is PlacementVerdict.QUEUE:
-            self._hold(held, now)
+            self._enqueue(queued, now)
             return None
-        self._place(held, chosen, wait_ms, now)
-        reading_ms = expected_reading_ms(chosen, candidates, demand)
-        self._replicas.note_reading(chosen.replica.replica_id, reading_ms, now)
+        self._place(queued, chosen, wait_ms, now)
+        prefill_ms = expected_prefill_ms(chosen, candidates, demand)
+        self._replicas.note_reading(chosen.replica.replica_id, prefill_ms, now)
         return chosen.replica.replica_id
 
-    def _wait_for_memory(self, held: HeldRequest, now: float) -> str | None:
+    def _queue_for_memory(self, queued: QueuedRequest, now: float) -> str | None:
         """Hold a request until a replica has memory for it, or refuse it in the end."""
-        if held.ask.must_place or now - held.asked_at >= MAX_QUEUE_WAIT_S:
-            return self._refuse(held, Placement(held.ask.number, PlacementVerdict.NO_REPLICA), now)
-        held.waits_for_memory = True
-        self._hold(held, now)
+        if queued.request.must_place or now - queued.received_at >= MAX_QUEUE_WAIT_S:
+            return self._refuse(
+                queued, Placement(queued.request.number, PlacementVerdict.NO_REPLICA), now
+            )
+        queued.waits_for_memory = True
+        self._enqueue(queued, now)
         return None
 
     def _admit(
-        self, held: HeldRequest, chosen: Candidate, wait_ms: float, may_return: bool, now: float
+        self,
+        queued: QueuedRequest,
+        chosen: Candidate,
+        wait_ms: float,
+        may_retry_later: bool,
+        now: float,
     ) -> _Admission:
         """Return whether a request is sent, held, or told when to come back."""
-        route = self._route(held.ask.route)
-        is_overdue = held.ask.must_place or now - held.asked_at >= MAX_QUEUE_WAIT_S
+        route = self._route(queued.request.route)
+        is_overdue = queued.request.must_place or now - queued.received_at >= MAX_QUEUE_WAIT_S
         if route is None or is_overdue:
             return _Admission(PlacementVerdict.SEND)
-        prospect = self._prospect(held, route, wait_ms, chosen.pace, now)
-        admission = self._decide(held, prospect, may_return, now)
+        prospect = self._prospect(queued, route, wait_ms, chosen.slowdown, now)
+        admission = self._decide_by_share(queued, prospect, may_retry_later, now)
         if admission.verdict is not PlacementVerdict.RETRY_LATER:
             return admission
-        after_s = self._return_after_s(prospect, held.ask, now)
-        if after_s is None:
+        delay_s = self._retry_delay_s(prospect, queued.request, now)
+        if delay_s is None:
             return _Admission(PlacementVerdict.QUEUE)
-        return attrs.evolve(admission, return_after_s=after_s)
+        return attrs.evolve(admission, retry_after_s=delay_s)
 
-    def _decide(
-        self, held: HeldRequest, prospect: Prospect, may_return: bool, now: float
+    def _decide_by_share(
+        self, queued: QueuedRequest, prospect: Prospect, may_retry_later: bool, now: float
     ) -> _Admission:
         """Decide by what a request can expect, and by its tenant's share where that counts."""
-        is_first = prospect.wait_ms == 0.0 and self._held.is_first(held, now)
-        verdict = decide(prospect, may_return, is_first)
+        is_first = prospect.wait_ms == 0.0 and self._queued.is_first(queued, now)
+        verdict = decide(prospect, may_retry_later, is_first)
         if not self._features.is_on(Feature.FAIR_SHARES):
             return _Admission(verdict)
-        rank, tenant = held.queue
+        rank, tenant = queued.queue
         if not self.shares.is_ahead(rank, tenant):
-            is_other_ahead = now - self._ahead_at.get(rank, float("-inf")) < CROWD_OVER_S
-            is_next = is_other_ahead and not self._held.has_queue(held.queue)
+            is_other_ahead = (
+                now - self._ahead_seen_at.get(rank, float("-inf")) < OVERLOAD_END_DELAY_S
+            )
+            is_next = is_other_ahead and not self._queued.has_queue(queued.queue)
             if verdict is PlacementVerdict.RETRY_LATER and is_next:
                 # It gets the next free slot before the tenant that is ahead.
                 return _Admission(PlacementVerdict.QUEUE)
             return _Admission(verdict)
-        self._ahead_at[rank] = now
+        self._ahead_seen_at[rank] = now
         if not self._do_others_wait(rank, tenant):
             return _Admission(verdict)
         if verdict is PlacementVerdict.SEND:
-            most_ms = AHEAD_QUEUE_SHARE * prospect.most_wait_ms
-            less = attrs.evolve(prospect, most_wait_ms=most_ms)
-            verdict = decide(less, may_return, is_first)
+            limit_ms = AHEAD_QUEUE_FRACTION * prospect.max_wait_ms
+            reduced = attrs.evolve(prospect, max_wait_ms=limit_ms)
+            verdict = decide(reduced, may_retry_later, is_first)
         return _Admission(verdict, round(self.shares.ahead_ms(rank, tenant)))
 
     def _do_others_wait(self, rank: int, tenant: str) -> bool:
         """Whether a request is held of another tenant of a rank that is not ahead of its share."""
         return any(
-            other != tenant and not self.shares.is_ahead(rank, other)
-            for other in self._held.tenants(rank)
+            peer != tenant and not self.shares.is_ahead(rank, peer)
+            for peer in self._queued.tenants(rank)
         )
 
-    def _is_hopeless(self, held: HeldRequest, candidates: Sequence[Candidate], now: float) -> bool:
+    def _will_miss_deadline(
+        self, queued: QueuedRequest, candidates: Sequence[Candidate], now: float
+    ) -> bool:
         """Whether no replica can serve it before its deadline; one that may have run goes on."""
-        if held.ask.quota_token is QuotaTokenUse.RETRY or held.ask.time_left_ms <= 0:
+        if queued.request.quota_token is QuotaTokenUse.RETRY or queued.request.time_left_ms <= 0:
             return False
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             return False
-        start_ms, left_ms = self._times.first_event_ms(held.ask.route), held.time_left_ms(now)
-        waits = (self._wait_ms(held.ask.route, one) for one in candidates)
-        return all(is_hopeless(wait_ms, start_ms, left_ms) for wait_ms in waits)
+        start_ms, remaining_ms = (
+            self._times.first_event_ms(queued.request.route),
+            queued.time_left_ms(now),
+        )
+        waits = (self._wait_ms(queued.request.route, candidate) for candidate in candidates)
+        return all(will_miss_deadline(wait_ms, start_ms, remaining_ms) for wait_ms in waits)
 
-    def _send_away(self, held: HeldRequest, admission: _Admission, now: float) -> str:
+    def _refuse_with_retry_time(
+        self, queued: QueuedRequest, admission: _Admission, now: float
+    ) -> str:
         """Tell a request when to come back."""
         if admission.ahead_ms:
-            self.shares.held_back[held.ask.tenant] += 1
+            self.shares.throttled[queued.request.tenant] += 1
         placement = Placement(
-            held.ask.number,
+            queued.request.number,
             PlacementVerdict.RETRY_LATER,
-            retry_after_s=round(admission.return_after_s, 3),
+            retry_after_s=round(admission.retry_after_s, 3),
             ahead_ms=admission.ahead_ms,
         )
-        return self._refuse(held, placement, now)
+        return self._refuse(queued, placement, now)
 
-    def _refuse(self, held: HeldRequest, placement: Placement, now: float) -> str:
-        self._held.remove(held.ask_id)
-        if held.has_token:
-            self._quotas.release(held.ask.tenant, now)
-        self._outbox.of(held.node).placements.append(placement)
+    def _refuse(self, queued: QueuedRequest, placement: Placement, now: float) -> str:
+        self._queued.remove(queued.request_id)
+        if queued.has_token:
+            self._quotas.release(queued.request.tenant, now)
+        self._outbox.for_node(queued.node).placements.append(placement)
         return ""
 
-    def _hold(self, held: HeldRequest, now: float) -> None:
-        if self._held.add(held, now):
-            placement = Placement(held.ask.number, PlacementVerdict.QUEUE)
-            self._outbox.of(held.node).placements.append(placement)
-
-    def _place(self, held: HeldRequest, chosen: Candidate, wait_ms: float, now: float) -> None:
-        self._held.remove(held.ask_id)
-        self._charge(held)
-        if held.has_token:
-            self._quotas.spend(held.ask.tenant, now)
-        elif held.ask.quota_token is QuotaTokenUse.RETRY:
-            self._quotas.charge(held.ask.tenant, now)
-        decisions = self._outbox.of(held.node)
+    def _enqueue(self, queued: QueuedRequest, now: float) -> None:
+        if self._queued.add(queued, now):
+            placement = Placement(queued.request.number, PlacementVerdict.QUEUE)
+            self._outbox.for_node(queued.node).placements.append(placement)
+
+    def _place(self, queued: QueuedRequest, chosen: Candidate, wait_ms: float, now: float) -> None:
+        self._queued.remove(queued.request_id)
+        self._charge(queued)
+        if queued.has_token:
+            self._quotas.spend(queued.request.tenant, now)
+        elif queued.request.quota_token is QuotaTokenUse.RETRY:
+            self._quotas.charge(queued.request.tenant, now)
+        decisions = self._outbox.for_node(queued.node)
         replica_id = chosen.replica.replica_id
         placement = Placement(
-            held.ask.number,
+            queued.request.number,
             PlacementVerdict.SEND,
             replica_id,
             round(wait_ms),
@@ -318,88 +340,93 @@
             prefill_ms=round(chosen.prefill_ms),
         )
         decisions.placements.append(placement)
-        self._book.expect(
-            held.node, decisions.number, replica_id, online=1, tokens=held.ask.tokens, now=now
+        self._load_tracker.expect(
+            queued.node,
+            decisions.number,
+            replica_id,
+            online=1,
+            tokens=queued.request.tokens,
+            now=now,
         )
-        self._replicas.note_sent(held.node, replica_id, now)
-        if held.ask.content:
-            self._replicas.note_sent_suspect(replica_id, held.ask.content, now)
+        self._replicas.record_sent(queued.node, replica_id, now)
+        if queued.request.content:
+            self._replicas.note_sent_suspect(replica_id, queued.request.content, now)
 
-    def _charge(self, held: HeldRequest) -> None:
+    def _charge(self, queued: QueuedRequest) -> None:
         """Count the slot time that a request is expected to take to its tenant."""
         if self._features.is_on(Feature.FAIR_SHARES):
-            rank, tenant = held.queue
-            work_ms = self._times.hold_ms(held.ask.route)
-            self._held.note_charged(held.queue)
-            self.shares.charge(rank, tenant, work_ms, self._held.tenants(rank))
+            rank, tenant = queued.queue
+            work_ms = self._times.hold_ms(queued.request.route)
+            self._queued.on_charged(queued.queue)
+            self.shares.charge(rank, tenant, work_ms, self._queued.tenants(rank))
 
-    def correct(self, served: RequestTiming) -> None:
+    def correct_usage(self, timing: RequestTiming) -> None:
         """Count what a request took beyond what was expected; before its times are learnt."""
         if not self._features.is_on(Feature.FAIR_SHARES):
             return
-        rank = self._priority(served.route, served.tenant)
-        more_ms = served.hold_ms - self._times.hold_ms(served.route)
-        self.shares.correct(rank, served.tenant, more_ms)
+        rank = self._priority(timing.route, timing.tenant)
+        extra_ms = timing.hold_ms - self._times.hold_ms(timing.route)
+        self.shares.correct(rank, timing.tenant, extra_ms)
 
     # --- what it can expect ---
 
     def _priority(self, route: str, tenant: str) -> int:
         """Return the rank of requests of a route and tenant."""
-        known = self._route(route)
-        own = 0 if known is None else known.priority
-        return self._configuration.tenants.priority(tenant, own)
+        configured = self._route(route)
+        route_priority = 0 if configured is None else configured.priority
+        return self._configuration.tenants.priority(tenant, route_priority)
 
     def _route(self, name: str) -> Route | None:
         current = self._configuration.current
         if current is None:
             return None
-        return next((one for one in current.routes if one.name == name), None)
+        return next((route for route in current.routes if route.name == name), None)
 
     def _wait_ms(self, route: str, chosen: Candidate) -> float:
-        hold_ms = chosen.pace * self._times.hold_ms(route)
+        hold_ms = chosen.slowdown * self._times.hold_ms(route)
         return slot_wait_ms(chosen.replica.slots, chosen.in_flight.online, hold_ms)
 
     def _prospect(
-        self, held: HeldRequest, route: Route, wait_ms: float, pace: float, now: float
+        self, queued: QueuedRequest, route: Route, wait_ms: float, slowdown: float, now: float
     ) -> Prospect:
         current = self._configuration.current
         routes = (route,) if current is None else current.routes
-        waited_ms = (now - held.heard_at) * 1000
+        waited_ms = (now - queued.last_received_at) * 1000
         return Prospect(
             self._times.wait_factor(route.name) * wait_ms,
-            pace * self._times.first_event_ms(route.name),
-            held.ask.objective_left_ms - waited_ms,
+            slowdown * self._times.first_event_ms(route.name),
+            queued.request.objective_left_ms - waited_ms,
             route.target_latency_s * 1000,
-            most_wait_ms(route, held.queue.rank, routes, self._times),
+            max_wait_ms(route, queued.queue.rank, routes, self._times),
         )
 
-    def _return_after_s(
-        self, prospect: Prospect, ask: PlacementRequest, now: float
+    def _retry_delay_s(
+        self, prospect: Prospect, request: PlacementRequest, now: float
     ) -> float | None:
-        self._crowd.meet(now)
-        wait_s, rest_s = prospect.wait_ms / 1000, self._crowd.rest_s(now)
-        return retry_after_s(wait_s, rest_s, ask.time_left_ms / 1000, self._random)
+        self._overload.record_request(now)
+        wait_s, remaining_s = prospect.wait_ms / 1000, self._overload.remaining_s(now)
+        return retry_after_s(wait_s, remaining_s, request.time_left_ms / 1000, self._random)
 
-    def _demand(self, held: HeldRequest) -> Demand:
-        ask = held.ask
+    def _demand(self, queued: QueuedRequest) -> Demand:
+        request = queued.request
         return Demand(
-            held.zone,
-            ask.size_bytes,
-            ask.shared_part,
-            ask.shared_tokens,
-            ask.own_tokens,
-            self._other_zone_ms(ask),
-            self._times.first_event_ms(ask.route),
+            queued.zone,
+            request.size_bytes,
+            request.shared_part,
+            request.shared_tokens,
+            request.own_tokens,
+            self._other_zone_cost_ms(request),
+            self._times.first_event_ms(request.route),
         )
 
-    def _other_zone_ms(self, ask: PlacementRequest) -> float:
+    def _other_zone_cost_ms(self, request: PlacementRequest) -> float:
         """Return what another zone costs a request: more for one that a cut would end for good.
 
         It is at most the time that the request has to spare: it rather crosses than is late.
         """
-        route = self._route(ask.route)
-        may_repeat = route is None or route.is_retryable
-        if may_repeat or not self._features.is_on(Feature.ZONE_LOSS):
-            return OTHER_ZONE_MS
-        spare_ms = ask.objective_left_ms - self._times.first_event_ms(ask.route)
-        return max(OTHER_ZONE_MS, min(ONCE_OTHER_ZONE_MS, spare_ms))
+        route = self._route(request.route)
+        is_retryable = route is None or route.is_retryable
+        if is_retryable or not self._features.is_on(Feature.ZONE_LOSS):
+            return OTHER_ZONE_COST_MS
+        spare_ms = request.objective_left_ms - self._times.first_event_ms(request.route)
+        return max(OTHER_ZONE_COST_MS, min(NON_RETRYABLE_OTHER_ZONE_COST_MS, spare_ms))
--- a/src/cloverwalk/scheduling/overload_order.py
+++ b/src/cloverwalk/scheduling/overload_order.py
@@ -3,10 +3,10 @@
 First those that can still be in time, the one whose latest moment to start comes next in front;
 behind them those that are late already, the one whose deadline comes next in front. So what is lost
 by waiting decides, and nothing that is late takes a slot from what can be in time. What surely
-can't be served before its deadline is refused at once, see ``is_hopeless``.
+can't be served before its deadline is refused at once, see ``will_miss_deadline``.
 """
 
-CERTAIN_SHARE = 0.5
+MIN_WAIT_FRACTION = 0.5
 """Share of an expected wait that a request waits at least: running requests do not end one after
 the other, and the expected wait goes by averages. Only what has no time for that is hopeless."""
 
@@ -15,7 +15,9 @@
 """Whether a request is late, when it has to start, and when it was asked for."""
 
 
-def order_key(asked_at: float, late_at: float, hopeless_at: float, now: float) -> OrderKey:
+def order_key(
+    received_at: float, objective_start_at: float, deadline_start_at: float, now: float
+) -> OrderKey:
     """Return the place of a request among others of its rank; times are of one clock, in seconds.
 
     It has to start by ``late_at`` to be in time, by ``hopeless_at`` to be served at all.
@@ -26,14 +28,14 @@
     >>> sorted([late, fresh, older]) == [older, fresh, late]
     True
     """
-    is_late = now > late_at
-    return (is_late, hopeless_at if is_late else late_at, asked_at)
+    is_late = now > objective_start_at
+    return (is_late, deadline_start_at if is_late else objective_start_at, received_at)
 
 
-def is_hopeless(wait_ms: float, start_ms: float, time_left_ms: float) -> bool:
+def will_miss_deadline(wait_ms: float, start_ms: float, time_left_ms: float) -> bool:
     """Whether a request surely has no first event before its deadline.
 
-    >>> is_hopeless(900.0, 100.0, 700.0), is_hopeless(1600.0, 100.0, 700.0)
+    >>> will_miss_deadline(900.0, 100.0, 700.0), will_miss_deadline(1600.0, 100.0, 700.0)
     (False, True)
     """
-    return CERTAIN_SHARE * wait_ms + CERTAIN_SHARE * start_ms > time_left_ms
+    return MIN_WAIT_FRACTION * wait_ms + MIN_WAIT_FRACTION * start_ms > time_left_ms
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -22,25 +22,25 @@
 from cloverwalk.core.token_bucket import TokenBucket
 from cloverwalk.fleet.messages import LocalGrants
 from cloverwalk.gateway.configuration import ConfigurationHolder
-from cloverwalk.scheduling.local_grants import DeputyBook, GrantLog
+from cloverwalk.scheduling.local_grants import GrantLog, LocalGrantsTracker
 from cloverwalk.tenants.directory import Tenant
 
-CAREFUL_SHARE = 0.5
+UNKNOWN_COUNT_FRACTION = 0.5
 """Share of the tolerance that a coordinator uses up where it does not know the count; the other
 half is for deputies."""
 
-ALONE_SHARE = 1 / 3
+INDEPENDENT_FLEET_FRACTION = 1 / 3
 """Share of the fleet that may decide alone at the same time without more than the deputies' half of
 the tolerance, for a tenant that is far from its limit. Near it, all nodes may."""
 
-DEPUTY_RATE = 0.5
+LOCAL_RATE_FRACTION = 0.5
 """Share of its part of a quota's rate that a deputy gives out: until a coordinator misses the
 deputy's nodes it gives out their part as well."""
 
-NEAR_SHARE = 0.5
+NEAR_LIMIT_FRACTION = 0.5
 """A tenant whose bucket is emptier than this may be near its limit; deputies are told its name."""
 
-NEAR_FRESH_S = 5.0
+NEAR_LIMIT_TTL_S = 5.0
 """For how long a deputy goes by what it was told of tenants near their limits."""
 
 
@@ -82,10 +82,10 @@
 
     tenant: Tenant
     bucket: TokenBucket
-    authority: int
+    limits_version: int
     """Number of the authority by which the bucket's limits were set."""
 
-    held: int = 0
+    reserved: int = 0
     """Tokens of requests that wait for a place."""
 
 
@@ -101,26 +101,26 @@
         self._accounts: dict[str, _Account] = {}
         self._is_coordinator = False
         self._share = 0.0
-        self._authority = 0
-        self._since = 0.0
+        self._limits_version = 0
+        self._role_since = 0.0
         """Since when this node counts in its present role (steady clock, seconds)."""
 
-        self._told_levels: dict[str, float] = {}
-        self._near: frozenset[str] = frozenset()
-        self._near_at = float("-inf")
-        self._granted = GrantLog()
-        self._deputies = DeputyBook()
+        self._replicated_levels: dict[str, float] = {}
+        self._near_limit_names: frozenset[str] = frozenset()
+        self._near_limit_at = float("-inf")
+        self._grant_log = GrantLog()
+        self._remote_grants = LocalGrantsTracker()
 
     # --- in which role this node counts ---
 
     def become_coordinator(self, now: float) -> None:
         """This node counts for the fleet from now on."""
         self._is_coordinator = True
-        self._since = now
-        self._deputies = DeputyBook(now)
+        self._role_since = now
+        self._remote_grants = LocalGrantsTracker(now)
         self._accounts = {}
-        self._change_share(1.0)
-        for name, level in self._told_levels.items():
+        self._set_fraction(1.0)
+        for name, level in self._replicated_levels.items():
             account = self._account(name, now)
             if account is not None:
                 account.bucket.drain_to(level, now)
@@ -128,25 +128,25 @@
     def stop_coordinating(self, now: float) -> None:
         """Another node counts for the fleet."""
         self._is_coordinator = False
-        self._since = now
+        self._role_since = now
         self._accounts = {}
-        self._change_share(0.0)
+        self._set_fraction(0.0)
 
     def reset_after_pause(self, now: float) -> None:
         """This process stood still: others may have counted meanwhile."""
-        self._since = now
+        self._role_since = now
         for account in self._accounts.values():
-            account.bucket.drain_to(self._careful(account.tenant), now)
+            account.bucket.drain_to(self._unknown_count_level(account.tenant), now)
 
-    def set_fleet_fraction(self, heard: int, nodes: int) -> None:
+    def set_fleet_fraction(self, reported: int, nodes: int) -> None:
         """Take the part of the fleet that this node decides for; ``nodes`` is 0 if not known."""
-        share = min(1.0, heard / nodes) if nodes > 0 else 0.0
-        if share != self._share:
-            self._change_share(share)
+        fraction = min(1.0, reported / nodes) if nodes > 0 else 0.0
+        if fraction != self._share:
+            self._set_fraction(fraction)
 
-    def _change_share(self, share: float) -> None:
-        self._share = share
-        self._authority += 1
+    def _set_fraction(self, fraction: float) -> None:
+        self._share = fraction
+        self._limits_version += 1
 
     @property
     def knows_fleet(self) -> bool:
@@ -160,19 +160,19 @@
         account = self._account(name, now)
         if account is None:
             return QuotaVerdict.TAKEN
-        if account.bucket.has(now, self._least_level(account)):
+        if account.bucket.has(now, self._min_level(account)):
             account.bucket.take_on_credit(now, 1.0)
-            account.held += 1
-            self._limit(account, now)
+            account.reserved += 1
+            self._update_limits(account, now)
             return QuotaVerdict.TAKEN
         return QuotaVerdict.OVER if self._is_coordinator else QuotaVerdict.UNKNOWN
 
     def release(self, name: str, now: float) -> None:
         """A request that had a token is not sent."""
         account = self._account(name, now)
-        if account is not None and account.held > 0:
-            account.held -= 1
-            self._limit(account, now)
+        if account is not None and account.reserved > 0:
+            account.reserved -= 1
+            self._update_limits(account, now)
             account.bucket.give_back(1.0)
 
     def spend(self, name: str, now: float) -> None:
@@ -180,9 +180,9 @@
         account = self._account(name, now)
         if account is None:
             return
-        account.held = max(0, account.held - 1)
-        self._limit(account, now)
-        self._note_granted(name, now)
+        account.reserved = max(0, account.reserved - 1)
+        self._update_limits(account, now)
+        self._record_grant(name, now)
 
     def charge(self, name: str, now: float) -> None:
         """A request is sent once more: it is counted, and goes whether there is a token or not."""
@@ -190,14 +190,14 @@
         if account is None:
             return
         account.bucket.take_on_credit(now, 1.0)
-        self._note_granted(name, now)
+        self._record_grant(name, now)
 
     def wait_s(self, name: str, now: float) -> float:
         """Return the time until there is a token."""
         account = self._account(name, now)
         return 0.0 if account is None else account.bucket.wait_s(now)
 
-    def _least_level(self, account: _Account) -> float:
+    def _min_level(self, account: _Account) -> float:
         """Return the level at which a token may be taken.
 
         A deputy's part may be less than one token; it gives one out with that chance then, and is
@@ -207,9 +207,9 @@
             return 1.0
         return 1.0 - self._random.random() if account.bucket.burst > 0 else 1.0
 
-    def _note_granted(self, name: str, now: float) -> None:
+    def _record_grant(self, name: str, now: float) -> None:
         if not self._is_coordinator:
-            self._granted.note(name, now)
+            self._grant_log.record(name, now)
 
     # --- buckets ---
 
@@ -221,44 +221,44 @@
             return None
         account = self._accounts.get(name)
         if account is None:
-            account = self._accounts[name] = self._open(tenant, now)
+            account = self._accounts[name] = self._open_account(tenant, now)
         elif self._has_changed(account, tenant):
             account.tenant = tenant
-            account.authority = self._authority
-            self._limit(account, now)
+            account.limits_version = self._limits_version
+            self._update_limits(account, now)
         return account
 
     def _has_changed(self, account: _Account, tenant: Tenant) -> bool:
         """Whether other limits may hold for a bucket; those of deputies also change by time."""
-        is_current = account.tenant is tenant and account.authority == self._authority
+        is_current = account.tenant is tenant and account.limits_version == self._limits_version
         return not (is_current and self._is_coordinator)
 
-    def _open(self, tenant: Tenant, now: float) -> _Account:
+    def _open_account(self, tenant: Tenant, now: float) -> _Account:
         """Return a bucket that was not used since this node has its role."""
         depth = self._depth(tenant, now)
         bucket = TokenBucket(self._rate_per_s(tenant), depth, now)
         if self._is_coordinator:
-            gained = bucket.rate_per_s * (now - self._since)
-            bucket.drain_to(self._careful(tenant) + gained, now)
-        return _Account(tenant, bucket, self._authority)
+            gained = bucket.rate_per_s * (now - self._role_since)
+            bucket.drain_to(self._unknown_count_level(tenant) + gained, now)
+        return _Account(tenant, bucket, self._limits_version)
 
-    def _limit(self, account: _Account, now: float) -> None:
-        depth = max(0.0, self._depth(account.tenant, now) - account.held)
+    def _update_limits(self, account: _Account, now: float) -> None:
+        depth = max(0.0, self._depth(account.tenant, now) - account.reserved)
         account.bucket.set_rate(self._rate_per_s(account.tenant), depth, now)
 
     def _rate_per_s(self, tenant: Tenant) -> float:
-        part = 1.0 if self._is_coordinator else DEPUTY_RATE
-        return part * self._share * tenant.rate_per_s
+        role_fraction = 1.0 if self._is_coordinator else LOCAL_RATE_FRACTION
+        return role_fraction * self._share * tenant.rate_per_s
 
     def _depth(self, tenant: Tenant, now: float) -> float:
         if self._is_coordinator:
             return max(1.0, self._share * tenant.bucket_size)
-        if tenant.name in self._near or now - self._near_at > NEAR_FRESH_S:
-            return self._share * self._careful(tenant)
-        return self._share * self._careful(tenant) / ALONE_SHARE
+        if tenant.name in self._near_limit_names or now - self._near_limit_at > NEAR_LIMIT_TTL_S:
+            return self._share * self._unknown_count_level(tenant)
+        return self._share * self._unknown_count_level(tenant) / INDEPENDENT_FLEET_FRACTION
 
-    def _careful(self, tenant: Tenant) -> float:
-        return CAREFUL_SHARE * self._bounds.tolerance(tenant)
+    def _unknown_count_level(self, tenant: Tenant) -> float:
+        return UNKNOWN_COUNT_FRACTION * self._bounds.tolerance(tenant)
 
     # --- what nodes tell each other ---
 
@@ -266,36 +266,36 @@
         """Return the tenants that may be near their limits, sorted."""
         return sorted(
             name
-            for name, one in self._accounts.items()
-            if not one.bucket.has(now, NEAR_SHARE * one.tenant.bucket_size)
+            for name, account in self._accounts.items()
+            if not account.bucket.has(now, NEAR_LIMIT_FRACTION * account.tenant.bucket_size)
         )
 
     def apply_near_limit(self, names: list[str], now: float) -> None:
         """Take what the coordinator told of tenants near their limits."""
-        self._near = frozenset(names)
-        self._near_at = now
+        self._near_limit_names = frozenset(names)
+        self._near_limit_at = now
 
     def bucket_levels(self, now: float) -> dict[str, float]:
         """Return the buckets that are not full, for a node that may have to take over."""
         return {
-            name: round(one.bucket.level(now), 2)
-            for name, one in self._accounts.items()
-            if not one.bucket.has(now, one.bucket.burst)
+            name: round(account.bucket.level(now), 2)
+            for name, account in self._accounts.items()
+            if not account.bucket.has(now, account.bucket.burst)
         }
 
     def apply_bucket_levels(self, levels: dict[str, float]) -> None:
         """Take the coordinator's levels; they hold when this node takes over."""
-        self._told_levels = levels
+        self._replicated_levels = levels
 
     def local_grants(self, now: float) -> LocalGrants | None:
         """Return what this node gave out as a deputy lately; None is nothing."""
-        return self._granted.report(now)
+        return self._grant_log.report(now)
 
     def record_local_grants(
         self, node: str, run: str, grants: LocalGrants | None, now: float
     ) -> None:
         """Count what a node gave out itself since it last told."""
-        for name, count in self._deputies.news(node, run, grants, now).items():
+        for name, count in self._remote_grants.new_grants(node, run, grants, now).items():
             account = self._account(name, now)
             if account is not None:
                 account.bucket.take_on_credit(now, float(count))
--- a/src/cloverwalk/scheduling/replica_load_tracker.py
+++ b/src/cloverwalk/scheduling/replica_load_tracker.py
@@ -12,10 +12,10 @@
 from cloverwalk.fleet.in_flight import NOTHING_IN_FLIGHT, InFlight
 from cloverwalk.fleet.messages import NodeLoad
 
-UNSETTLED_S = 0.5
+DECISION_TIMEOUT_S = 0.5
 """A decision that its node has not reported after this time is taken as lost on the way."""
 
-SNAPSHOT_VALID_S = 1.5
+SNAPSHOT_TTL_S = 1.5
 """How long another coordinator's sums count: by then every node has reported here itself."""
 
 
@@ -43,21 +43,21 @@
 @attrs.define
 class _NodeWork:
     loads: dict[str, NodeLoad] = attrs.Factory(dict)
-    unsettled: list[_Decision] = attrs.Factory(list)
+    unconfirmed: list[_Decision] = attrs.Factory(list)
 
 
 class ReplicaLoadTracker:
     """Work by replica.
 
-    >>> book = ReplicaLoadTracker()
-    >>> book.record_report("n1", {"r1": NodeLoad(2, 3)}, settled=0)
+    >>> tracker = ReplicaLoadTracker()
+    >>> tracker.record_report("n1", {"r1": NodeLoad(2, 3)}, last_applied_order=0)
     {'r1'}
-    >>> book.expect("n1", 1, "r1", online=1, now=0.0)
-    >>> book.total("r1", now=0.1)
+    >>> tracker.expect("n1", 1, "r1", online=1, now=0.0)
+    >>> tracker.total("r1", now=0.1)
     InFlight(online=3, batch=3, tokens=0, batch_tokens=0)
-    >>> book.record_report("n1", {"r1": NodeLoad(3, 2)}, settled=1)
+    >>> tracker.record_report("n1", {"r1": NodeLoad(3, 2)}, last_applied_order=1)
     {'r1'}
-    >>> book.total("r1", now=0.2)
+    >>> tracker.total("r1", now=0.2)
     InFlight(online=3, batch=2, tokens=0, batch_tokens=0)
     """
 
@@ -66,22 +66,26 @@
         self._sums: dict[str, InFlight] = {}
         self._snapshot: dict[str, NodeLoad] = {}
         self._snapshot_until = float("-inf")
-        self._adds = False
-        self._base: dict[str, int] = {}
+        self._is_snapshot_partial = False
+        self._snapshot_baseline: dict[str, int] = {}
         """Online work that was known here when the snapshot came; it stands in there as well."""
 
     # --- changes ---
 
-    def record_report(self, node: str, loads: dict[str, NodeLoad], settled: int) -> set[str]:
+    def record_report(
+        self, node: str, loads: dict[str, NodeLoad], last_applied_order: int
+    ) -> set[str]:
         """Take what a node reports; return the replicas whose sums may have changed."""
         work = self._work.setdefault(node, _NodeWork())
         changed = set(work.loads) | set(loads)
         self._add(work.loads, -1)
         self._add(loads, 1)
         work.loads = loads
-        for decision in [one for one in work.unsettled if one.number <= settled]:
+        for decision in [
+            pending for pending in work.unconfirmed if pending.number <= last_applied_order
+        ]:
             changed.add(decision.replica_id)
-            self._drop(work, decision)
+            self._remove_decision(work, decision)
         return changed
 
     def expect(
@@ -99,8 +103,8 @@
         """Count a decision until its node reports that it has settled it."""
         work = self._work.setdefault(node, _NodeWork())
         decision = _Decision(number, replica_id, online, batch, now, tokens, tenant)
-        work.unsettled.append(decision)
-        self._change(replica_id, _expected(decision), 1)
+        work.unconfirmed.append(decision)
+        self._change(replica_id, _expected_load(decision), 1)
 
     def remove_node(self, node: str) -> set[str]:
         """A node is gone, and its connections with it; return the replicas concerned."""
@@ -108,17 +112,21 @@
         if work is None:
             return set()
         self._add(work.loads, -1)
-        for decision in list(work.unsettled):
-            self._drop(work, decision)
+        for decision in list(work.unconfirmed):
+            self._remove_decision(work, decision)
         return set(work.loads)
 
     def expire(self, now: float) -> set[str]:
         """Drop decisions that were lost on the way; return the replicas concerned."""
         changed: set[str] = set()
         for work in self._work.values():
-            for decision in [one for one in work.unsettled if now - one.made_at > UNSETTLED_S]:
+            for decision in [
+                pending
+                for pending in work.unconfirmed
+                if now - pending.made_at > DECISION_TIMEOUT_S
+            ]:
                 changed.add(decision.replica_id)
-                self._drop(work, decision)
+                self._remove_decision(work, decision)
         return changed
 
     def apply_snapshot(
@@ -130,41 +138,47 @@
         work that comes here is added to the sums.
         """
         self._snapshot = totals
-        self._snapshot_until = now + SNAPSHOT_VALID_S
-        self._base = {} if is_complete else {key: one.online for key, one in self._sums.items()}
-        self._adds = not is_complete
+        self._snapshot_until = now + SNAPSHOT_TTL_S
+        self._snapshot_baseline = (
+            {} if is_complete else {key: load.online for key, load in self._sums.items()}
+        )
+        self._is_snapshot_partial = not is_complete
 
-    def _drop(self, work: _NodeWork, decision: _Decision) -> None:
-        work.unsettled.remove(decision)
-        self._change(decision.replica_id, _expected(decision), -1)
+    def _remove_decision(self, work: _NodeWork, decision: _Decision) -> None:
+        work.unconfirmed.remove(decision)
+        self._change(decision.replica_id, _expected_load(decision), -1)
 
     def _add(self, loads: dict[str, NodeLoad], sign: int) -> None:
         for replica_id, load in loads.items():
             self._change(replica_id, load, sign)
 
     def _change(self, replica_id: str, load: NodeLoad, sign: int) -> None:
-        known = self._sums.setdefault(replica_id, InFlight())
-        known.online += sign * load.online
-        known.batch += sign * load.batch
-        known.tokens += sign * load.tokens
-        known.batch_tokens += sign * load.batch_tokens
-        if known == NOTHING_IN_FLIGHT:
+        sums = self._sums.setdefault(replica_id, InFlight())
+        sums.online += sign * load.online
+        sums.batch += sign * load.batch
+        sums.tokens += sign * load.tokens
+        sums.batch_tokens += sign * load.batch_tokens
+        if sums == NOTHING_IN_FLIGHT:
             del self._sums[replica_id]
 
     # --- figures ---
 
     def total(self, replica_id: str, now: float) -> InFlight:
         """Return the work in flight at a replica."""
-        known = self._sums.get(replica_id, NOTHING_IN_FLIGHT)
-        told = self._snapshot.get(replica_id) if now < self._snapshot_until else None
-        if told is None:
-            return known
-        news = max(0, known.online - self._base.get(replica_id, 0)) if self._adds else 0
+        sums = self._sums.get(replica_id, NOTHING_IN_FLIGHT)
+        snapshot = self._snapshot.get(replica_id) if now < self._snapshot_until else None
+        if snapshot is None:
+            return sums
+        new_online = (
+            max(0, sums.online - self._snapshot_baseline.get(replica_id, 0))
+            if self._is_snapshot_partial
+            else 0
+        )
         return InFlight(
-            max(known.online, told.online + news),
-            max(known.batch, told.batch),
-            max(known.tokens, told.tokens),
-            max(known.batch_tokens, told.batch_tokens),
+            max(sums.online, snapshot.online + new_online),
+            max(sums.batch, snapshot.batch),
+            max(sums.tokens, snapshot.tokens),
+            max(sums.batch_tokens, snapshot.batch_tokens),
         )
 
     @property
@@ -175,8 +189,8 @@
     def replica_loads(self) -> dict[str, NodeLoad]:
         """Return the work of all nodes by replica, without what another coordinator told."""
         return {
-            key: NodeLoad(one.online, one.batch, one.tokens, one.batch_tokens)
-            for key, one in self._sums.items()
+            key: NodeLoad(load.online, load.batch, load.tokens, load.batch_tokens)
+            for key, load in self._sums.items()
         }
 
     def holders(self, replica_id: str) -> list[Holder]:
@@ -187,24 +201,29 @@
         found = [
             Holder(node, self._items_of(work, replica_id)) for node, work in self._work.items()
         ]
-        return sorted((one for one in found if one.items > 0), key=lambda one: (-one.items, one))
+        return sorted(
+            (holder for holder in found if holder.items > 0),
+            key=lambda holder: (-holder.items, holder),
+        )
 
     def _items_of(self, work: _NodeWork, replica_id: str) -> int:
         load = work.loads.get(replica_id)
         items = 0 if load is None else load.batch
-        return items + sum(one.batch for one in work.unsettled if one.replica_id == replica_id)
+        return items + sum(
+            decision.batch for decision in work.unconfirmed if decision.replica_id == replica_id
+        )
 
     def granted(self, node: str) -> Counter[str]:
         """Return how many items a node was told to start and has not reported yet, by tenant."""
         granted: Counter[str] = Counter()
         work = self._work.get(node)
-        for one in [] if work is None else work.unsettled:
-            if one.batch > 0:
-                granted[one.tenant] += one.batch
+        for decision in [] if work is None else work.unconfirmed:
+            if decision.batch > 0:
+                granted[decision.tenant] += decision.batch
         return granted
 
 
-def _expected(decision: _Decision) -> NodeLoad:
+def _expected_load(decision: _Decision) -> NodeLoad:
     """Return the work that a decision adds; an order concerns online work or items, not both."""
     batch_tokens = decision.tokens if decision.batch else 0
     return NodeLoad(decision.online, decision.batch, decision.tokens, batch_tokens)
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -20,7 +20,7 @@
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import ReplicaDirectory
-from cloverwalk.scheduling.batch import BatchGrants, StoreMs
+from cloverwalk.scheduling.batch import BatchGrants, StoreTimeMs
 from cloverwalk.scheduling.decisions import Decisions, Outbox
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.online import OnlineQueue
@@ -51,10 +51,10 @@
         self.times = times
         self.slowdowns = ReplicaSlowdowns()
         self._directory = directory
-        self._is_paced = False
+        self._uses_slowdowns = False
         """Whether choices go by pace, as of the last look."""
 
-        self._paced_fingerprint: int | None = None
+        self._slowdown_fingerprint: int | None = None
         self.quotas = FleetQuotas(configuration, quota_bounds, random)
         self.load_tracker = ReplicaLoadTracker()
         self._outbox = Outbox()
@@ -84,7 +84,7 @@
         self.online_shares = self._online.shares
         self.item_shares = self._batch.shares
 
-    def set_store_time(self, store_ms: StoreMs) -> None:
+    def set_store_time(self, store_ms: StoreTimeMs) -> None:
         """Have items be granted by what is left until they are due, in the store's time."""
         self._batch.store_ms = store_ms
 
@@ -93,75 +93,80 @@
         node = report.node
         changed = self.load_tracker.record_report(node, report.loads, report.last_applied_order)
         self._batch.record_waiting(node, report.zone, report.waiting)
-        self._replicas.hear_zone(node, report.zone)
+        self._replicas.record_zone(node, report.zone)
         has_returned = not report.has_lost_coordinator
-        self._replicas.hear_suspects(node, report.suspects, now, has_returned=has_returned)
-        self._look_at_paces(now)
+        self._replicas.record_suspects(node, report.suspects, now, has_returned=has_returned)
+        self._update_slowdowns(now)
         for number in report.withdrawn:
             self._online.withdraw(node, number, now)
-        for served in report.request_timings:
-            self._online.correct(served)
-            self._learn(node, served, now)
-        for timing in report.item_timings:
-            self._learn_pace(timing, True, timing.events, timing.took_ms, now)
-        for one in report.corrections:
-            self.item_shares.correct(one.rank, one.tenant, one.extra_ms)
-        for ask in report.placement_requests:
-            replica_id = self._online.answer(node, report.zone, ask, now)
+        for request_timing in report.request_timings:
+            self._online.correct_usage(request_timing)
+            self._record_request_timing(node, request_timing, now)
+        for item_timing in report.item_timings:
+            self._record_slowdown(item_timing, True, item_timing.events, item_timing.took_ms, now)
+        for correction in report.corrections:
+            self.item_shares.correct(correction.rank, correction.tenant, correction.extra_ms)
+        for request in report.placement_requests:
+            replica_id = self._online.handle_request(node, report.zone, request, now)
             if replica_id:
-                self._batch.make_room([replica_id], now)
-        self._settle(changed, now)
-
-    def _learn(self, node: str, served: RequestTiming, now: float) -> None:
-        self._replicas.note_answer(node, served.replica_id, now)
-        self._learn_pace(served, False, served.events, served.hold_ms, now)
-        usual = self.slowdowns.usual(served.replica_id)
-        self.times.note_hold(served.route, served.hold_ms / usual)
-        if served.expected_wait_ms > 0:
-            self.times.note_wait(served.route, served.expected_wait_ms, served.first_event_ms)
+                self._batch.preempt_items([replica_id], now)
+        self._reassign_slots(changed, now)
+
+    def _record_request_timing(self, node: str, timing: RequestTiming, now: float) -> None:
+        self._replicas.record_answer(node, timing.replica_id, now)
+        self._record_slowdown(timing, False, timing.events, timing.hold_ms, now)
+        baseline = self.slowdowns.baseline(timing.replica_id)
+        self.times.record_hold(timing.route, timing.hold_ms / baseline)
+        if timing.expected_wait_ms > 0:
+            self.times.record_wait(timing.route, timing.expected_wait_ms, timing.first_event_ms)
         else:
-            self.times.record_start(served.route, served.first_event_ms / usual)
+            self.times.record_start(timing.route, timing.first_event_ms / baseline)
 
-    def _look_at_paces(self, now: float) -> None:
+    def _update_slowdowns(self, now: float) -> None:
         """Have choices go by the replicas' paces of this moment, where that is in force."""
-        self._is_paced = self.features.is_on(Feature.REPLICA_PACE)
-        if not self._is_paced:
-            self._replicas.paces = {}
+        self._uses_slowdowns = self.features.is_on(Feature.REPLICA_PACE)
+        if not self._uses_slowdowns:
+            self._replicas.current_slowdowns = {}
             return
-        if self._paced_fingerprint != self._directory.fingerprint:
-            self._paced_fingerprint = self._directory.fingerprint
-            self.slowdowns.note_replicas(self._directory.all(), now)
+        if self._slowdown_fingerprint != self._directory.fingerprint:
+            self._slowdown_fingerprint = self._directory.fingerprint
+            self.slowdowns.update_replicas(self._directory.all(), now)
         self.slowdowns.refresh(now)
-        self._replicas.paces = self.slowdowns.present
+        self._replicas.current_slowdowns = self.slowdowns.current
 
-    def _learn_pace(
-        self, told: RequestTiming | ItemTiming, is_item: bool, events: int, took_ms: int, now: float
+    def _record_slowdown(
+        self,
+        timing: RequestTiming | ItemTiming,
+        is_item: bool,
+        events: int,
+        took_ms: int,
+        now: float,
     ) -> None:
         """Learn how fast a replica worked for an answer, where replicas tell their pace."""
-        replica = self._directory.find(told.replica_id)
+        replica = self._directory.find(timing.replica_id)
         if replica is None:
             return
-        if told.slowdown_percent > 0:
+        if timing.slowdown_percent > 0:
             self.features.note_told_pace(replica.service)
-        if not self._is_paced:
+        if not self._uses_slowdowns:
             return
         # The answer has just ended, and the book does not count it any more.
         running = self.load_tracker.total(replica.replica_id, now).total + 1
-        percent, fill = told.slowdown_percent, running / replica.slots
+        percent, utilization = timing.slowdown_percent, running / replica.slots
         measured = Measurement(
-            replica.replica_id, replica.service, is_item, events, took_ms, percent, fill
+            replica.replica_id, replica.service, is_item, events, took_ms, percent, utilization
         )
-        self.slowdowns.note(measured, now)
+        self.slowdowns.record(measured, now)
 
-    def apply_slowdowns(self, figures: Mapping[str, SlowdownEstimate], now: float) -> None:
+    def apply_slowdowns(self, estimates: Mapping[str, SlowdownEstimate], now: float) -> None:
         """Take the paces that another coordinator has learnt."""
-        for replica_id in figures:
+        for replica_id in estimates:
             replica = self._directory.find(replica_id)
             if replica is not None:
                 self.features.note_told_pace(replica.service)
         # A standby that nobody reports to decides nothing: it forgets here who is gone.
-        self._look_at_paces(now)
-        self.slowdowns.apply(figures, now)
+        self._update_slowdowns(now)
+        self.slowdowns.apply(estimates, now)
 
     def remove_node(self, node: str, now: float) -> None:
         """A node is gone: its work ends, and its requests wait no more."""
@@ -169,7 +174,7 @@
         self._batch.remove_node(node)
         self._replicas.remove_node(node)
         self._online.remove_node(node, now)
-        self._settle(changed, now)
+        self._reassign_slots(changed, now)
 
     def restrict_grants_to(self, zone: str) -> None:
         """Grant items only slots of replicas of a zone; empty: of all."""
@@ -179,18 +184,18 @@
         """Do what is due by time alone."""
         self.reachability.tick(now)
         changed = self.load_tracker.expire(now)
-        self._look_at_paces(now)
+        self._update_slowdowns(now)
         self._online.expire(now)
-        self._settle(changed, now)
+        self._reassign_slots(changed, now)
 
-    def _settle(self, changed: Iterable[str], now: float) -> None:
+    def _reassign_slots(self, changed: Iterable[str], now: float) -> None:
         """Free slots for online work, then fill what is free: held requests first."""
         changed = list(changed)
-        self._batch.make_room(changed, now)
-        for replica_id in self._online.try_held(now):
+        self._batch.preempt_items(changed, now)
+        for replica_id in self._online.place_queued(now):
             if replica_id:
-                self._batch.make_room([replica_id], now)
-        self._batch.fill(changed, now)
+                self._batch.preempt_items([replica_id], now)
+        self._batch.grant_free_slots(changed, now)
 
     # --- what was decided, and what is known ---
 
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -17,40 +17,40 @@
 from cloverwalk.gateway.replicas import Replica
 
 SUSPECT_COST_MS = 10_000.0
-DOUBT_COST_MS = 60.0
+PEER_SUSPECT_COST_MS = 60.0
 """Cost of a replica that failed at another node: about that of a full one over an empty one. A dead
 replica looks empty, and all would go there first."""
 
-FULL_COST_MS = 60.0
+QUEUED_REQUEST_COST_MS = 60.0
 """Expected wait for each request that is already there beyond the slots."""
 
 LOAD_COST_MS = 30.0
 """Cost of a replica full of online work over an empty one, below its slots."""
 
-CROWDED_FROM = 0.5
+HIGH_LOAD_THRESHOLD = 0.5
 """Share of the slots with online work from which a replica counts as crowded."""
 
-CROWDED_COST_MS = 100.0
+HIGH_LOAD_COST_MS = 100.0
 """Cost of a full replica over one that is just crowded, besides ``LOAD_COST_MS``."""
 
 BATCH_COST_MS = 6.0
 """Cost of a replica full of batch work: it gives way, but not at once."""
 
-CUT_COST_MS = 20.0
+PREEMPTION_COST_MS = 20.0
 """Cost of a slot that an item has to give up: the item reads its prompt again at another one."""
 
-COMPANY_COST_MS = 40.0
+OTHER_SUSPECT_COST_MS = 40.0
 """Cost of each suspect that a replica was sent lately, for another suspect. Requests whose replica
 ended are sent on at the same moment, and a replica that has just started looks best to them all:
 four were seen to lose both their replicas by one guilty neighbour. It outweighs a half full one."""
 
-READ_TOKENS_PER_MS = 50.0
-OTHER_ZONE_MS = 5.0
-OTHER_ZONE_MS_PER_KB = 1.5
+PREFILL_TOKENS_PER_MS = 50.0
+OTHER_ZONE_COST_MS = 5.0
+OTHER_ZONE_COST_MS_PER_KB = 1.5
 
-ONCE_OTHER_ZONE_MS = 150.0
+NON_RETRYABLE_OTHER_ZONE_COST_MS = 150.0
 """The same for a request that may not run again, where zones may be cut from each other: it is then
-lost. More than ``LOAD_COST_MS`` and ``CROWDED_COST_MS`` together: it stays where a slot is free,
+lost. More than ``LOAD_COST_MS`` and ``HIGH_LOAD_COST_MS`` together: it stays where a slot is free,
 and leaves for a wait of some three requests."""
 
 
@@ -60,14 +60,14 @@
     replica: Replica
     in_flight: InFlight
     is_suspect: bool
-    is_doubted: bool = False
+    is_peer_suspect: bool = False
     prefill_ms: float = 0.0
     """Time that the replica needs for prompts that were sent there and are not read yet."""
 
     other_suspects: int = 0
     """Requests sent there lately under which replicas have ended, for one that is a suspect too."""
 
-    pace: float = 1.0
+    slowdown: float = 1.0
     """How long work takes there, as a multiple of the service's usual time."""
 
 
@@ -83,7 +83,7 @@
     own_tokens: int = 0
     """Tokens of the part of its prompt that nobody shares."""
 
-    other_zone_ms: float = OTHER_ZONE_MS
+    other_zone_cost_ms: float = OTHER_ZONE_COST_MS
     """Cost of a replica of another zone, besides that of the bytes."""
 
     start_ms: float = 0.0
@@ -92,7 +92,7 @@
 
 def prefill_ms(tokens: int) -> float:
     """Return the time that a replica is expected to read a prompt of so many tokens for."""
-    return tokens / READ_TOKENS_PER_MS
+    return tokens / PREFILL_TOKENS_PER_MS
 
 
 def choose(candidates: Sequence[Candidate], demand: Demand) -> Candidate | None:
@@ -112,48 +112,56 @@
     """
     if not candidates:
         return None
-    homes = _home_by_zone(candidates, demand)
-    return min(candidates, key=lambda one: (_cost_ms(one, demand, homes), one.replica.replica_id))
-
-
-def expected_reading_ms(chosen: Candidate, among: Sequence[Candidate], demand: Demand) -> float:
+    affinity_ids = _prefix_affinity_ids(candidates, demand)
+    return min(
+        candidates,
+        key=lambda candidate: (
+            _cost_ms(candidate, demand, affinity_ids),
+            candidate.replica.replica_id,
+        ),
+    )
+
+
+def expected_prefill_ms(
+    chosen: Candidate, candidates: Sequence[Candidate], demand: Demand
+) -> float:
     """Return how long the chosen replica is expected to read the request's prompt for."""
-    is_home = chosen.replica.replica_id in _home_by_zone(among, demand)
-    tokens = demand.own_tokens + (0 if is_home else demand.shared_tokens)
-    return chosen.pace * prefill_ms(tokens)
+    has_affinity = chosen.replica.replica_id in _prefix_affinity_ids(candidates, demand)
+    tokens = demand.own_tokens + (0 if has_affinity else demand.shared_tokens)
+    return chosen.slowdown * prefill_ms(tokens)
 
 
-def _home_by_zone(candidates: Sequence[Candidate], demand: Demand) -> set[str]:
+def _prefix_affinity_ids(candidates: Sequence[Candidate], demand: Demand) -> set[str]:
     if not demand.shared_part:
         return set()
-    zones: dict[str, list[str]] = {}
-    for one in candidates:
-        zones.setdefault(one.replica.zone, []).append(one.replica.replica_id)
-    return {rendezvous_rank(demand.shared_part, ids)[0] for ids in zones.values()}
+    ids_by_zone: dict[str, list[str]] = {}
+    for candidate in candidates:
+        ids_by_zone.setdefault(candidate.replica.zone, []).append(candidate.replica.replica_id)
+    return {rendezvous_rank(demand.shared_part, ids)[0] for ids in ids_by_zone.values()}
 
 
-def _cost_ms(candidate: Candidate, demand: Demand, homes: set[str]) -> float:
+def _cost_ms(candidate: Candidate, demand: Demand, affinity_ids: set[str]) -> float:
     replica = candidate.replica
-    pace = candidate.pace
+    slowdown = candidate.slowdown
     cost = SUSPECT_COST_MS if candidate.is_suspect else 0.0
-    cost += DOUBT_COST_MS if candidate.is_doubted else 0.0
+    cost += PEER_SUSPECT_COST_MS if candidate.is_peer_suspect else 0.0
     in_flight = candidate.in_flight
     cost += candidate.prefill_ms
-    cost += COMPANY_COST_MS * candidate.other_suspects
+    cost += OTHER_SUSPECT_COST_MS * candidate.other_suspects
     used = in_flight.online / replica.slots
-    cost += pace * LOAD_COST_MS * used
-    if used > CROWDED_FROM:
-        cost += CROWDED_COST_MS * (used - CROWDED_FROM) / (1 - CROWDED_FROM)
+    cost += slowdown * LOAD_COST_MS * used
+    if used > HIGH_LOAD_THRESHOLD:
+        cost += HIGH_LOAD_COST_MS * (used - HIGH_LOAD_THRESHOLD) / (1 - HIGH_LOAD_THRESHOLD)
     cost += BATCH_COST_MS * in_flight.batch / replica.slots
     if in_flight.batch and in_flight.total >= replica.slots:
-        cost += CUT_COST_MS
-    cost += (pace - 1.0) * demand.start_ms
-    queue = in_flight.online + 1 - replica.slots
-    if queue > 0:
+        cost += PREEMPTION_COST_MS
+    cost += (slowdown - 1.0) * demand.start_ms
+    queue_length = in_flight.online + 1 - replica.slots
+    if queue_length > 0:
         # That of a fast replica is short, but nobody should queue while another has a free slot.
-        cost += max(1.0, pace) * FULL_COST_MS * queue
-    if homes and replica.replica_id not in homes:
-        cost += pace * prefill_ms(demand.shared_tokens)
+        cost += max(1.0, slowdown) * QUEUED_REQUEST_COST_MS * queue_length
+    if affinity_ids and replica.replica_id not in affinity_ids:
+        cost += slowdown * prefill_ms(demand.shared_tokens)
     if replica.zone != demand.zone:
-        cost += demand.other_zone_ms + OTHER_ZONE_MS_PER_KB * demand.size_bytes / 1024
+        cost += demand.other_zone_cost_ms + OTHER_ZONE_COST_MS_PER_KB * demand.size_bytes / 1024
     return cost
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -8,14 +8,14 @@
 WAIT_LEARNING_WEIGHT = 0.1
 """The same for waits, of which there are few."""
 
-FIRST_GUESS_HOLD_MS = 500.0
+INITIAL_HOLD_MS = 500.0
 """Time in a slot before any was measured; too long a guess only makes a new node cautious."""
 
-FIRST_GUESS_START_MS = 80.0
+INITIAL_START_MS = 80.0
 """Time to the first event at a replica with a free slot before any was measured."""
 
-LEAST_WAIT_FACTOR = 0.5
-MOST_WAIT_FACTOR = 4.0
+MIN_WAIT_FACTOR = 0.5
+MAX_WAIT_FACTOR = 4.0
 """Bounds of the correction: one odd moment must not turn requests away for long."""
 
 
@@ -24,7 +24,7 @@
     """An average in which older measurements fade; the first one replaces the guess.
 
     >>> average = RunningAverage(500.0, weight=0.5)
-    >>> average.note(100.0), average.note(200.0), average.value
+    >>> average.add(100.0), average.add(200.0), average.value
     (None, None, 150.0)
     """
 
@@ -32,7 +32,7 @@
     weight: float
     _count: int = 0
 
-    def note(self, measured: float) -> None:
+    def add(self, measured: float) -> None:
         """Take a measurement."""
         self._count += 1
         self.value += max(self.weight, 1 / self._count) * (measured - self.value)
@@ -44,11 +44,11 @@
 
 
 def _hold() -> RunningAverage:
-    return RunningAverage(FIRST_GUESS_HOLD_MS, LEARNING_WEIGHT)
+    return RunningAverage(INITIAL_HOLD_MS, LEARNING_WEIGHT)
 
 
 def _start() -> RunningAverage:
-    return RunningAverage(FIRST_GUESS_START_MS, LEARNING_WEIGHT)
+    return RunningAverage(INITIAL_START_MS, LEARNING_WEIGHT)
 
 
 @attrs.define
@@ -94,8 +94,12 @@
     def estimates(self) -> dict[str, tuple[float, float, float]]:
         """Return start and hold in ms and the wait factor, by route."""
         return {
-            name: (round(one.start.value, 1), round(one.hold.value, 1), round(one.wait_factor, 3))
-            for name, one in self._by_route.items()
+            name: (
+                round(times.start.value, 1),
+                round(times.hold.value, 1),
+                round(times.wait_factor, 3),
+            )
+            for name, times in self._by_route.items()
         }
 
     def apply_estimate(
@@ -109,18 +113,18 @@
 
     def record_start(self, route: str, took_ms: float) -> None:
         """A request that found a free slot had its first event after so long."""
-        self._of(route).start.note(took_ms)
+        self._of(route).start.add(took_ms)
 
-    def note_hold(self, route: str, took_ms: float) -> None:
+    def record_hold(self, route: str, took_ms: float) -> None:
         """A request was served; its events took so long."""
-        self._of(route).hold.note(took_ms)
+        self._of(route).hold.add(took_ms)
 
-    def note_wait(self, route: str, expected_ms: float, took_ms: float) -> None:
+    def record_wait(self, route: str, expected_ms: float, took_ms: float) -> None:
         """A request that was expected to wait for a slot had its first event after so long.
 
         ``expected_ms`` is the expected wait without the correction.
         """
         times = self._of(route)
         factor = max(0.0, took_ms - times.start.value) / expected_ms
-        factor = min(MOST_WAIT_FACTOR, max(LEAST_WAIT_FACTOR, factor))
+        factor = min(MAX_WAIT_FACTOR, max(MIN_WAIT_FACTOR, factor))
         times.wait_factor += WAIT_LEARNING_WEIGHT * (factor - times.wait_factor)
--- a/src/cloverwalk/scheduling/slot_time.py
+++ b/src/cloverwalk/scheduling/slot_time.py
@@ -11,11 +11,11 @@
 
 import attrs
 
-LOOK_EVERY_S = 0.25
+SAMPLE_INTERVAL_S = 0.25
 """Time between two looks: a fifth of the time that short requests hold a slot would be finer, but a
 look at 3,000 replicas costs some milliseconds."""
 
-LONGEST_LOOK_S = 1.0
+MAX_SAMPLE_INTERVAL_S = 1.0
 """A longer time without a look counts as this: the node was not coordinating, or stood still."""
 
 
@@ -53,7 +53,7 @@
     batch: int
     is_draining: bool = False
     is_suspected: bool = False
-    may_read: bool = True
+    may_prefill: bool = True
     """Whether it may be sent the prompt of an item now."""
 
 
@@ -69,64 +69,66 @@
 
     def __init__(self) -> None:
         self.seconds: dict[SlotUse, float] = defaultdict(float)
-        self._looked_at: float | None = None
+        self._sampled_at: float | None = None
 
     def is_due(self, now: float, replicas: int) -> bool:
         """Whether it is time for a look; the more replicas, the rarer."""
-        if self._looked_at is None:
+        if self._sampled_at is None:
             return True
-        pause_s = min(LONGEST_LOOK_S, LOOK_EVERY_S * (1 + replicas / 1000))
-        return now - self._looked_at >= pause_s
+        interval_s = min(MAX_SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S * (1 + replicas / 1000))
+        return now - self._sampled_at >= interval_s
 
     def sample(
         self,
         replicas: Iterable[ReplicaUse],
         waiting: Mapping[str, int],
-        kept_free: Mapping[str, int],
+        reserved: Mapping[str, int],
         now: float,
     ) -> None:
         """Count the time since the last look; items that wait and slots kept free are by service.
 
         The first look only begins the count.
         """
-        since, self._looked_at = self._looked_at, now
+        since, self._sampled_at = self._sampled_at, now
         if since is None:
             return
-        passed_s = min(LONGEST_LOOK_S, max(0.0, now - since))
-        wanted = Counter(waiting)
-        kept = Counter(kept_free)
-        for one in replicas:
-            for use, slots in _uses(one, wanted, kept).items():
+        passed_s = min(MAX_SAMPLE_INTERVAL_S, max(0.0, now - since))
+        unassigned_items = Counter(waiting)
+        unassigned_reserved = Counter(reserved)
+        for replica in replicas:
+            for use, slots in _uses(replica, unassigned_items, unassigned_reserved).items():
                 self.seconds[use] += slots * passed_s
 
 
-def _uses(one: ReplicaUse, wanted: Counter[str], kept: Counter[str]) -> Counter[SlotUse]:
+def _uses(
+    replica: ReplicaUse, unassigned_items: Counter[str], unassigned_reserved: Counter[str]
+) -> Counter[SlotUse]:
     """Return a replica's slots by use; takes the items and kept slots that it accounts for."""
-    online = min(one.slots, one.online)
-    items = min(one.slots - online, one.batch)
+    online = min(replica.slots, replica.online)
+    items = min(replica.slots - online, replica.batch)
     uses = Counter({SlotUse.ONLINE: online, SlotUse.ITEMS: items})
-    free = one.slots - online - items
-    if one.is_draining:
+    free = replica.slots - online - items
+    if replica.is_draining:
         uses[SlotUse.DRAINING] = free
         return +uses
-    idle_use = _reason(one)
-    taken = min(free, wanted[one.service])
-    wanted[one.service] -= taken
+    idle_use = _unused_slot_use(replica)
+    wanted = min(free, unassigned_items[replica.service])
+    unassigned_items[replica.service] -= wanted
     if idle_use is SlotUse.NOT_GRANTED:
-        held = min(taken, kept[one.service])
-        kept[one.service] -= held
-        uses[SlotUse.KEPT_FREE] = held
-        taken -= held
-        free -= held
-    uses[idle_use] += taken
-    uses[SlotUse.IDLE] = free - taken
+        reserved = min(wanted, unassigned_reserved[replica.service])
+        unassigned_reserved[replica.service] -= reserved
+        uses[SlotUse.KEPT_FREE] = reserved
+        wanted -= reserved
+        free -= reserved
+    uses[idle_use] += wanted
+    uses[SlotUse.IDLE] = free - wanted
     return +uses
 
 
-def _reason(one: ReplicaUse) -> SlotUse:
+def _unused_slot_use(replica: ReplicaUse) -> SlotUse:
     """Return what keeps items from a free slot of a replica."""
-    if one.is_suspected:
+    if replica.is_suspected:
         return SlotUse.SUSPECTED
-    if not one.may_read:
+    if not replica.may_prefill:
         return SlotUse.READING
     return SlotUse.NOT_GRANTED
--- a/src/cloverwalk/scheduling/zone_reachability.py
+++ b/src/cloverwalk/scheduling/zone_reachability.py
@@ -21,7 +21,7 @@
 WINDOW_S = 1.0
 """They fail within this time: that of connecting to a host that does not answer, and some more."""
 
-SILENT_NODES = 3
+MIN_UNRESPONSIVE_NODES = 3
 """Nodes of a zone that must be silent together; fewer may have failed each by itself."""
 
 SILENT_S = 1.3
@@ -73,8 +73,8 @@
     failed_at: dict[str, float] = attrs.Factory(dict)
     """Replicas that failed since the last answer."""
 
-    is_shut: bool = False
-    is_silent: bool = False
+    is_unreachable: bool = False
+    is_unresponsive: bool = False
     """Whether the nodes there are not heard. That shuts the way once; an answer may open it."""
 
     probed_at: float = float("-inf")
@@ -85,22 +85,22 @@
 class ZoneReachability:
     """The ways between zones.
 
-    >>> reach = ZoneReachability()
+    >>> zones = ZoneReachability()
     >>> for number in range(FAILED_REPLICAS):
-    ...     reach.note_failure("a", "b", f"r{number}", 30, now=1.0)
-    >>> reach.has_shut("a"), reach.may_send("a", "b", 1.2), reach.may_send("a", "b", 1.6)
+    ...     zones.note_failure("a", "b", f"r{number}", 30, now=1.0)
+    >>> zones.has_shut("a"), zones.may_send("a", "b", 1.2), zones.may_send("a", "b", 1.6)
     (True, False, True)
-    >>> reach.may_send("b", "a", 1.2)
+    >>> zones.may_send("b", "a", 1.2)
     True
-    >>> reach.note_answer("a", "b", 1.7)
-    >>> reach.may_send("a", "b", 1.7)
+    >>> zones.note_answer("a", "b", 1.7)
+    >>> zones.may_send("a", "b", 1.7)
     True
     """
 
     def __init__(self) -> None:
         self._links: dict[tuple[str, str], _Link] = {}
-        self._shut: set[tuple[str, str]] = set()
-        self.on_change: Callable[[ReachabilityChange], None] = _nobody
+        self._unreachable: set[tuple[str, str]] = set()
+        self.on_change: Callable[[ReachabilityChange], None] = _ignore_change
 
     # --- what is seen ---
 
@@ -117,7 +117,7 @@
         }
         link.failed_at[replica_id] = now
         needed = max(LEAST_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
-        if not link.is_shut and len(link.failed_at) >= needed:
+        if not link.is_unreachable and len(link.failed_at) >= needed:
             self._set(source, zone, False, Evidence.FAILURES, now)
 
     def note_answer(self, source: str, zone: str, now: float) -> None:
@@ -126,7 +126,7 @@
         if link is None:
             return
         link.failed_at.clear()
-        if link.is_shut:
+        if link.is_unreachable:
             self._set(source, zone, True, Evidence.ANSWER, now)
 
     def record_last_seen(
@@ -134,41 +134,43 @@
     ) -> None:
         """Take when the known nodes of a zone were last heard from ``source``."""
         link = self._links.get((source, zone))
-        is_silent = len(heard_at) >= SILENT_NODES and now - max(heard_at) > SILENT_S
-        if is_silent:
-            if link is None or not link.is_silent:
-                self._shut_silent(source, zone, now)
-        elif link is not None and link.is_silent:
-            link.is_silent = False
-            if link.is_shut:
+        is_unresponsive = len(heard_at) >= MIN_UNRESPONSIVE_NODES and now - max(heard_at) > SILENT_S
+        if is_unresponsive:
+            if link is None or not link.is_unresponsive:
+                self._mark_unresponsive(source, zone, now)
+        elif link is not None and link.is_unresponsive:
+            link.is_unresponsive = False
+            if link.is_unreachable:
                 self._set(source, zone, True, Evidence.HEARD, now)
 
-    def _shut_silent(self, source: str, zone: str, now: float) -> None:
+    def _mark_unresponsive(self, source: str, zone: str, now: float) -> None:
         link = self._links.setdefault((source, zone), _Link())
-        if not link.is_shut:
+        if not link.is_unreachable:
             self._set(source, zone, False, Evidence.SILENCE, now)
-        link.is_silent = True
+        link.is_unresponsive = True
 
     # --- what follows ---
 
     @property
     def unreachable_count(self) -> int:
         """How many ways between zones can't be used."""
-        return len(self._shut)
+        return len(self._unreachable)
 
     def has_shut(self, source: str) -> bool:
         """Whether some zone can't be reached from ``source``."""
-        return bool(self._shut) and any(one == source for one, _ in self._shut)
+        return bool(self._unreachable) and any(
+            unreachable_from == source for unreachable_from, _ in self._unreachable
+        )
 
     def may_send(self, source: str, zone: str, now: float) -> bool:
         """Whether a zone can be reached, or is to be probed now."""
-        if (source, zone) not in self._shut:
+        if (source, zone) not in self._unreachable:
             return True
         return now - self._links[source, zone].probed_at >= PROBE_EVERY_S
 
     def note_sent(self, source: str, zone: str, now: float) -> None:
         """A request was sent: where the zone can't be reached, it is a probe."""
-        if (source, zone) not in self._shut:
+        if (source, zone) not in self._unreachable:
             return
         link = self._links[source, zone]
         link.probed_at = now
@@ -177,7 +179,7 @@
 
     def tick(self, now: float) -> None:
         """Open the ways whose probes have had no failure for long."""
-        for source, zone in sorted(self._shut):
+        for source, zone in sorted(self._unreachable):
             link = self._links[source, zone]
             sent_at = link.first_probe_at
             if sent_at is not None and now - sent_at >= JUDGED_S:
@@ -187,16 +189,16 @@
         self, source: str, zone: str, is_reachable: bool, evidence: Evidence, now: float
     ) -> None:
         link = self._links[source, zone]
-        link.is_shut = not is_reachable
+        link.is_unreachable = not is_reachable
         link.failed_at.clear()
         link.first_probe_at = None
         link.probed_at = now
         if is_reachable:
-            self._shut.discard((source, zone))
+            self._unreachable.discard((source, zone))
         else:
-            self._shut.add((source, zone))
+            self._unreachable.add((source, zone))
         self.on_change(ReachabilityChange(source, zone, is_reachable, evidence))
 
 
-def _nobody(change: ReachabilityChange) -> None:
+def _ignore_change(change: ReachabilityChange) -> None:
     return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -517,8 +517,8 @@
     Mutant(
         "serving: prompts to read are not counted",
         "scheduling/replica_view.py",
-        "        self._read_until[replica_id] = begins_at + reading_ms / 1000",
-        "        self._read_until[replica_id] = begins_at",
+        "        self._prefill_until[replica_id] = begins_at + prefill_ms / 1000",
+        "        self._prefill_until[replica_id] = begins_at",
         SCHEDULER + "test_a_long_prompt_counts_until_it_is_read",
     ),
     Mutant(
@@ -559,22 +559,22 @@
     Mutant(
         "serving: requests beyond the slots are sent all the same",
         "scheduling/admission.py",
-        "    return PlacementVerdict.RETRY_LATER if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.RETRY_LATER if may_retry_later else PlacementVerdict.QUEUE",
         "    return PlacementVerdict.SEND",
         ONLINE + "test_requests_beyond_the_slots_are_told_at_once_to_come_back_and_never_run",
     ),
     Mutant(
         "serving: who came back is turned away again",
         "scheduling/admission.py",
-        "    return PlacementVerdict.RETRY_LATER if may_return else PlacementVerdict.QUEUE",
+        "    return PlacementVerdict.RETRY_LATER if may_retry_later else PlacementVerdict.QUEUE",
         "    return PlacementVerdict.RETRY_LATER",
         ADMISSION + "test_a_request_that_came_back_is_not_turned_away_again",
     ),
     Mutant(
         "serving: patient requests fill the queues of urgent ones",
         "scheduling/admission.py",
-        "        and (one.priority <= priority or one == route)",
-        "        and one == route",
+        "        and (other.priority <= priority or other == route)",
+        "        and other == route",
         ADMISSION + "test_less_urgent_requests_fill_no_queue_in_which_urgent_ones_would_be_late",
     ),
     Mutant(
@@ -587,22 +587,22 @@
     Mutant(
         "serving: decisions count only when they are reported",
         "scheduling/replica_load_tracker.py",
-        "        self._change(replica_id, _expected(decision), 1)\n\n    def remove_node",
+        "        self._change(replica_id, _expected_load(decision), 1)\n\n    def remove_node",
         "\n    def remove_node",
         SCHEDULER + "test_every_free_slot_goes_to_waiting_items_at_once_and_none_twice",
     ),
     Mutant(
         "serving: items that were told to give way still count",
         "scheduling/batch.py",
-        "replica_id, batch=-count, tokens=tokens, now=now)",
-        "replica_id, batch=0, now=now)",
+        "replica_id, batch=-count, tokens=tokens, now=now\n",
+        "replica_id, batch=0, now=now\n",
         SCHEDULER + "test_items_give_way_for_each_online_request_and_no_more",
     ),
     Mutant(
         "memory: a request is placed beside more than fits",
         "scheduling/replica_memory.py",
-        "return limit == 0 or work.tokens - work.batch_tokens + tokens <= limit",
-        "return limit == 0 or tokens <= limit",
+        "return limit_tokens == 0 or work.tokens - work.batch_tokens + tokens <= limit_tokens",
+        "return limit_tokens == 0 or tokens <= limit_tokens",
         "tests/serving/test_replica_memory.py::"
         "test_no_burst_of_long_requests_fills_a_replica_beyond_its_memory",
     ),
@@ -659,7 +659,7 @@
     Mutant(
         "serving: items take slots before held requests",
         "scheduling/online.py",
-        "            replica_id = self._try(held, False, now)\n",
+        "            replica_id = self._place_or_queue(queued, False, now)\n",
         "            replica_id = None\n",
         SCHEDULER + "test_a_held_request_gets_the_next_slot_before_any_item",
     ),
@@ -689,8 +689,8 @@
     Mutant(
         "zones: one failed replica shuts its zone out",
         "scheduling/zone_reachability.py",
-        "        if not link.is_shut and len(link.failed_at) >= needed:",
-        "        if not link.is_shut:",
+        "        if not link.is_unreachable and len(link.failed_at) >= needed:",
+        "        if not link.is_unreachable:",
         "tests/serving/test_zone_loss.py::"
         "test_few_failures_or_one_answer_between_them_shut_no_zone",
     ),
@@ -754,15 +754,15 @@
     Mutant(
         "serving: a takeover begins with full buckets",
         "scheduling/quotas.py",
-        "            bucket.drain_to(self._careful(tenant) + gained, now)",
+        "            bucket.drain_to(self._unknown_count_level(tenant) + gained, now)",
         "            pass",
         QUOTAS + "test_a_takeover_keeps_the_quota",
     ),
     Mutant(
         "serving: each deputy gives out the whole quota",
         "scheduling/quotas.py",
-        "        share = min(1.0, heard / nodes) if nodes > 0 else 0.0",
-        "        share = 1.0",
+        "        fraction = min(1.0, reported / nodes) if nodes > 0 else 0.0",
+        "        fraction = 1.0",
         QUOTAS + "test_nodes_that_decide_alone_keep_the_quota",
     ),
     Mutant(
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -14,12 +14,12 @@
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.features import Features
 from cloverwalk.scheduling.quotas import QuotaBounds
-from cloverwalk.scheduling.replica_memory import UNTOLD_SHARE
+from cloverwalk.scheduling.replica_memory import RESERVED_MEMORY_FRACTION
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.tenants.directory import Tenant
 
 MEMORY = 10_000
-LIMIT = int(MEMORY * (1 - UNTOLD_SHARE))
+LIMIT = int(MEMORY * (1 - RESERVED_MEMORY_FRACTION))
 
 
 def small_fleet(
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -26,10 +26,10 @@
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
-from cloverwalk.scheduling.online import HELD_UNASKED_S
+from cloverwalk.scheduling.online import QUEUED_REQUEST_TTL_S
 from cloverwalk.scheduling.quotas import QuotaBounds
-from cloverwalk.scheduling.replica_load_tracker import UNSETTLED_S, ReplicaLoadTracker
-from cloverwalk.scheduling.replica_view import MOST_CONSIDERED
+from cloverwalk.scheduling.replica_load_tracker import DECISION_TIMEOUT_S, ReplicaLoadTracker
+from cloverwalk.scheduling.replica_view import MAX_SAMPLED_REPLICAS
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.service_times import ServiceTimes
 from cloverwalk.tenants.directory import Tenant
@@ -286,7 +286,7 @@
 
 def test_a_request_whose_node_asks_no_more_takes_no_slot() -> None:
     fleet, number = held_fleet()
-    fleet.now += HELD_UNASKED_S + 0.1
+    fleet.now += QUEUED_REQUEST_TTL_S + 0.1
     fleet.scheduler.tick(fleet.now)
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
@@ -389,30 +389,30 @@
         book.expect(node, number, "r", batch=batch, now=0.0)
         if not are_orders_lost:
             truth[node] += batch
-        book.record_report(node, {"r": NodeLoad(0, truth[node])}, settled=number)
+        book.record_report(node, {"r": NodeLoad(0, truth[node])}, last_applied_order=number)
     for node, items in truth.items():
-        book.record_report(node, {"r": NodeLoad(0, items)}, settled=len(history))
+        book.record_report(node, {"r": NodeLoad(0, items)}, last_applied_order=len(history))
     assert book.total("r", 0.1).batch == sum(truth.values())
 
 
 def test_a_decision_that_was_lost_on_the_way_is_forgotten() -> None:
     book = ReplicaLoadTracker()
     book.expect("n1", 1, "r", online=1, now=10.0)
-    book.expire(10.0 + UNSETTLED_S + 0.1)
+    book.expire(10.0 + DECISION_TIMEOUT_S + 0.1)
     assert book.total("r", 10.7).total == 0
 
 
 def test_another_coordinators_sums_count_until_the_nodes_have_reported() -> None:
     book = ReplicaLoadTracker()
     book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0)
-    book.record_report("n1", {"r": NodeLoad(1, 0)}, settled=0)
+    book.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
     assert (book.total("r", 10.5).online, book.total("r", 10.5).batch) == (5, 2)
     assert book.total("r", 12.0).online == 1
 
 
 def test_a_node_that_decides_alone_adds_its_own_work_to_what_it_was_told() -> None:
     book = ReplicaLoadTracker()
-    book.record_report("n1", {"r": NodeLoad(1, 0)}, settled=0)
+    book.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
     book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0, is_complete=False)
     book.expect("n1", 1, "r", online=1, now=10.1)
     assert book.total("r", 10.2).online == 6
@@ -432,11 +432,11 @@
     fleet.ask(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 5, prefill_ms=5)]
     fleet.tell(1)
-    assert looks <= 3 * (MOST_CONSIDERED + 5)
+    assert looks <= 3 * (MAX_SAMPLED_REPLICAS + 5)
 
 
 def test_free_slots_of_many_replicas_are_all_found() -> None:
-    replicas = 4 * MOST_CONSIDERED
+    replicas = 4 * MAX_SAMPLED_REPLICAS
     fleet = Fleet(replicas=replicas)
     fleet.nodes[0].waiting = [WaitingGroup(1, replicas * SLOTS)]
     for _ in range(60):
@@ -449,7 +449,7 @@
 
 
 def test_requests_find_room_among_many_busy_replicas() -> None:
-    replicas = 4 * MOST_CONSIDERED
+    replicas = 4 * MAX_SAMPLED_REPLICAS
     fleet = Fleet(replicas=replicas)
     fleet.nodes[1].online = {f"r{number}": SLOTS for number in range(0, replicas, 2)}
     fleet.tell(1)
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -39,11 +39,11 @@
 from cloverwalk.scheduling.scheduler import Scheduler
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
 from cloverwalk.scheduling.service_times import ServiceTimes
-from cloverwalk.scheduling.slowdown import LEAST_FACTOR, MOST_FACTOR, Measurement, ReplicaSlowdowns
+from cloverwalk.scheduling.slowdown import MAX_SLOWDOWN, MIN_SLOWDOWN, Measurement, ReplicaSlowdowns
 from cloverwalk.scheduling.slowdown_replication import (
     COPIES,
-    MOST_TOLD,
-    TELL_AGAIN_S,
+    MAX_REPLICAS_PER_SNAPSHOT,
+    RESEND_INTERVAL_S,
     SlowdownReplicator,
 )
 
@@ -123,7 +123,7 @@
 
     def pace(self, replica_id: str) -> float:
         self.scheduler.tick(self.now)
-        return self.scheduler.slowdowns.pace(replica_id)
+        return self.scheduler.slowdowns.slowdown(replica_id)
 
 
 # --- under load ---
@@ -134,7 +134,7 @@
     fleet = PacedFleet(replicas=9)
     fast = fleet.ids[:3]
     fleet.learn(dict.fromkeys(fast, 0.6))
-    usual = [fleet.scheduler.slowdowns.usual(one) for one in fleet.ids]
+    usual = [fleet.scheduler.slowdowns.baseline(one) for one in fleet.ids]
     ratios = [one / usual[8] for one in usual[:3]]
     assert all(0.5 < one < 0.75 for one in ratios)
     fleet.now += 2.0
@@ -191,7 +191,7 @@
         timings = [ItemTiming("r0", 115, 700, 100), ItemTiming("r1", 115, 1120, 100)]
         fleet.hear(item_timings=timings)
     paces = fleet.scheduler.slowdowns
-    assert paces.usual("r1") / paces.usual("r0") > 1.4
+    assert paces.baseline("r1") / paces.baseline("r0") > 1.4
 
 
 # --- under failure ---
@@ -231,7 +231,7 @@
     """It tells 100 while its neighbours take half of its machine for a while."""
     fleet = PacedFleet(replicas=3)
     fleet.learn({}, rounds=40)
-    for _ in range(slowdown.TRUSTED_ANSWERS):
+    for _ in range(slowdown.MIN_TRUST_ANSWERS):
         for factor in (3.0, 1.0):
             fleet.answered("r0", factor, told=100, count=3)
             fleet.answered("r1", 1.0)
@@ -244,13 +244,13 @@
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
     paces = []
-    for _ in range(4 * slowdown.TRUSTED_ANSWERS):
+    for _ in range(4 * slowdown.MIN_TRUST_ANSWERS):
         fleet.answered("r0", 1.0, told=10_000)
         paces.append(fleet.pace("r0"))
         fleet.answered("r0", 1.0, told=100)
         fleet.now += 1.0
-    assert max(paces) <= MOST_FACTOR
-    assert all(one < 1.3 for one in paces[2 * slowdown.TRUSTED_ANSWERS :])
+    assert max(paces) <= MAX_SLOWDOWN
+    assert all(one < 1.3 for one in paces[2 * slowdown.MIN_TRUST_ANSWERS :])
     # What it calls usual does not matter, as long as it calls it so all the time.
     fleet.answered("r1", 1.0, told=10_000, count=100)
     assert fleet.pace("r1") < 1.5
@@ -271,9 +271,9 @@
 def test_some_odd_answers_do_not_move_a_pace_far() -> None:
     fleet = PacedFleet(replicas=2)
     fleet.learn({})
-    before = fleet.scheduler.slowdowns.usual("r0")
+    before = fleet.scheduler.slowdowns.baseline("r0")
     fleet.answered("r0", 100.0, count=3)
-    assert fleet.scheduler.slowdowns.usual("r0") / before < 1.1
+    assert fleet.scheduler.slowdowns.baseline("r0") / before < 1.1
 
 
 def test_a_coordinator_that_takes_over_knows_the_paces() -> None:
@@ -288,7 +288,7 @@
         await world.run(3.0)
         after = world.coordinator.scheduler
         assert after.features.is_on(Feature.REPLICA_PACE)
-        assert [after.slowdowns.usual(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
+        assert [after.slowdowns.baseline(key) for key in ("r0", "r1", "r2")] == [1.0, 1.6, 0.6]
 
     curio.run(test)
 
@@ -298,7 +298,7 @@
     odd = [(math.nan, 1.0, 0), (1.0, math.inf, 0), (-1.0, 1.0, 0), (99.0, 1.0, 0), (1.0, 1.0, -5)]
     paces.apply({f"r{i}": SlowdownEstimate(*one) for i, one in enumerate(odd)}, now=10.0)
     assert paces.invalid_count == len(odd)
-    assert paces.present == {}
+    assert paces.current == {}
 
 
 # --- what nodes tell ---
@@ -393,17 +393,17 @@
     curio.run(test)
 
 
-@given(st.lists(st.floats(LEAST_FACTOR, MOST_FACTOR), min_size=1, max_size=60))
+@given(st.lists(st.floats(MIN_SLOWDOWN, MAX_SLOWDOWN), min_size=1, max_size=60))
 def test_a_replica_is_told_at_most_so_often(factors: list[float]) -> None:
     teller = SlowdownReplicator()
     told = 0
     for step, factor in enumerate(factors):
-        known = {f"r{number}": math.log(factor) for number in range(2 * MOST_TOLD)}
+        known = {f"r{number}": math.log(factor) for number in range(2 * MAX_REPLICAS_PER_SNAPSHOT)}
         due = teller.due(known, ["n1", "n2", "n3"], 0.25 * step)
-        assert len(due) <= MOST_TOLD
+        assert len(due) <= MAX_REPLICAS_PER_SNAPSHOT
         told += "r0" in due
     seconds = 0.25 * len(factors)
-    assert told <= COPIES * math.ceil(seconds / TELL_AGAIN_S)
+    assert told <= COPIES * math.ceil(seconds / RESEND_INTERVAL_S)
 
 
 # --- bounds ---
@@ -423,10 +423,10 @@
     paces, now = ReplicaSlowdowns(), 100.0
     for replica_id, is_item, events, took_ms, told, fill, passed in history:
         now += passed
-        paces.note(Measurement(replica_id, "s", is_item, events, took_ms, told, fill), now)
+        paces.record(Measurement(replica_id, "s", is_item, events, took_ms, told, fill), now)
         paces.refresh(now)
-        figures = [*paces.present.values(), paces.usual("r0"), paces.usual("r1")]
-        assert all(LEAST_FACTOR <= one <= MOST_FACTOR for one in figures)
+        figures = [*paces.current.values(), paces.baseline("r0"), paces.baseline("r1")]
+        assert all(MIN_SLOWDOWN <= one <= MAX_SLOWDOWN for one in figures)
 
 
 # --- switched off ---
@@ -471,20 +471,20 @@
     slots, load = one.replica.slots, one.in_flight
     used = load.online / slots
     cost = selection.SUSPECT_COST_MS if one.is_suspect else 0.0
-    cost += selection.DOUBT_COST_MS if one.is_doubted else 0.0
+    cost += selection.PEER_SUSPECT_COST_MS if one.is_peer_suspect else 0.0
     cost += one.prefill_ms
-    cost += selection.COMPANY_COST_MS * one.other_suspects
+    cost += selection.OTHER_SUSPECT_COST_MS * one.other_suspects
     cost += selection.LOAD_COST_MS * used
-    crowded_from = selection.CROWDED_FROM
-    cost += selection.CROWDED_COST_MS * max(0.0, used - crowded_from) / (1 - crowded_from)
+    crowded_from = selection.HIGH_LOAD_THRESHOLD
+    cost += selection.HIGH_LOAD_COST_MS * max(0.0, used - crowded_from) / (1 - crowded_from)
     cost += selection.BATCH_COST_MS * load.batch / slots
-    cost += selection.CUT_COST_MS if load.batch and load.total >= slots else 0.0
-    cost += selection.FULL_COST_MS * max(0, load.online + 1 - slots)
+    cost += selection.PREEMPTION_COST_MS if load.batch and load.total >= slots else 0.0
+    cost += selection.QUEUED_REQUEST_COST_MS * max(0, load.online + 1 - slots)
     if homes and one.replica.replica_id not in homes:
-        cost += demand.shared_tokens / selection.READ_TOKENS_PER_MS
+        cost += demand.shared_tokens / selection.PREFILL_TOKENS_PER_MS
     if one.replica.zone != demand.zone:
-        other = selection.OTHER_ZONE_MS_PER_KB * demand.size_bytes / 1024
-        cost += selection.OTHER_ZONE_MS + other
+        other = selection.OTHER_ZONE_COST_MS_PER_KB * demand.size_bytes / 1024
+        cost += selection.OTHER_ZONE_COST_MS + other
     return cost
 
 
@@ -492,7 +492,7 @@
 def test_replicas_of_one_pace_are_chosen_as_if_pace_did_not_count(
     among: list[Candidate], demand: Demand
 ) -> None:
-    homes = selection._home_by_zone(among, demand)
+    homes = selection._prefix_affinity_ids(among, demand)
     best = min(
         among, key=lambda one: (cost_without_pace(one, demand, homes), one.replica.replica_id)
     )
@@ -529,7 +529,7 @@
         plain.now += 0.05
         fed.now += 0.05
     assert not fed.scheduler.features.is_on(Feature.REPLICA_PACE)
-    assert fed.scheduler.slowdowns.present == {}
+    assert fed.scheduler.slowdowns.current == {}
 
 
 def test_a_standby_forgets_the_paces_of_replicas_that_are_gone_or_have_started_again() -> None:
@@ -537,7 +537,7 @@
     fleet = PacedFleet(2)
     figures = {key: SlowdownEstimate(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
     fleet.scheduler.apply_slowdowns(figures, fleet.now)
-    assert fleet.scheduler.slowdowns.usual("r0") == 1.6
+    assert fleet.scheduler.slowdowns.baseline("r0") == 1.6
     fleet.directory.put(Replica("r0", "model", "h", 99, "z1", SLOTS, False, 2))
     fleet.directory.remove("r1", 2)
     fleet.scheduler.apply_slowdowns({}, fleet.now)
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -7,18 +7,18 @@
 
 from cloverwalk.gateway.configuration import Route, RouteKind, RoutePart
 from cloverwalk.scheduling.admission import (
-    LEAST_RETURN_S,
-    RETURN_SHARE,
-    CrowdWatch,
+    MAX_RETRY_AFTER_FRACTION,
+    MIN_RETRY_AFTER_S,
+    OverloadDurationEstimator,
     PlacementVerdict,
     Prospect,
-    ReturnBook,
+    RetryDetector,
     decide,
-    most_wait_ms,
+    max_wait_ms,
     retry_after_s,
     slot_wait_ms,
 )
-from cloverwalk.scheduling.service_times import MOST_WAIT_FACTOR, ServiceTimes
+from cloverwalk.scheduling.service_times import MAX_WAIT_FACTOR, ServiceTimes
 
 MS = st.floats(0.0, 5000.0)
 
@@ -48,7 +48,10 @@
     is_first: bool,
 ) -> None:
     prospect = Prospect(wait_ms, start_ms, left_ms, objective_ms, most_ms)
-    assert decide(prospect, may_return=False, is_first=is_first) is not PlacementVerdict.RETRY_LATER
+    assert (
+        decide(prospect, may_retry_later=False, is_first=is_first)
+        is not PlacementVerdict.RETRY_LATER
+    )
 
 
 @given(st.integers(1, 40), st.integers(0, 80), st.floats(1.0, 9000.0))
@@ -66,9 +69,12 @@
 ) -> None:
     after_s = retry_after_s(wait_s, rest_s, left_s, Random(seed))
     if after_s is None:
-        assert max(wait_s, rest_s) < LEAST_RETURN_S or RETURN_SHARE * left_s < LEAST_RETURN_S
+        assert (
+            max(wait_s, rest_s) < MIN_RETRY_AFTER_S
+            or MAX_RETRY_AFTER_FRACTION * left_s < MIN_RETRY_AFTER_S
+        )
     else:
-        assert LEAST_RETURN_S <= after_s <= RETURN_SHARE * left_s
+        assert MIN_RETRY_AFTER_S <= after_s <= MAX_RETRY_AFTER_FRACTION * left_s
 
 
 def test_less_urgent_requests_fill_no_queue_in_which_urgent_ones_would_be_late() -> None:
@@ -76,34 +82,34 @@
     urgent, patient = online_route("ruling", 0.2, 0), online_route("digest", 0.8, 1)
     elsewhere = online_route("other", 0.05, 0, service="else")
     routes = (urgent, patient, elsewhere)
-    assert most_wait_ms(patient, 1, routes, times) == most_wait_ms(urgent, 0, routes, times)
-    assert most_wait_ms(patient, 1, (patient, elsewhere), times) > 500
+    assert max_wait_ms(patient, 1, routes, times) == max_wait_ms(urgent, 0, routes, times)
+    assert max_wait_ms(patient, 1, (patient, elsewhere), times) > 500
 
 
 def test_expected_waits_follow_what_requests_met() -> None:
     times = ServiceTimes()
     for _ in range(60):
-        times.note_wait("r", expected_ms=100.0, took_ms=times.first_event_ms("r") + 250.0)
+        times.record_wait("r", expected_ms=100.0, took_ms=times.first_event_ms("r") + 250.0)
     assert 2.3 < times.wait_factor("r") < 2.5
-    times.note_wait("r", expected_ms=1.0, took_ms=10_000.0)
-    assert times.wait_factor("r") <= MOST_WAIT_FACTOR
+    times.record_wait("r", expected_ms=1.0, took_ms=10_000.0)
+    assert times.wait_factor("r") <= MAX_WAIT_FACTOR
 
 
 def test_crowds_are_expected_to_last_as_they_did() -> None:
-    watch = CrowdWatch()
+    watch = OverloadDurationEstimator()
     for start_s in range(0, 60, 6):
         for tenth in range(25):
-            watch.meet(start_s + tenth / 10)
-    watch.meet(60.0)
-    assert 2.0 < watch.rest_s(60.0) < 2.5
-    assert 1.0 < watch.rest_s(61.0) < 1.5 or watch.rest_s(61.0) == 0.0
+            watch.record_request(start_s + tenth / 10)
+    watch.record_request(60.0)
+    assert 2.0 < watch.remaining_s(60.0) < 2.5
+    assert 1.0 < watch.remaining_s(61.0) < 1.5 or watch.remaining_s(61.0) == 0.0
 
 
 @given(st.lists(st.floats(0.1, 30.0), max_size=12))
 def test_only_requests_with_less_time_than_others_came_back(lefts_s: list[float]) -> None:
-    book = ReturnBook()
+    book = RetryDetector()
     longest_s = 0.0
     for left_s in lefts_s:
         longest_s = max(longest_s, left_s)
-        assert book.came_back("r", left_s) is False or left_s < longest_s
-    assert book.came_back("r", None) is True
+        assert book.is_retry("r", left_s) is False or left_s < longest_s
+    assert book.is_retry("r", None) is True
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, pick, summarise
-from cloverwalk.scheduling.fair_shares import MOST_AHEAD_MS, STEP_MS, FairShares
-from cloverwalk.scheduling.overload_order import OrderKey, is_hopeless, order_key
+from cloverwalk.scheduling.fair_shares import MAX_AHEAD_MS, STEP_MS, FairShares
+from cloverwalk.scheduling.overload_order import OrderKey, order_key, will_miss_deadline
 
 TENANTS = ["hot", "a", "b", "c"]
 LONGEST_MS = 400.0
 WORK = st.floats(20.0, LONGEST_MS)
-MOST_OFF_MS = MOST_AHEAD_MS + STEP_MS + 2 * LONGEST_MS
+MOST_OFF_MS = MAX_AHEAD_MS + STEP_MS + 2 * LONGEST_MS
 """How much more slot time another tenant may get while one waits all the time."""
 
 
@@ -82,7 +82,7 @@
     shares = FairShares()
     for work_ms in works:
         shares.charge(0, "hot", work_ms, ["hot"])
-    assert shares.ahead_ms(0, "hot") - shares.ahead_ms(0, "idle") <= MOST_AHEAD_MS + LONGEST_MS
+    assert shares.ahead_ms(0, "hot") - shares.ahead_ms(0, "idle") <= MAX_AHEAD_MS + LONGEST_MS
 
 
 @given(st.lists(WORK, min_size=20, max_size=80))
@@ -92,7 +92,7 @@
     shares = FairShares()
     for work_ms in works:
         shares.charge(0, "hot", work_ms, ["small"])
-    assert shares.ahead_ms(0, "hot") <= MOST_AHEAD_MS + LONGEST_MS
+    assert shares.ahead_ms(0, "hot") <= MAX_AHEAD_MS + LONGEST_MS
     assert shares.step(0, "small") == 0
 
 
@@ -101,7 +101,7 @@
     shares = FairShares()
     shares.charge(0, "a", 400.0, ["b"])
     shares.correct(0, "a", 600_000.0)
-    assert shares.ahead_ms(0, "a") <= 2 * MOST_AHEAD_MS
+    assert shares.ahead_ms(0, "a") <= 2 * MAX_AHEAD_MS
 
 
 def test_what_was_not_used_is_given_back_and_bad_figures_are_dropped() -> None:
@@ -111,7 +111,7 @@
     assert shares.ahead_ms(0, "a") == 500.0
     for bad in (float("nan"), -1.0, 1e12):
         shares.charge(0, "a", bad, ["b"])
-    assert (shares.ahead_ms(0, "a"), shares.dropped) == (500.0, 3)
+    assert (shares.ahead_ms(0, "a"), shares.invalid_count) == (500.0, 3)
 
 
 # --- the order in overload ---
@@ -181,7 +181,7 @@
     wait_ms: float, start_ms: float, left_ms: float
 ) -> None:
     if wait_ms + start_ms <= 2 * left_ms:
-        assert not is_hopeless(wait_ms, start_ms, left_ms)
+        assert not will_miss_deadline(wait_ms, start_ms, left_ms)
 
 
 # --- items at their owner ---
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -12,7 +12,7 @@
 from cloverwalk.cli.features import features
 from cloverwalk.cli.report import report
 from cloverwalk.fleet.messages import WaitingGroup
-from cloverwalk.scheduling.slot_time import LONGEST_LOOK_S, ReplicaUse, SlotTime, SlotUse
+from cloverwalk.scheduling.slot_time import MAX_SAMPLE_INTERVAL_S, ReplicaUse, SlotTime, SlotUse
 from cloverwalk.scheduling.slot_time_reporter import SlotTimeReporter
 from cloverwalk.telemetry.lateness import (
     ItemTimes,
@@ -38,7 +38,9 @@
 COUNTS = st.dictionaries(st.sampled_from(["s", "t", "u"]), st.integers(0, 60))
 
 
-@given(st.lists(st.tuples(REPLICAS, COUNTS, COUNTS, st.floats(0.0, LONGEST_LOOK_S)), max_size=6))
+@given(
+    st.lists(st.tuples(REPLICAS, COUNTS, COUNTS, st.floats(0.0, MAX_SAMPLE_INTERVAL_S)), max_size=6)
+)
 def test_uses_add_up_to_slots_times_time(
     looks: list[tuple[list[ReplicaUse], dict[str, int], dict[str, int], float]],
 ) -> None:
@@ -68,7 +70,7 @@
     assert _use(free, waiting=1)[SlotUse.IDLE] == 1
     suspected = ReplicaUse("s", 4, 0, 0, is_suspected=True)
     assert _use(suspected, waiting=9) == {SlotUse.SUSPECTED: 4}
-    reading = ReplicaUse("s", 4, 0, 0, may_read=False)
+    reading = ReplicaUse("s", 4, 0, 0, may_prefill=False)
     assert _use(reading, waiting=9) == {SlotUse.READING: 4}
     assert _use(ReplicaUse("s", 4, 0, 1, is_draining=True), 9)[SlotUse.DRAINING] == 3
 
@@ -77,7 +79,7 @@
     time = SlotTime()
     time.sample([], {}, {}, 0.0)
     time.sample([ReplicaUse("s", 2, 0, 0)], {}, {}, 500.0)
-    assert time.seconds[SlotUse.IDLE] == 2 * LONGEST_LOOK_S
+    assert time.seconds[SlotUse.IDLE] == 2 * MAX_SAMPLE_INTERVAL_S
 
 
 @pytest.mark.parametrize(
