--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -519,7 +519,7 @@
         "scheduling/replica_view.py",
         "        self._prefill_until[replica_id] = begins_at + prefill_ms / 1000",
         "        self._prefill_until[replica_id] = begins_at",
-        SCHEDULER + "test_a_long_prompt_counts_until_it_is_read",
+        SCHEDULER + "test_long_prompt_counts_until_it_is_prefilled",
     ),
     Mutant(
         "serving: a removed job comes back",
@@ -568,14 +568,14 @@
         "scheduling/admission.py",
         "    return PlacementVerdict.RETRY_LATER if may_retry_later else PlacementVerdict.QUEUE",
         "    return PlacementVerdict.RETRY_LATER",
-        ADMISSION + "test_a_request_that_came_back_is_not_turned_away_again",
+        ADMISSION + "test_retry_is_not_refused_again",
     ),
     Mutant(
         "serving: patient requests fill the queues of urgent ones",
         "scheduling/admission.py",
         "        and (other.priority <= priority or other == route)",
         "        and other == route",
-        ADMISSION + "test_less_urgent_requests_fill_no_queue_in_which_urgent_ones_would_be_late",
+        ADMISSION + "test_less_urgent_requests_do_not_make_urgent_ones_late",
     ),
     Mutant(
         "serving: three dead replicas end a request",
@@ -589,14 +589,14 @@
         "scheduling/replica_load_tracker.py",
         "        self._change(replica_id, _expected_load(decision), 1)\n\n    def remove_node",
         "\n    def remove_node",
-        SCHEDULER + "test_every_free_slot_goes_to_waiting_items_at_once_and_none_twice",
+        SCHEDULER + "test_free_slots_are_granted_to_waiting_items_at_once_and_none_twice",
     ),
     Mutant(
         "serving: items that were told to give way still count",
         "scheduling/batch.py",
         "replica_id, batch=-count, tokens=tokens, now=now\n",
         "replica_id, batch=0, now=now\n",
-        SCHEDULER + "test_items_give_way_for_each_online_request_and_no_more",
+        SCHEDULER + "test_one_item_is_preempted_per_online_request_and_no_more",
     ),
     Mutant(
         "memory: a request is placed beside more than fits",
@@ -612,7 +612,7 @@
         "return max(by_slots, self._memory.items_to_preempt(replica, now))",
         "return by_slots",
         "tests/serving/test_replica_memory.py::"
-        "test_items_give_way_where_they_hold_the_memory_that_an_online_request_needs",
+        "test_items_are_preempted_for_the_memory_of_an_online_request",
     ),
     Mutant(
         "serving: an order settles when its items have given way",
@@ -661,7 +661,7 @@
         "scheduling/online.py",
         "            replica_id = self._place_or_queue(queued, False, now)\n",
         "            replica_id = None\n",
-        SCHEDULER + "test_a_held_request_gets_the_next_slot_before_any_item",
+        SCHEDULER + "test_queued_request_gets_the_next_slot_before_any_item",
     ),
     Mutant(
         "serving: orders take effect each time they come",
@@ -756,21 +756,21 @@
         "scheduling/quotas.py",
         "            bucket.drain_to(self._unknown_count_level(tenant) + gained, now)",
         "            pass",
-        QUOTAS + "test_a_takeover_keeps_the_quota",
+        QUOTAS + "test_quota_holds_through_a_takeover",
     ),
     Mutant(
         "serving: each deputy gives out the whole quota",
         "scheduling/quotas.py",
         "        fraction = min(1.0, reported / nodes) if nodes > 0 else 0.0",
         "        fraction = 1.0",
-        QUOTAS + "test_nodes_that_decide_alone_keep_the_quota",
+        QUOTAS + "test_quota_holds_while_nodes_decide_independently",
     ),
     Mutant(
         "serving: what deputies gave out is not counted",
         "scheduling/quotas.py",
         "            account.bucket.take_on_credit(now, float(count))",
         "            pass",
-        QUOTAS + "test_what_a_deputy_gave_out_is_counted_once",
+        QUOTAS + "test_local_grants_are_counted_once",
     ),
     Mutant(
         "serving: any tenant reads any job",
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -50,8 +50,10 @@
     number = fleet.ask(node, tokens=tokens)
     placement = fleet.nodes[node].placements[number]
     if placement.verdict is PlacementVerdict.SEND:
-        held = fleet.nodes[node].tokens
-        held[placement.replica_id] = held.get(placement.replica_id, 0) + tokens
+        tokens_by_replica = fleet.nodes[node].tokens
+        tokens_by_replica[placement.replica_id] = (
+            tokens_by_replica.get(placement.replica_id, 0) + tokens
+        )
         fleet.tell(node)
     return number
 
@@ -66,17 +68,17 @@
     for number, size in enumerate(sizes):
         ask(fleet, number % 3, size)
         assert all(tokens_at(fleet, key) <= LIMIT for key in ("r0", "r1"))
-    sent = sum(sum(one.tokens.values()) for one in fleet.nodes)
+    sent = sum(sum(node.tokens.values()) for node in fleet.nodes)
     assert sum(tokens_at(fleet, key) for key in ("r0", "r1")) == sent
 
 
-def test_a_request_larger_than_any_replica_is_refused_at_once() -> None:
+def test_request_larger_than_any_replica_is_refused_at_once() -> None:
     fleet = small_fleet()
     assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT + 1)) is PlacementVerdict.TOO_LARGE
     assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT)) is PlacementVerdict.SEND
 
 
-def test_a_request_without_room_waits_for_it() -> None:
+def test_request_without_free_memory_is_queued_until_some_is_free() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, LIMIT)
     number = fleet.ask(1, tokens=500)
@@ -86,7 +88,7 @@
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
-def test_a_long_request_that_waits_for_room_holds_up_no_shorter_one() -> None:
+def test_long_request_waiting_for_memory_does_not_block_a_shorter_one() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, 8_000)
     long, short = fleet.ask(1, tokens=5_000), fleet.ask(2, tokens=3_000)
@@ -97,7 +99,7 @@
     assert fleet.verdict(2, short) is PlacementVerdict.SEND
 
 
-def test_a_request_that_finds_no_room_for_long_is_refused_and_not_sent() -> None:
+def test_request_without_free_memory_is_refused_after_the_longest_wait() -> None:
     fleet = small_fleet(replicas=1)
     ask(fleet, 0, LIMIT)
     number = fleet.ask(1, tokens=500)
@@ -106,52 +108,52 @@
     assert fleet.verdict(1, number) is PlacementVerdict.NO_REPLICA
 
 
-def test_items_give_way_where_they_hold_the_memory_that_an_online_request_needs() -> None:
+def test_items_are_preempted_for_the_memory_of_an_online_request() -> None:
     fleet = small_fleet(replicas=1)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
     fleet.scheduler.handle_report(report, fleet.now)
     number = fleet.ask(1, tokens=5_000)
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
-    book = fleet.scheduler.load_tracker
-    assert book.total("r0", fleet.now).batch == 2
+    tracker = fleet.scheduler.load_tracker
+    assert tracker.total("r0", fleet.now).batch == 2
     assert tokens_at(fleet, "r0") <= LIMIT
 
 
-def test_an_item_goes_where_it_fits_and_holds_up_no_smaller_one() -> None:
+def test_item_is_granted_where_it_fits_and_does_not_block_a_smaller_one() -> None:
     fleet = small_fleet(replicas=2)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(1, 0, 9_000, 0), "r1": NodeLoad(1, 0, 5_000, 0)}
     fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[1].waiting = [WaitingGroup(1, 2, tokens=4_000), WaitingGroup(2, 1, tokens=500)]
-    told = fleet.nodes[1].report()
-    fleet.scheduler.handle_report(told, fleet.now)
+    waiting_report = fleet.nodes[1].report()
+    fleet.scheduler.handle_report(waiting_report, fleet.now)
     grants = fleet.scheduler.pop_decisions()["n1"].grants
     assert grants == {"r1": 1, "r0": 1}
 
 
-def test_the_node_starts_no_larger_items_than_were_granted() -> None:
+def test_node_starts_no_larger_items_than_granted() -> None:
     fleet = small_fleet(replicas=2)
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(1, 0, 9_000, 0), "r1": NodeLoad(1, 0, 1_000, 0)}
     fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[1].waiting = [WaitingGroup(1, 2, tokens=4_000), WaitingGroup(2, 1, tokens=500)]
     fleet.scheduler.handle_report(fleet.nodes[1].report(), fleet.now)
-    told = fleet.scheduler.pop_decisions()["n1"].grant_tokens
-    assert told == {"r1": 8_000, "r0": 500}
+    grant_tokens = fleet.scheduler.pop_decisions()["n1"].grant_tokens
+    assert grant_tokens == {"r1": 8_000, "r0": 500}
     sizes = [4_000, 3_000, 500]
     # The items due first would be started at r0, which has no memory for them, and fall over it.
-    assert pick(["", "", ""], 1, {}, sizes, told["r0"]) == [2]
-    assert pick(["", "", ""], 2, {}, sizes, told["r1"]) == [0, 1]
+    assert pick(["", "", ""], 1, {}, sizes, grant_tokens["r0"]) == [2]
+    assert pick(["", "", ""], 2, {}, sizes, grant_tokens["r1"]) == [0, 1]
 
 
-def test_a_takeover_counts_the_memory_that_the_coordinator_before_knew() -> None:
+def test_new_coordinator_counts_the_memory_use_of_the_previous_one() -> None:
     fleet = small_fleet(replicas=1)
     fleet.scheduler.load_tracker.apply_snapshot({"r0": NodeLoad(2, 0, 9_500, 0)}, fleet.now)
     assert fleet.verdict(0, fleet.ask(0, tokens=1_000)) is PlacementVerdict.QUEUE
 
 
-def test_a_takeover_knows_which_memory_items_hold_and_takes_it_back() -> None:
+def test_new_coordinator_can_preempt_items_for_memory() -> None:
     before, after = small_fleet(replicas=1), small_fleet(replicas=1)
     report = before.nodes[0].report()
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
@@ -161,7 +163,7 @@
 
 
 @pytest.mark.parametrize("is_ordered", [False, True])
-def test_a_late_request_gets_its_free_slot_while_a_long_one_waits_for_memory(
+def test_late_request_gets_a_free_slot_while_a_long_one_waits_for_memory(
     is_ordered: bool,
 ) -> None:
     fleet = small_fleet(replicas=1)
@@ -176,28 +178,28 @@
 
 
 @given(st.lists(st.integers(0, 3 * MEMORY), min_size=1, max_size=12))
-def test_memory_decides_nothing_where_nobody_says_that_it_is_scarce(sizes: list[int]) -> None:
+def test_memory_affects_no_decision_while_the_feature_is_off(sizes: list[int]) -> None:
     with_tokens, without = small_fleet(is_scarce=False), small_fleet(is_scarce=False)
     for size in sizes:
         with_tokens.ask(0, tokens=size)
         without.ask(0)
-    told = [one.nodes[0].placements for one in (with_tokens, without)]
-    assert told[0] == told[1]
+    placements = [fleet.nodes[0].placements for fleet in (with_tokens, without)]
+    assert placements[0] == placements[1]
 
 
-def test_a_node_tells_no_tokens_where_memory_is_not_scarce() -> None:
-    book = InFlightTracker()
-    work = book.begin("r1", True, 700)
-    assert book.by_replica["r1"].tokens == 0
-    scarce = InFlightTracker(counts_tokens=True)
-    scarce.begin("r1", False, 300)
-    work = scarce.begin("r1", True, 700)
-    assert (scarce.by_replica["r1"].tokens, scarce.by_replica["r1"].batch_tokens) == (1000, 700)
-    scarce.end(work)
-    assert (scarce.by_replica["r1"].tokens, scarce.by_replica["r1"].batch_tokens) == (300, 0)
+def test_node_counts_no_tokens_while_the_feature_is_off() -> None:
+    tracker = InFlightTracker()
+    work = tracker.begin("r1", True, 700)
+    assert tracker.by_replica["r1"].tokens == 0
+    counting = InFlightTracker(counts_tokens=True)
+    counting.begin("r1", False, 300)
+    work = counting.begin("r1", True, 700)
+    assert (counting.by_replica["r1"].tokens, counting.by_replica["r1"].batch_tokens) == (1000, 700)
+    counting.end(work)
+    assert (counting.by_replica["r1"].tokens, counting.by_replica["r1"].batch_tokens) == (300, 0)
 
 
-def test_items_that_find_no_room_cost_their_tenant_nothing_and_earn_it_nothing() -> None:
+def test_items_waiting_for_memory_do_not_change_their_tenants_usage() -> None:
     """Reports come many times a second while a large item waits for memory."""
     fleet = small_fleet(replicas=1, tenants=(Tenant("hot", ()), Tenant("small", ())))
     shares = fleet.scheduler.item_shares
@@ -213,7 +215,7 @@
 
 
 @pytest.mark.parametrize("tenants", [(), (Tenant("a", ()), Tenant("b", ()))])
-def test_a_late_request_gets_a_free_slot_while_a_larger_one_waits_for_memory(
+def test_late_request_gets_a_free_slot_while_a_larger_one_waits_for_memory(
     tenants: tuple[Tenant, ...],
 ) -> None:
     fleet = small_fleet(replicas=1, tenants=tenants)
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Which request and which item gets which slot: the coordinator's decisions, without sockets."""
+"""The coordinator's placement and grant decisions, without sockets."""
 
 from random import Random
 
@@ -36,8 +36,8 @@
 
 SLOTS = 8
 POOL = "model"
-LITTLE_MS = 100
-"""Less than a request needs that has to wait for a slot."""
+SHORT_OBJECTIVE_MS = 100
+"""Too short for a request that has to wait for a slot."""
 
 
 def online_route(name: str, priority: int = 0, objective_s: float = 0.3) -> Route:
@@ -49,16 +49,16 @@
 
 @attrs.define
 class FakeNode:
-    """A node that does what the scheduler says, and reports it."""
+    """A node that carries out the scheduler's decisions and reports it."""
 
     name: str
     zone: str = "z1"
-    settled: int = 0
+    last_applied_order: int = 0
     sequence: int = 0
     online: dict[str, int] = attrs.Factory(dict)
     batch: dict[str, int] = attrs.Factory(dict)
     tokens: dict[str, int] = attrs.Factory(dict)
-    """Memory that its online requests take, where a test counts it."""
+    """Memory that its online requests use, where a test counts it."""
 
     waiting: list[WaitingGroup] = attrs.Factory(list)
     placements: dict[int, Placement] = attrs.Factory(dict)
@@ -78,7 +78,7 @@
             "0a",
             self.zone,
             self.sequence,
-            self.settled,
+            self.last_applied_order,
             1,
             1,
             0,
@@ -93,7 +93,7 @@
 
 
 class Fleet:
-    """A scheduler, replicas and nodes, with time by hand."""
+    """A scheduler, replicas and nodes; a test sets the time."""
 
     def __init__(
         self, replicas: int = 2, nodes: int = 3, zones: int = 1, tenants: tuple[Tenant, ...] = ()
@@ -120,7 +120,7 @@
         self._asked = 0
 
     def ask(self, node: int, route: str = "chat", **more: object) -> int:
-        """Send an ask of a node; return its number."""
+        """Send a placement request of a node; return its number."""
         self._asked += 1
         fields: dict[str, object] = {
             "objective_left_ms": 300,
@@ -128,8 +128,8 @@
             "time_left_ms": 5000,
             **more,
         }
-        ask = PlacementRequest(self._asked, route, "model", **fields)  # type: ignore[arg-type]
-        self.scheduler.handle_report(self.nodes[node].report([ask]), self.now)
+        request = PlacementRequest(self._asked, route, "model", **fields)  # type: ignore[arg-type]
+        self.scheduler.handle_report(self.nodes[node].report([request]), self.now)
         self.obey()
         return self._asked
 
@@ -138,18 +138,18 @@
         self.obey()
 
     def obey(self) -> None:
-        """Have every node carry out what was decided for it."""
-        by_name = {one.name: one for one in self.nodes}
+        """Have every node carry out its decisions."""
+        by_name = {fake_node.name: fake_node for fake_node in self.nodes}
         for name, decided in self.scheduler.pop_decisions().items():
             node = by_name[name]
-            node.settled = decided.number
+            node.last_applied_order = decided.number
             for placement in decided.placements:
                 node.placements[placement.number] = placement
                 if placement.verdict is PlacementVerdict.SEND:
                     key = placement.replica_id
                     node.online[key] = node.online.get(key, 0) + 1
             for key, count in decided.grants.items():
-                started = min(count, sum(one.items for one in node.waiting))
+                started = min(count, sum(group.items for group in node.waiting))
                 node.batch[key] = node.batch.get(key, 0) + started
                 self._start(node, started)
             for key, count in decided.revokes.items():
@@ -157,23 +157,23 @@
                 node.waiting.insert(0, WaitingGroup(1, count, key))
 
     def _start(self, node: FakeNode, count: int) -> None:
-        left = []
+        remaining = []
         for group in node.waiting:
             taken = min(count, group.items)
             count -= taken
             if group.items > taken:
-                left.append(WaitingGroup(group.sort_key, group.items - taken))
-        node.waiting = left
+                remaining.append(WaitingGroup(group.sort_key, group.items - taken))
+        node.waiting = remaining
 
     def work(self, replica_id: str) -> tuple[int, int]:
-        online = sum(one.online.get(replica_id, 0) for one in self.nodes)
-        return online, sum(one.batch.get(replica_id, 0) for one in self.nodes)
+        online = sum(node.online.get(replica_id, 0) for node in self.nodes)
+        return online, sum(node.batch.get(replica_id, 0) for node in self.nodes)
 
     def verdict(self, node: int, number: int) -> PlacementVerdict:
         return self.nodes[node].placements[number].verdict
 
 
-def test_every_free_slot_goes_to_waiting_items_at_once_and_none_twice() -> None:
+def test_free_slots_are_granted_to_waiting_items_at_once_and_none_twice() -> None:
     fleet = Fleet(replicas=3)
     fleet.nodes[0].waiting = [WaitingGroup(5, 20)]
     fleet.nodes[1].waiting = [WaitingGroup(4, 20)]
@@ -196,14 +196,14 @@
     assert fleet.nodes[0].batch == {"r0": 6}
 
 
-def test_an_item_goes_back_to_the_replica_that_keeps_its_prompt() -> None:
+def test_item_returns_to_the_replica_with_its_cached_prompt() -> None:
     fleet = Fleet(replicas=4)
     fleet.nodes[0].waiting = [WaitingGroup(5, 1, "r3")]
     fleet.tell(0)
     assert fleet.nodes[0].batch == {"r3": 1}
 
 
-def test_online_requests_get_free_slots_before_items_give_theirs_up() -> None:
+def test_online_requests_use_free_slots_before_items_are_preempted() -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].batch = {"r0": SLOTS, "r1": SLOTS - 2}
     fleet.tell(0)
@@ -214,7 +214,7 @@
 
 
 @given(st.lists(st.integers(0, 2), min_size=1, max_size=16))
-def test_items_give_way_for_each_online_request_and_no_more(askers: list[int]) -> None:
+def test_one_item_is_preempted_per_online_request_and_no_more(askers: list[int]) -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].batch = {"r0": SLOTS, "r1": 5}
     fleet.nodes[2].batch = {"r1": 3}
@@ -228,28 +228,28 @@
     assert fleet.work("r0")[0] + fleet.work("r1")[0] == len(askers)
 
 
-def test_a_request_beyond_the_slots_is_told_to_come_back_and_a_second_time_held() -> None:
+def test_request_beyond_the_slots_is_refused_with_a_retry_time_and_its_retry_is_queued() -> None:
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
         fleet.ask(0)
-    first = fleet.ask(1, objective_left_ms=LITTLE_MS)
+    first = fleet.ask(1, objective_left_ms=SHORT_OBJECTIVE_MS)
     assert fleet.verdict(1, first) is PlacementVerdict.RETRY_LATER
     assert fleet.nodes[1].placements[first].retry_after_s > 0
-    again = fleet.ask(1, deadline_ms=3000, objective_left_ms=LITTLE_MS)
+    again = fleet.ask(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
     assert fleet.verdict(1, again) is PlacementVerdict.QUEUE
 
 
-def held_fleet() -> tuple[Fleet, int]:
-    """Return a fleet without a free slot, and the number of a request that waits at node 1."""
+def fleet_with_queued_request() -> tuple[Fleet, int]:
+    """Return a fleet without a free slot, and the number of a request that is queued for node 1."""
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
         fleet.ask(0)
-    fleet.ask(2, objective_left_ms=LITTLE_MS)
-    return fleet, fleet.ask(1, deadline_ms=3000, objective_left_ms=LITTLE_MS)
+    fleet.ask(2, objective_left_ms=SHORT_OBJECTIVE_MS)
+    return fleet, fleet.ask(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
 
 
-def test_a_held_request_gets_the_next_slot_before_any_item() -> None:
-    fleet, number = held_fleet()
+def test_queued_request_gets_the_next_slot_before_any_item() -> None:
+    fleet, number = fleet_with_queued_request()
     fleet.nodes[2].waiting = [WaitingGroup(1, 4)]
     fleet.tell(2)
     fleet.nodes[0].online["r0"] -= 1
@@ -258,34 +258,34 @@
     assert fleet.nodes[2].batch == {}
 
 
-def test_held_requests_are_placed_by_urgency_then_age() -> None:
-    fleet, first = held_fleet()
-    fleet.ask(2, route="patient", objective_left_ms=LITTLE_MS)
-    second = fleet.ask(1, route="patient", deadline_ms=3000, objective_left_ms=LITTLE_MS)
-    third = fleet.ask(2, deadline_ms=3000, objective_left_ms=LITTLE_MS)
+def test_queued_requests_are_placed_by_rank_then_age() -> None:
+    fleet, first = fleet_with_queued_request()
+    fleet.ask(2, route="patient", objective_left_ms=SHORT_OBJECTIVE_MS)
+    second = fleet.ask(1, route="patient", deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
+    third = fleet.ask(2, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
     for expected in ((1, first), (2, third), (1, second)):
         fleet.nodes[0].online["r0"] -= 1
         fleet.tell(0)
         placed = [
             (node, number)
             for node in range(3)
-            for number, one in fleet.nodes[node].placements.items()
-            if one.verdict is PlacementVerdict.SEND and number >= first
+            for number, placement in fleet.nodes[node].placements.items()
+            if placement.verdict is PlacementVerdict.SEND and number >= first
         ]
         assert expected in placed
 
 
-def test_a_request_that_waited_for_long_is_sent_whatever_it_finds() -> None:
-    fleet, number = held_fleet()
+def test_request_is_sent_after_the_longest_wait_whatever_the_load() -> None:
+    fleet, number = fleet_with_queued_request()
     fleet.now += MAX_QUEUE_WAIT_S
-    ask = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
-    fleet.scheduler.handle_report(fleet.nodes[1].report([ask]), fleet.now)
+    request = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
+    fleet.scheduler.handle_report(fleet.nodes[1].report([request]), fleet.now)
     fleet.obey()
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
-def test_a_request_whose_node_asks_no_more_takes_no_slot() -> None:
-    fleet, number = held_fleet()
+def test_queued_request_that_its_node_no_longer_repeats_gets_no_slot() -> None:
+    fleet, number = fleet_with_queued_request()
     fleet.now += QUEUED_REQUEST_TTL_S + 0.1
     fleet.scheduler.tick(fleet.now)
     fleet.nodes[0].online["r0"] -= 1
@@ -294,8 +294,8 @@
     assert fleet.work("r0") == (SLOTS - 1, 0)
 
 
-def test_a_request_that_was_withdrawn_takes_no_slot() -> None:
-    fleet, number = held_fleet()
+def test_withdrawn_request_gets_no_slot() -> None:
+    fleet, number = fleet_with_queued_request()
     report = fleet.nodes[1].report()
     report.withdrawn = [number]
     fleet.scheduler.handle_report(report, fleet.now)
@@ -304,7 +304,7 @@
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
 
 
-def test_the_work_of_a_lost_node_leaves_its_slots() -> None:
+def test_slots_of_a_removed_node_are_granted_again() -> None:
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
         fleet.ask(0)
@@ -317,9 +317,9 @@
     assert fleet.nodes[1].batch == {"r0": 3}
 
 
-@pytest.mark.parametrize(("reading_ms", "least", "most"), [(24, 6, 12), (5, 1, 4)])
-def test_slots_are_kept_free_while_online_requests_come_fast(
-    reading_ms: int, least: int, most: int
+@pytest.mark.parametrize(("prefill_ms", "min_reserved", "max_reserved"), [(24, 6, 12), (5, 1, 4)])
+def test_slots_are_reserved_while_online_requests_arrive_fast(
+    prefill_ms: int, min_reserved: int, max_reserved: int
 ) -> None:
     fleet = Fleet(replicas=2, nodes=2)
     for _ in range(40):
@@ -328,16 +328,16 @@
         replica = fleet.nodes[0].placements[number].replica_id
         fleet.nodes[0].online[replica] -= 1
         fleet.tell(0)
-    fleet.nodes[1].waiting = [WaitingGroup(1, 30, prefill_ms=reading_ms)]
+    fleet.nodes[1].waiting = [WaitingGroup(1, 30, prefill_ms=prefill_ms)]
     fleet.tell(1)
-    taken = sum(fleet.work(key)[1] for key in ("r0", "r1"))
-    assert 2 * SLOTS - most <= taken <= 2 * SLOTS - least
+    granted = sum(fleet.work(key)[1] for key in ("r0", "r1"))
+    assert 2 * SLOTS - max_reserved <= granted <= 2 * SLOTS - min_reserved
     fleet.now += 5.0
     fleet.tell(1)
     assert sum(fleet.work(key)[1] for key in ("r0", "r1")) == 2 * SLOTS
 
 
-def test_a_long_prompt_counts_until_it_is_read() -> None:
+def test_long_prompt_counts_until_it_is_prefilled() -> None:
     fleet = Fleet(replicas=2)
     long = fleet.ask(0, own_tokens=50_000)
     busy = fleet.nodes[0].placements[long].replica_id
@@ -348,29 +348,29 @@
     assert busy in replicas
 
 
-def test_a_replica_that_failed_at_one_node_is_avoided_for_all() -> None:
+def test_replica_that_failed_at_one_node_is_avoided_for_all_nodes() -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].suspects = ["r0"]
     fleet.tell(0)
     numbers = [fleet.ask(1) for _ in range(4)]
-    assert {fleet.nodes[1].placements[one].replica_id for one in numbers} == {"r1"}
+    assert {fleet.nodes[1].placements[number].replica_id for number in numbers} == {"r1"}
     fleet.nodes[2].waiting = [WaitingGroup(1, 30)]
     fleet.tell(2)
     assert "r0" not in fleet.nodes[2].batch
     fleet.nodes[0].suspects = []
-    served = RequestTiming("chat", "r0", 50, 300, 0)
-    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
+    timing = RequestTiming("chat", "r0", 50, 300, 0)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
     fleet.obey()
-    # A slot or two are kept for requests like those before.
+    # Some slots are reserved for requests like the earlier ones.
     assert fleet.nodes[2].batch["r0"] >= SLOTS - 2
 
 
-def test_without_a_replica_the_answer_says_so() -> None:
+def test_request_without_a_usable_replica_is_refused() -> None:
     fleet = Fleet(replicas=0)
     assert fleet.verdict(0, fleet.ask(0)) is PlacementVerdict.NO_REPLICA
 
 
-# --- the book ---
+# --- load tracker ---
 
 
 @st.composite
@@ -379,63 +379,65 @@
 
 
 @given(histories(), st.booleans())
-def test_settled_decisions_are_counted_once(
+def test_confirmed_decisions_are_counted_once(
     history: list[tuple[str, int]], are_orders_lost: bool
 ) -> None:
-    """Whether or not orders arrive, the sums are those of the nodes once they have reported."""
-    book = ReplicaLoadTracker()
-    truth = {"n1": 4, "n2": 4}
+    """The sums are those of the nodes once they have reported, whether or not orders arrive."""
+    tracker = ReplicaLoadTracker()
+    actual_items = {"n1": 4, "n2": 4}
     for number, (node, batch) in enumerate(history, 1):
-        book.expect(node, number, "r", batch=batch, now=0.0)
+        tracker.expect(node, number, "r", batch=batch, now=0.0)
         if not are_orders_lost:
-            truth[node] += batch
-        book.record_report(node, {"r": NodeLoad(0, truth[node])}, last_applied_order=number)
-    for node, items in truth.items():
-        book.record_report(node, {"r": NodeLoad(0, items)}, last_applied_order=len(history))
-    assert book.total("r", 0.1).batch == sum(truth.values())
+            actual_items[node] += batch
+        tracker.record_report(
+            node, {"r": NodeLoad(0, actual_items[node])}, last_applied_order=number
+        )
+    for node, items in actual_items.items():
+        tracker.record_report(node, {"r": NodeLoad(0, items)}, last_applied_order=len(history))
+    assert tracker.total("r", 0.1).batch == sum(actual_items.values())
 
 
-def test_a_decision_that_was_lost_on_the_way_is_forgotten() -> None:
-    book = ReplicaLoadTracker()
-    book.expect("n1", 1, "r", online=1, now=10.0)
-    book.expire(10.0 + DECISION_TIMEOUT_S + 0.1)
-    assert book.total("r", 10.7).total == 0
+def test_lost_decision_is_removed_after_the_timeout() -> None:
+    tracker = ReplicaLoadTracker()
+    tracker.expect("n1", 1, "r", online=1, now=10.0)
+    tracker.expire(10.0 + DECISION_TIMEOUT_S + 0.1)
+    assert tracker.total("r", 10.7).total == 0
 
 
-def test_another_coordinators_sums_count_until_the_nodes_have_reported() -> None:
-    book = ReplicaLoadTracker()
-    book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0)
-    book.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
-    assert (book.total("r", 10.5).online, book.total("r", 10.5).batch) == (5, 2)
-    assert book.total("r", 12.0).online == 1
+def test_sums_of_another_coordinator_count_until_the_nodes_have_reported() -> None:
+    tracker = ReplicaLoadTracker()
+    tracker.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0)
+    tracker.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
+    assert (tracker.total("r", 10.5).online, tracker.total("r", 10.5).batch) == (5, 2)
+    assert tracker.total("r", 12.0).online == 1
 
 
-def test_a_node_that_decides_alone_adds_its_own_work_to_what_it_was_told() -> None:
-    book = ReplicaLoadTracker()
-    book.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
-    book.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0, is_complete=False)
-    book.expect("n1", 1, "r", online=1, now=10.1)
-    assert book.total("r", 10.2).online == 6
+def test_node_that_decides_by_itself_adds_its_work_to_the_snapshot() -> None:
+    tracker = ReplicaLoadTracker()
+    tracker.record_report("n1", {"r": NodeLoad(1, 0)}, last_applied_order=0)
+    tracker.apply_snapshot({"r": NodeLoad(5, 2)}, now=10.0, is_complete=False)
+    tracker.expect("n1", 1, "r", online=1, now=10.1)
+    assert tracker.total("r", 10.2).online == 6
 
 
-def test_a_decision_looks_at_some_of_many_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decision_reads_only_a_sample_of_many_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
     fleet = Fleet(replicas=3000)
-    looks = 0
+    reads = 0
     total = ReplicaLoadTracker.total
 
-    def counting(book: ReplicaLoadTracker, replica_id: str, now: float) -> object:
-        nonlocal looks
-        looks += 1
-        return total(book, replica_id, now)
+    def counting(tracker: ReplicaLoadTracker, replica_id: str, now: float) -> object:
+        nonlocal reads
+        reads += 1
+        return total(tracker, replica_id, now)
 
     monkeypatch.setattr(ReplicaLoadTracker, "total", counting)
     fleet.ask(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 5, prefill_ms=5)]
     fleet.tell(1)
-    assert looks <= 3 * (MAX_SAMPLED_REPLICAS + 5)
+    assert reads <= 3 * (MAX_SAMPLED_REPLICAS + 5)
 
 
-def test_free_slots_of_many_replicas_are_all_found() -> None:
+def test_free_slots_of_many_replicas_are_all_granted() -> None:
     replicas = 4 * MAX_SAMPLED_REPLICAS
     fleet = Fleet(replicas=replicas)
     fleet.nodes[0].waiting = [WaitingGroup(1, replicas * SLOTS)]
@@ -448,12 +450,12 @@
     assert sum(fleet.nodes[0].batch.values()) >= 0.99 * replicas * SLOTS
 
 
-def test_requests_find_room_among_many_busy_replicas() -> None:
+def test_requests_find_free_slots_among_many_busy_replicas() -> None:
     replicas = 4 * MAX_SAMPLED_REPLICAS
     fleet = Fleet(replicas=replicas)
     fleet.nodes[1].online = {f"r{number}": SLOTS for number in range(0, replicas, 2)}
     fleet.tell(1)
     numbers = [fleet.ask(0) for _ in range(50)]
     chosen = [fleet.nodes[0].placements[number].replica_id for number in numbers]
-    assert all(int(one[1:]) % 2 == 1 for one in chosen)
+    assert all(int(replica_id[1:]) % 2 == 1 for replica_id in chosen)
     assert len(set(chosen)) > 45
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -27,83 +27,89 @@
     return fleet
 
 
-def hold(fleet: Fleet, tenant: str, node: int = 1, left_ms: int = LATE_MS) -> int:
+def queue_request(
+    fleet: Fleet, tenant: str, node: int = 1, objective_left_ms: int = LATE_MS
+) -> int:
     number = fleet.ask(
-        node, deadline_ms=3000, time_left_ms=3000, objective_left_ms=left_ms, tenant=tenant
+        node,
+        deadline_ms=3000,
+        time_left_ms=3000,
+        objective_left_ms=objective_left_ms,
+        tenant=tenant,
     )
     assert fleet.verdict(node, number) is PlacementVerdict.QUEUE
     return number
 
 
-def free_one(fleet: Fleet) -> int:
+def free_slot(fleet: Fleet) -> int:
     """End a request; return the number of the one that gets its slot."""
     before = {
         number
         for node in fleet.nodes
-        for number, one in node.placements.items()
-        if one.verdict is PlacementVerdict.SEND
+        for number, placement in node.placements.items()
+        if placement.verdict is PlacementVerdict.SEND
     }
     fleet.nodes[0].online["r0"] -= 1
     fleet.tell(0)
     after = {
         number
         for node in fleet.nodes
-        for number, one in node.placements.items()
-        if one.verdict is PlacementVerdict.SEND
+        for number, placement in node.placements.items()
+        if placement.verdict is PlacementVerdict.SEND
     }
     (placed,) = after - before
     return placed
 
 
-def test_a_tenant_that_had_less_is_placed_before_one_that_had_more_and_came_first() -> None:
+def test_tenant_with_less_usage_is_placed_before_an_earlier_one_with_more() -> None:
     fleet = busy_fleet()
-    first, second = hold(fleet, "hot"), hold(fleet, "hot")
-    small = hold(fleet, "small")
-    assert [free_one(fleet) for _ in range(3)] == [small, first, second]
+    first, second = queue_request(fleet, "hot"), queue_request(fleet, "hot")
+    small = queue_request(fleet, "small")
+    assert [free_slot(fleet) for _ in range(3)] == [small, first, second]
 
 
-def test_without_tenants_held_requests_go_by_arrival() -> None:
+def test_queued_requests_without_tenants_are_placed_in_order_of_arrival() -> None:
     fleet = busy_fleet(tenants=())
-    held = [hold(fleet, tenant) for tenant in ("hot", "hot", "small")]
-    assert [free_one(fleet) for _ in range(3)] == held
+    queued = [queue_request(fleet, tenant) for tenant in ("hot", "hot", "small")]
+    assert [free_slot(fleet) for _ in range(3)] == queued
 
 
 @given(st.lists(st.tuples(st.sampled_from(["hot", "small", ""]), st.integers(1, 60)), max_size=7))
-def test_switched_off_the_order_is_that_of_arrival_whatever_requests_say(
-    asks: list[tuple[str, int]],
+def test_with_fair_shares_off_any_requests_are_placed_in_order_of_arrival(
+    requests: list[tuple[str, int]],
 ) -> None:
     fleet = busy_fleet(tenants=())
-    held = []
-    for tenant, left_ms in asks:
+    queued = []
+    for tenant, objective_left_ms in requests:
         fleet.now += 0.01
-        held.append(hold(fleet, tenant, left_ms=left_ms))
-    assert [free_one(fleet) for _ in held] == held
+        queued.append(queue_request(fleet, tenant, objective_left_ms=objective_left_ms))
+    assert [free_slot(fleet) for _ in queued] == queued
 
 
-def test_while_another_one_waits_a_tenant_ahead_leaves_part_of_the_queues() -> None:
+def test_tenant_ahead_leaves_part_of_the_queues_while_another_waits() -> None:
     fleet = busy_fleet()
     for _ in range(8):
         # Long requests of one tenant: it has had far more than the others.
-        served = RequestTiming("chat", "r0", 50, 9000, 0, tenant="hot")
-        fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
+        timing = RequestTiming("chat", "r0", 50, 9000, 0, tenant="hot")
+        fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
     assert fleet.scheduler.online_shares.is_ahead(0, "hot")
     fleet.scheduler.times.apply_estimate("chat", 50.0, 500.0, 1.0)
-    small = hold(fleet, "small")
-    more: dict[str, Any] = {"deadline_ms": 5000, "objective_left_ms": 300}
+    small = queue_request(fleet, "small")
+    fields: dict[str, Any] = {"deadline_ms": 5000, "objective_left_ms": 300}
     fleet.nodes[0].online["r0"] = SLOTS + 2
     fleet.tell(0)
-    refused = fleet.ask(1, tenant="hot", **more)
+    refused = fleet.ask(1, tenant="hot", **fields)
     assert fleet.verdict(1, refused) is not PlacementVerdict.SEND
-    assert fleet.verdict(1, fleet.ask(1, tenant="other", **more)) is PlacementVerdict.SEND
+    assert fleet.verdict(1, fleet.ask(1, tenant="other", **fields)) is PlacementVerdict.SEND
     fleet.nodes[1].online["r0"] -= 1
     report = fleet.nodes[1].report()
     report.withdrawn = [small]
     fleet.scheduler.handle_report(report, fleet.now)
-    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **more)) is PlacementVerdict.SEND
+    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **fields)) is PlacementVerdict.SEND
 
 
-def test_while_one_tenant_is_ahead_each_other_one_has_a_request_that_waits() -> None:
+def test_while_a_tenant_is_ahead_each_other_tenant_may_queue_one_request() -> None:
     fleet = busy_fleet()
     for _ in range(4):
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
@@ -113,10 +119,10 @@
     assert verdicts == [PlacementVerdict.QUEUE, PlacementVerdict.RETRY_LATER]
 
 
-def test_an_ask_that_comes_again_under_another_tenant_stays_in_its_line() -> None:
+def test_request_number_reused_for_another_tenant_stays_in_its_queue() -> None:
     """A process that was started again counts its asks anew; the earlier ones may be held yet."""
     fleet = busy_fleet()
-    number = hold(fleet, "small")
+    number = queue_request(fleet, "small")
     again = PlacementRequest(
         number, "chat", "model", deadline_ms=3000, time_left_ms=3000, tenant="other"
     )
@@ -125,7 +131,7 @@
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
 
 
-def test_what_is_hopeless_is_refused_at_once_without_a_time_to_come_back() -> None:
+def test_request_that_will_miss_its_deadline_is_refused_without_a_retry_time() -> None:
     fleet = busy_fleet()
     fleet.nodes[0].online["r0"] = 40 * SLOTS
     fleet.tell(0)
@@ -139,7 +145,7 @@
     return decided.grants_by_tenant["r0"]
 
 
-def test_items_of_tenants_share_slots_and_grants_say_whose_they_are() -> None:
+def test_items_of_tenants_share_slots_and_grants_name_the_tenant() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [
         WaitingGroup(1, 20, tenant="hot", remaining_ms=1000),
@@ -149,7 +155,7 @@
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "small": SLOTS // 2}
 
 
-def test_an_items_run_that_was_cut_short_is_given_back() -> None:
+def test_unused_slot_time_of_an_item_is_credited() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", remaining_ms=2000)]
     fleet.tell(0)
@@ -161,7 +167,7 @@
 
 
 @given(st.lists(st.integers(1, 30), min_size=1, max_size=4), st.integers(0, 3))
-def test_no_slot_stays_free_for_the_sake_of_shares(items: list[int], ahead: int) -> None:
+def test_fair_shares_leave_no_slot_free(items: list[int], ahead: int) -> None:
     fleet = Fleet(replicas=2, tenants=TENANTS)
     for _ in range(ahead):
         fleet.scheduler.item_shares.charge(0, "hot", 3000.0, ["small"])
@@ -172,7 +178,7 @@
     assert sum(fleet.work(f"r{number}")[1] for number in range(2)) == min(sum(items), 2 * SLOTS)
 
 
-def test_a_new_coordinator_goes_on_with_the_shares_of_the_one_before() -> None:
+def test_new_coordinator_continues_with_the_usage_of_the_previous_one() -> None:
     async def main() -> None:
         world = CoordinationWorld(5, replicas=2, tenants=TENANTS)
         await world.start()
@@ -193,7 +199,7 @@
     curio.run(main)
 
 
-def test_many_slots_that_get_free_at_once_are_shared_too() -> None:
+def test_slots_that_become_free_together_are_shared() -> None:
     """A takeover or the end of a burst frees all slots in one decision; one tenant is due first."""
     replicas = 16
     fleet = Fleet(replicas=replicas, tenants=TENANTS)
@@ -208,7 +214,7 @@
     assert granted == {"hot": replicas * SLOTS // 2, "small": replicas * SLOTS // 2}
 
 
-def test_slots_granted_for_items_without_a_tenant_are_told_as_theirs() -> None:
+def test_grants_for_items_without_a_tenant_are_named() -> None:
     """Public routes take items of anybody; a slot that is not named goes to any item."""
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [
@@ -219,10 +225,10 @@
     assert grants(fleet, 0) == {"hot": SLOTS // 2, "": SLOTS // 2}
 
 
-def test_a_request_without_a_tenant_is_charged_for_what_it_took() -> None:
+def test_request_without_a_tenant_is_charged_its_actual_slot_time() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.ask(0, tenant="")
     before_ms = fleet.scheduler.online_shares.ahead_ms(0, "")
-    served = RequestTiming("chat", "r0", 50, round(before_ms) + 700, 0)
-    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[served]), fleet.now)
+    timing = RequestTiming("chat", "r0", 50, round(before_ms) + 700, 0)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
     assert fleet.scheduler.online_shares.ahead_ms(0, "") == before_ms + 700
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -31,23 +31,27 @@
 
 
 @given(MS, MS, MS, MS, st.booleans())
-def test_a_request_that_finds_a_free_slot_is_never_told_to_come_back(
-    start_ms: float, left_ms: float, objective_ms: float, most_ms: float, may_return: bool
+def test_request_with_a_free_slot_is_always_sent(
+    start_ms: float,
+    remaining_ms: float,
+    objective_ms: float,
+    max_wait_ms: float,
+    may_retry_later: bool,
 ) -> None:
-    prospect = Prospect(0.0, start_ms, left_ms, objective_ms, most_ms)
-    assert decide(prospect, may_return, is_first=True) is PlacementVerdict.SEND
+    prospect = Prospect(0.0, start_ms, remaining_ms, objective_ms, max_wait_ms)
+    assert decide(prospect, may_retry_later, is_first=True) is PlacementVerdict.SEND
 
 
 @given(MS, MS, MS, MS, MS, st.booleans())
-def test_a_request_that_came_back_is_not_turned_away_again(
+def test_retry_is_not_refused_again(
     wait_ms: float,
     start_ms: float,
-    left_ms: float,
+    remaining_ms: float,
     objective_ms: float,
-    most_ms: float,
+    max_wait_ms: float,
     is_first: bool,
 ) -> None:
-    prospect = Prospect(wait_ms, start_ms, left_ms, objective_ms, most_ms)
+    prospect = Prospect(wait_ms, start_ms, remaining_ms, objective_ms, max_wait_ms)
     assert (
         decide(prospect, may_retry_later=False, is_first=is_first)
         is not PlacementVerdict.RETRY_LATER
@@ -55,7 +59,7 @@
 
 
 @given(st.integers(1, 40), st.integers(0, 80), st.floats(1.0, 9000.0))
-def test_nobody_waits_below_the_slots_and_more_work_means_no_shorter_wait(
+def test_wait_is_zero_below_the_slots_and_grows_with_load(
     slots: int, online: int, hold_ms: float
 ) -> None:
     wait_ms = slot_wait_ms(slots, online, hold_ms)
@@ -64,20 +68,20 @@
 
 
 @given(st.floats(0.0, 9.0), st.floats(0.0, 9.0), st.floats(0.0, 30.0), st.integers())
-def test_times_to_come_back_are_worth_it_and_leave_most_of_the_callers_time(
-    wait_s: float, rest_s: float, left_s: float, seed: int
+def test_retry_delays_are_worthwhile_and_leave_most_of_the_callers_time(
+    wait_s: float, remaining_s: float, time_left_s: float, seed: int
 ) -> None:
-    after_s = retry_after_s(wait_s, rest_s, left_s, Random(seed))
-    if after_s is None:
+    delay_s = retry_after_s(wait_s, remaining_s, time_left_s, Random(seed))
+    if delay_s is None:
         assert (
-            max(wait_s, rest_s) < MIN_RETRY_AFTER_S
-            or MAX_RETRY_AFTER_FRACTION * left_s < MIN_RETRY_AFTER_S
+            max(wait_s, remaining_s) < MIN_RETRY_AFTER_S
+            or MAX_RETRY_AFTER_FRACTION * time_left_s < MIN_RETRY_AFTER_S
         )
     else:
-        assert MIN_RETRY_AFTER_S <= after_s <= MAX_RETRY_AFTER_FRACTION * left_s
+        assert MIN_RETRY_AFTER_S <= delay_s <= MAX_RETRY_AFTER_FRACTION * time_left_s
 
 
-def test_less_urgent_requests_fill_no_queue_in_which_urgent_ones_would_be_late() -> None:
+def test_less_urgent_requests_do_not_make_urgent_ones_late() -> None:
     times = ServiceTimes()
     urgent, patient = online_route("ruling", 0.2, 0), online_route("digest", 0.8, 1)
     elsewhere = online_route("other", 0.05, 0, service="else")
@@ -86,7 +90,7 @@
     assert max_wait_ms(patient, 1, (patient, elsewhere), times) > 500
 
 
-def test_expected_waits_follow_what_requests_met() -> None:
+def test_wait_factor_follows_actual_waits() -> None:
     times = ServiceTimes()
     for _ in range(60):
         times.record_wait("r", expected_ms=100.0, took_ms=times.first_event_ms("r") + 250.0)
@@ -95,21 +99,21 @@
     assert times.wait_factor("r") <= MAX_WAIT_FACTOR
 
 
-def test_crowds_are_expected_to_last_as_they_did() -> None:
-    watch = OverloadDurationEstimator()
+def test_overloads_are_expected_to_last_as_long_as_earlier_ones() -> None:
+    estimator = OverloadDurationEstimator()
     for start_s in range(0, 60, 6):
         for tenth in range(25):
-            watch.record_request(start_s + tenth / 10)
-    watch.record_request(60.0)
-    assert 2.0 < watch.remaining_s(60.0) < 2.5
-    assert 1.0 < watch.remaining_s(61.0) < 1.5 or watch.remaining_s(61.0) == 0.0
+            estimator.record_request(start_s + tenth / 10)
+    estimator.record_request(60.0)
+    assert 2.0 < estimator.remaining_s(60.0) < 2.5
+    assert 1.0 < estimator.remaining_s(61.0) < 1.5 or estimator.remaining_s(61.0) == 0.0
 
 
 @given(st.lists(st.floats(0.1, 30.0), max_size=12))
-def test_only_requests_with_less_time_than_others_came_back(lefts_s: list[float]) -> None:
-    book = RetryDetector()
-    longest_s = 0.0
-    for left_s in lefts_s:
-        longest_s = max(longest_s, left_s)
-        assert book.is_retry("r", left_s) is False or left_s < longest_s
-    assert book.is_retry("r", None) is True
+def test_only_requests_with_less_time_than_others_are_retries(times_left_s: list[float]) -> None:
+    detector = RetryDetector()
+    max_time_left_s = 0.0
+    for time_left_s in times_left_s:
+        max_time_left_s = max(max_time_left_s, time_left_s)
+        assert detector.is_retry("r", time_left_s) is False or time_left_s < max_time_left_s
+    assert detector.is_retry("r", None) is True
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -42,31 +42,31 @@
     st.lists(st.tuples(REPLICAS, COUNTS, COUNTS, st.floats(0.0, MAX_SAMPLE_INTERVAL_S)), max_size=6)
 )
 def test_uses_add_up_to_slots_times_time(
-    looks: list[tuple[list[ReplicaUse], dict[str, int], dict[str, int], float]],
+    samples: list[tuple[list[ReplicaUse], dict[str, int], dict[str, int], float]],
 ) -> None:
     time = SlotTime()
     now = expected = 0.0
     time.sample([], {}, {}, now)
-    for replicas, waiting, kept, passed_s in looks:
+    for replicas, waiting, reserved, passed_s in samples:
         now += passed_s
-        time.sample(replicas, waiting, kept, now)
-        expected += passed_s * sum(one.slots for one in replicas)
+        time.sample(replicas, waiting, reserved, now)
+        expected += passed_s * sum(replica.slots for replica in replicas)
     assert sum(time.seconds.values()) == pytest.approx(expected)
     assert all(seconds >= 0 for seconds in time.seconds.values())
 
 
-def _use(replica: ReplicaUse, waiting: int, kept: int = 0) -> dict[SlotUse, float]:
+def _use(replica: ReplicaUse, waiting: int, reserved: int = 0) -> dict[SlotUse, float]:
     time = SlotTime()
     time.sample([], {}, {}, 0.0)
-    time.sample([replica], {replica.service: waiting}, {replica.service: kept}, 1.0)
+    time.sample([replica], {replica.service: waiting}, {replica.service: reserved}, 1.0)
     return {use: seconds for use, seconds in time.seconds.items() if seconds}
 
 
-def test_a_slot_that_is_idle_beside_waiting_items_has_its_reason() -> None:
+def test_idle_slot_beside_waiting_items_has_a_reason() -> None:
     free = ReplicaUse("s", 4, online=1, batch=1)
     assert _use(free, waiting=0)[SlotUse.IDLE] == 2
     assert _use(free, waiting=9)[SlotUse.NOT_GRANTED] == 2
-    assert _use(free, waiting=9, kept=1)[SlotUse.KEPT_FREE] == 1
+    assert _use(free, waiting=9, reserved=1)[SlotUse.KEPT_FREE] == 1
     assert _use(free, waiting=1)[SlotUse.IDLE] == 1
     suspected = ReplicaUse("s", 4, 0, 0, is_suspected=True)
     assert _use(suspected, waiting=9) == {SlotUse.SUSPECTED: 4}
@@ -75,7 +75,7 @@
     assert _use(ReplicaUse("s", 4, 0, 1, is_draining=True), 9)[SlotUse.DRAINING] == 3
 
 
-def test_time_without_a_look_is_not_counted_for_long() -> None:
+def test_time_without_samples_is_counted_up_to_the_maximum() -> None:
     time = SlotTime()
     time.sample([], {}, {}, 0.0)
     time.sample([ReplicaUse("s", 2, 0, 0)], {}, {}, 500.0)
@@ -94,7 +94,7 @@
         (RequestTimes(100, 110, 10, 0, 60), LateCause.OTHER),
     ],
 )
-def test_a_late_request_has_one_cause(times: RequestTimes, cause: LateCause | None) -> None:
+def test_late_request_has_one_cause(times: RequestTimes, cause: LateCause | None) -> None:
     assert request_cause(times) is cause
 
 
@@ -109,7 +109,7 @@
         (ItemTimes(1, 18_000, 5_000, 5_000), LateCause.NO_SLOT),
     ],
 )
-def test_a_late_item_has_one_cause(times: ItemTimes, cause: LateCause | None) -> None:
+def test_late_item_has_one_cause(times: ItemTimes, cause: LateCause | None) -> None:
     assert item_cause(times) is cause
 
 
@@ -123,7 +123,7 @@
         {**common, "number": 421, "event": "item_run_ended", "at": 7.5, "late": "gave_way"},
         {**common, "number": 312, "event": "request_answered", "at": 7.6, "late": None},
     ]
-    path.write_text("".join(json.dumps(one) + "\n" for one in lines))
+    path.write_text("".join(json.dumps(line) + "\n" for line in lines))
     return str(path)
 
 
@@ -149,33 +149,33 @@
     ]
 
 
-def test_a_command_tells_which_parts_are_on_and_why(tmp_path: Path) -> None:
+def test_command_shows_which_features_are_on_and_why(tmp_path: Path) -> None:
     def line(node: str, at: float, is_on: bool, reason: str) -> str:
-        told = {"node": node, "number": 613, "event": "feature_changed", "level": "info"}
-        more = {"at": at, "feature": "fair_shares", "is_on": is_on, "reason": reason}
-        return json.dumps({**told, **more}) + "\n"
+        common = {"node": node, "number": 613, "event": "feature_changed", "level": "info"}
+        fields = {"at": at, "feature": "fair_shares", "is_on": is_on, "reason": reason}
+        return json.dumps({**common, **fields}) + "\n"
 
     path = tmp_path / "n.log"
     early = [line("n1", 1.0, False, "no tenants"), line("n2", 1.1, False, "no tenants")]
     path.write_text("".join([*early, line("n1", 2.0, True, "tenants")]))
     shown = CliRunner().invoke(features, [str(path), "--json"])
-    assert [(one["is_on"], one["nodes"]) for one in json.loads(shown.output)] == [
+    assert [(state["is_on"], state["nodes"]) for state in json.loads(shown.output)] == [
         (False, 1),
         (True, 1),
     ]
     assert CliRunner().invoke(features, [_log(tmp_path / "n1.log")]).exit_code != 0
 
 
-def test_the_coordinator_tells_each_second_what_slots_were_used_for() -> None:
+def test_coordinator_reports_slot_time_each_second() -> None:
     fleet = Fleet(replicas=2)
-    told: list[dict[SlotUse, float]] = []
-    watch = SlotTimeReporter(fleet.scheduler, told.append)
+    reported: list[dict[SlotUse, float]] = []
+    reporter = SlotTimeReporter(fleet.scheduler, reported.append)
     fleet.ask(0)
     fleet.nodes[1].waiting = [WaitingGroup(5, 3)]
     fleet.tell(1)
     for tick in range(60):
-        watch.tick(fleet.now + tick * 0.05)
-    assert len(told) == 2
-    assert told[-1][SlotUse.ONLINE] == pytest.approx(1.0, abs=0.3)
-    assert told[-1][SlotUse.ITEMS] == pytest.approx(3.0, abs=0.8)
-    assert sum(told[-1].values()) == pytest.approx(2 * SLOTS, abs=4.0)
+        reporter.tick(fleet.now + tick * 0.05)
+    assert len(reported) == 2
+    assert reported[-1][SlotUse.ONLINE] == pytest.approx(1.0, abs=0.3)
+    assert reported[-1][SlotUse.ITEMS] == pytest.approx(3.0, abs=0.8)
+    assert sum(reported[-1].values()) == pytest.approx(2 * SLOTS, abs=4.0)
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -13,13 +13,13 @@
 from cloverwalk.tenants.directory import Tenant
 
 BOUNDS = QuotaBounds(window_s=5.0, overshoot=0.1, slack=20.0)
-NODE_SILENT_S = 1.5
+NODE_TIMEOUT_S = 1.5
 
 
 def holder(*tenants: Tenant) -> ConfigurationHolder:
-    known = ConfigurationHolder()
-    known.update_if_newer(Configuration(1, (), {}, ClientLimits(), tenants))
-    return known
+    created = ConfigurationHolder()
+    created.update_if_newer(Configuration(1, (), {}, ClientLimits(), tenants))
+    return created
 
 
 def tenant(rate: float = 5.0, burst: float = 5.0) -> Tenant:
@@ -32,20 +32,20 @@
     return quotas
 
 
-def most_in_window(sent: list[float], window_s: float = BOUNDS.window_s) -> int:
+def max_in_window(sent: list[float], window_s: float = BOUNDS.window_s) -> int:
     """Return the most sends within any span of a window's length."""
     return max(
-        (sum(at <= one <= at + window_s for one in sent) for at in sent),
+        (sum(at <= other_at <= at + window_s for other_at in sent) for at in sent),
         default=0,
     )
 
 
-def allowed(one: Tenant) -> float:
-    return one.rate_per_s * BOUNDS.window_s + one.burst
+def allowed(limited: Tenant) -> float:
+    return limited.rate_per_s * BOUNDS.window_s + limited.burst
 
 
-def most(one: Tenant) -> float:
-    return allowed(one) + BOUNDS.tolerance(one)
+def max_allowed(limited: Tenant) -> float:
+    return allowed(limited) + BOUNDS.tolerance(limited)
 
 
 tenants = st.builds(
@@ -62,14 +62,14 @@
         max_size=40,
     ),
 )
-def test_a_coordinator_never_gives_out_more_than_the_quota(
-    one: Tenant, bursts: list[tuple[float, int, float, bool]]
+def test_coordinator_never_grants_more_than_the_quota(
+    limited: Tenant, bursts: list[tuple[float, int, float, bool]]
 ) -> None:
     """Requests come in bursts; some wait before they are sent, and some leave meanwhile."""
-    quotas = coordinating(holder(one), now=-100.0)
+    quotas = coordinating(holder(limited), now=-100.0)
     now, sent = 0.0, []
     waiting: list[tuple[float, bool]] = []
-    for pause_s, count, held_s, leaves in bursts:
+    for pause_s, count, wait_s, leaves in bursts:
         now += pause_s
         for due in [due for due in waiting if due[0] <= now]:
             waiting.remove(due)
@@ -80,64 +80,66 @@
                 sent.append(now)
         for _ in range(count):
             if quotas.reserve("quiz", now) is QuotaVerdict.TAKEN:
-                waiting.append((now + held_s, leaves))
+                waiting.append((now + wait_s, leaves))
         for due in [due for due in waiting if due[0] <= now and not due[1]]:
             waiting.remove(due)
             quotas.spend("quiz", now)
             sent.append(now)
-    assert most_in_window(sent) <= allowed(one) + 1
+    assert max_in_window(sent) <= allowed(limited) + 1
 
 
 @given(tenants, st.integers(1, 80), st.floats(0.3, 6.0), st.booleans())
-def test_a_takeover_keeps_the_quota(
-    one: Tenant, per_step: int, taken_over_at: float, has_levels: bool
+def test_quota_holds_through_a_takeover(
+    limited: Tenant, per_step: int, taken_over_at: float, has_levels: bool
 ) -> None:
     """A tenant that sends far too much, and a coordinator that is lost at any moment."""
-    configuration = holder(one)
+    configuration = holder(limited)
     first = coordinating(configuration, now=-100.0)
-    heir = FleetQuotas(configuration, BOUNDS, Random(2))
-    counting, sent = first, []
+    standby = FleetQuotas(configuration, BOUNDS, Random(2))
+    active, sent = first, []
     for step in range(200):
         now = 0.05 * step
-        if counting is first and now >= taken_over_at:
-            heir.become_coordinator(now)
-            counting = heir
-        elif has_levels and counting is first and step % 5 == 0:
-            heir.apply_bucket_levels(first.bucket_levels(now))
+        if active is first and now >= taken_over_at:
+            standby.become_coordinator(now)
+            active = standby
+        elif has_levels and active is first and step % 5 == 0:
+            standby.apply_bucket_levels(first.bucket_levels(now))
         for _ in range(per_step):
-            if counting.reserve("quiz", now) is QuotaVerdict.TAKEN:
-                counting.spend("quiz", now)
+            if active.reserve("quiz", now) is QuotaVerdict.TAKEN:
+                active.spend("quiz", now)
                 sent.append(now)
-    assert most_in_window(sent) <= most(one)
+    assert max_in_window(sent) <= max_allowed(limited)
 
 
 @attrs.define
-class Cut:
+class PartitionedFleet:
     """A fleet of which some nodes decide alone from a moment on."""
 
     nodes: int
-    alone: int
+    independent: int
     reports: bool
 
-    def sends(self, one: Tenant, per_step: int, seed: int) -> list[float]:
-        configuration = holder(one)
-        main = coordinating(configuration, now=-100.0)
-        deputies = [
+    def sends(self, limited: Tenant, per_step: int, seed: int) -> list[float]:
+        configuration = holder(limited)
+        coordinator = coordinating(configuration, now=-100.0)
+        local_quotas = [
             FleetQuotas(configuration, BOUNDS, Random(seed + number))
-            for number in range(self.alone)
+            for number in range(self.independent)
         ]
         sent: list[float] = []
         for step in range(200):
             now = 0.05 * step
-            if not self.reports and now > NODE_SILENT_S:
-                main.set_fleet_fraction(self.nodes - self.alone, self.nodes)
-            for number, deputy in enumerate(deputies):
+            if not self.reports and now > NODE_TIMEOUT_S:
+                coordinator.set_fleet_fraction(self.nodes - self.independent, self.nodes)
+            for number, local in enumerate(local_quotas):
                 if step == 0:
-                    deputy.apply_near_limit([], now)
-                deputy.set_fleet_fraction(1, self.nodes)
+                    local.apply_near_limit([], now)
+                local.set_fleet_fraction(1, self.nodes)
                 if self.reports:
-                    main.record_local_grants(f"n{number}", "0a", deputy.local_grants(now), now)
-            for quotas in [main, *deputies]:
+                    coordinator.record_local_grants(
+                        f"n{number}", "0a", local.local_grants(now), now
+                    )
+            for quotas in [coordinator, *local_quotas]:
                 for _ in range(per_step):
                     if quotas.reserve("quiz", now) is QuotaVerdict.TAKEN:
                         quotas.spend("quiz", now)
@@ -151,36 +153,36 @@
     st.booleans(),
     st.integers(0, 1000),
 )
-def test_nodes_that_decide_alone_keep_the_quota(
-    one: Tenant, fleet: tuple[int, int], reports: bool, seed: int
+def test_quota_holds_while_nodes_decide_independently(
+    limited: Tenant, fleet: tuple[int, int], reports: bool, seed: int
 ) -> None:
     """A third of the nodes at the most, each with more requests than it may send."""
-    sent = Cut(fleet[0], fleet[1], reports).sends(one, 4, seed)
-    assert most_in_window(sent) <= most(one)
+    sent = PartitionedFleet(fleet[0], fleet[1], reports).sends(limited, 4, seed)
+    assert max_in_window(sent) <= max_allowed(limited)
 
 
-def test_a_tenant_far_from_its_limit_is_served_by_a_node_alone() -> None:
+def test_node_grants_locally_to_a_tenant_far_from_its_limit() -> None:
     quotas = FleetQuotas(holder(tenant(15, 15)), BOUNDS, Random(1))
     quotas.apply_near_limit([], 0.0)
     quotas.set_fleet_fraction(1, 12)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
-def test_a_node_that_knows_nothing_of_the_fleet_gives_out_nothing() -> None:
+def test_node_with_unknown_fleet_size_grants_nothing() -> None:
     quotas = FleetQuotas(holder(tenant()), BOUNDS, Random(1))
     quotas.set_fleet_fraction(1, 0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.UNKNOWN
     assert not quotas.knows_fleet
 
 
-def test_a_tenant_without_a_limit_is_never_refused() -> None:
+def test_tenant_without_a_limit_is_never_refused() -> None:
     quotas = coordinating(holder(tenant(rate=0.0)))
     verdicts = {quotas.reserve("quiz", 0.0) for _ in range(1000)}
     verdicts |= {quotas.reserve("", 0.0) for _ in range(1000)}
     assert verdicts == {QuotaVerdict.TAKEN}
 
 
-def test_a_refusal_says_when_there_is_a_token() -> None:
+def test_refusal_has_the_time_until_the_next_token() -> None:
     quotas = coordinating(holder(tenant(rate=2.0, burst=1.0)), now=-100.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
     quotas.spend("quiz", 0.0)
@@ -190,7 +192,7 @@
     assert quotas.reserve("quiz", 0.1 + wait_s) is QuotaVerdict.TAKEN
 
 
-def test_a_request_that_is_not_sent_gives_its_token_back() -> None:
+def test_released_token_can_be_reserved_again() -> None:
     quotas = coordinating(holder(tenant(rate=0.1, burst=1.0)), now=-100.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.OVER
@@ -198,7 +200,7 @@
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
-def test_a_repeat_is_counted_and_goes_without_a_token() -> None:
+def test_retry_is_counted_and_sent_without_a_free_token() -> None:
     quotas = coordinating(holder(tenant(rate=1.0, burst=2.0)), now=-100.0)
     quotas.charge("quiz", 0.0)
     quotas.charge("quiz", 0.0)
@@ -207,7 +209,7 @@
     assert quotas.reserve("quiz", 2.1) is QuotaVerdict.TAKEN
 
 
-def test_a_lower_quota_binds_at_once() -> None:
+def test_lowered_quota_applies_at_once() -> None:
     configuration = holder(tenant(rate=50.0, burst=50.0))
     quotas = coordinating(configuration, now=-100.0)
     lowered = Configuration(2, (), {}, ClientLimits(), (tenant(rate=1.0, burst=1.0),))
@@ -218,7 +220,7 @@
     assert verdicts == [QuotaVerdict.TAKEN, QuotaVerdict.OVER, QuotaVerdict.OVER]
 
 
-def test_what_a_deputy_gave_out_is_counted_once() -> None:
+def test_local_grants_are_counted_once() -> None:
     quotas = coordinating(holder(tenant(rate=0.1, burst=10.0)), now=-100.0)
     quotas.record_local_grants("n1", "0a", None, 0.0)
     for _ in range(3):
@@ -234,10 +236,10 @@
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
 
 
-def test_a_process_that_stood_still_gives_out_no_more_than_the_tolerance() -> None:
-    one = tenant(rate=60.0, burst=60.0)
-    quotas = coordinating(holder(one), now=-100.0)
+def test_paused_process_grants_no_more_than_the_tolerance() -> None:
+    limited = tenant(rate=60.0, burst=60.0)
+    quotas = coordinating(holder(limited), now=-100.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
     quotas.reset_after_pause(4.0)
     given_out = sum(quotas.reserve("quiz", 4.0) is QuotaVerdict.TAKEN for _ in range(100))
-    assert given_out <= BOUNDS.tolerance(one)
+    assert given_out <= BOUNDS.tolerance(limited)
