--- a/src/cloverwalk/scheduling/admission.py
+++ b/src/cloverwalk/scheduling/admission.py
@@ -1,9 +1,10 @@
-"""Which online requests go to a replica while there are more of them than slots. A pure policy.
+"""Admission of online requests while there are more of them than slots. A pure policy.
 
-Replicas serve in order of arrival. If everything were sent at once, a burst would make nearly all
-requests late. So a request is sent only where it is expected to be in time, or where a slot is
-free. Another one is told at once to come back when the crowd is expected to be over; if it can't
-be, since it came back already, it waits here for a free slot, behind those that can be in time.
+Replicas serve in order of arrival, so sending everything at once would make nearly all requests of
+a burst late. A request is therefore sent only where it is expected to meet its latency objective or
+where a slot is free. Any other is refused with the time after which the overload is expected to be
+over. A request that is a retry already is queued here for a free slot instead, behind those that
+can still meet their objective.
 """
 
 import enum
@@ -16,62 +17,63 @@
 from cloverwalk.scheduling.service_times import ServiceTimes
 
 MARGIN_FRACTION = 0.15
-"""Share of the latency objective kept for what nodes have not heard of each other."""
+"""Fraction of the latency objective that is kept for load which nodes have not reported yet."""
 
 MIN_RETRY_AFTER_S = 0.4
-"""A shorter wait is waited here: coming back would take as long."""
+"""A shorter wait is spent in the queue, since a retry would take as long."""
 
 MAX_RETRY_AFTER_FRACTION = 0.3
-"""Share of a caller's time that it may be told to stay away for."""
+"""Upper bound of a retry-after time, as a fraction of the caller's remaining time."""
 
 RETRY_AFTER_JITTER = 0.3
-"""Return times are spread by this share, so that callers do not come back all at once."""
+"""Relative random spread of retry-after times, so that callers do not retry all at once."""
 
 INITIAL_OVERLOAD_S = 1.2
 OVERLOAD_LEARNING_WEIGHT = 0.3
 LONG_OVERLOAD_FRACTION = 0.5
-"""A crowd that lasts longer than usual is expected to go on for this share of its time so far."""
+"""An overload longer than the average is expected to last this fraction of its elapsed time
+more."""
 
 OVERLOAD_END_DELAY_S = 0.5
-"""A crowd is over when no request has met it for so long."""
+"""An overload ends when all requests could be placed in time for this long."""
 
 MIN_RETRY_ELAPSED_S = 0.2
-"""A request with this much less time than others of its route was sent before."""
+"""A request with this much less time than others of its route counts as a retry."""
 
 AHEAD_QUEUE_FRACTION = 0.5
-"""Share of the queue that requests of a tenant ahead of its share may join while others
-wait: the other half is for these. Free slots are for everybody."""
+"""Fraction of the queue that a tenant ahead of its fair share may fill while others wait. Free
+slots are not restricted."""
 
 MAX_QUEUE_WAIT_S = 1.5
-"""A request that waits here is sent after this time at the latest, to whatever replica is best."""
+"""A request that is queued for this time is sent to the best replica, whatever its load."""
 
 
 class PlacementVerdict(enum.Enum):
-    """What to do with a request."""
+    """Outcome of a placement request."""
 
     SEND = "send"
     QUEUE = "hold"
     RETRY_LATER = "return"
     NO_REPLICA = "none"
-    """There is no replica that it could be sent to."""
+    """No usable replica."""
 
     OVER_QUOTA = "over_quota"
-    """Its tenant has sent what it may."""
+    """The tenant's quota is used up."""
 
     QUOTA_UNKNOWN = "quota_unknown"
-    """This node can't tell whether its tenant may send it; another one can."""
+    """This node can't count the tenant's quota; another node can."""
 
     TOO_LARGE = "too_large"
-    """No replica has the memory for it."""
+    """No replica has enough memory, even when idle."""
 
     CONTAINED = "contained"
-    """Replicas have ended under it."""
+    """Replicas ended under this request."""
 
 
 def slot_wait_ms(slots: int, online: int, hold_ms: float) -> float:
-    """Return how long one more online request is expected to wait for a slot of a replica.
+    """Return the expected wait of one more online request for a slot of a replica.
 
-    Batch work does not count: it gives way.
+    Batch items do not count, since they are preempted.
 
     >>> slot_wait_ms(8, 7, 800.0), slot_wait_ms(8, 9, 800.0)
     (0.0, 200.0)
@@ -81,32 +83,32 @@
 
 @attrs.frozen
 class Prospect:
-    """What a request can expect at its best replica."""
+    """Expected times of a request at its best replica."""
 
     wait_ms: float
-    """Expected wait for a slot there."""
+    """Expected wait for a slot."""
 
     first_event_ms: float
-    """Expected time from a slot to its first event."""
+    """Expected time from getting a slot to the first event."""
 
     remaining_ms: float
-    """What is left of its latency objective."""
+    """Remaining time of its latency objective."""
 
     objective_ms: float
 
     max_wait_ms: float
-    """The longest queue that requests of its route may make, for the sake of more urgent ones."""
+    """Longest queue that its route may build up, so that more urgent routes stay in time."""
 
     @property
     def is_in_time(self) -> bool:
-        """Whether the first event is expected within the objective."""
+        """Whether the first event is expected within the objective, with a margin."""
         margin_ms = MARGIN_FRACTION * self.objective_ms
         needed_ms = self.wait_ms + self.first_event_ms + margin_ms
         return needed_ms <= self.remaining_ms and self.wait_ms <= self.max_wait_ms
 
 
 def decide(prospect: Prospect, may_retry_later: bool, is_first: bool) -> PlacementVerdict:
-    """Return what to do; ``is_first`` tells that no other request waits here before it.
+    """Return the verdict; ``is_first`` means that no queued request goes before this one.
 
     >>> late = Prospect(
     ...     300.0, first_event_ms=80.0, remaining_ms=300.0, objective_ms=300.0, max_wait_ms=200.0
@@ -122,9 +124,9 @@
 
 
 def max_wait_ms(route: Route, priority: int, routes: Sequence[Route], times: ServiceTimes) -> float:
-    """Return the longest queue that a request of a route, with this priority, may join.
+    """Return the longest queue that a request of a route and priority may join.
 
-    Less urgent requests may not fill queues in which those of more urgent routes would be late.
+    Requests must not fill a queue in which those of more urgent routes would be late.
     """
     services = set(route.services)
     urgent = [
@@ -144,7 +146,7 @@
 
 
 class OverloadDurationEstimator:
-    """How long crowds last here, as seen from requests that met one.
+    """Estimates how long overloads last, from the requests that could not be placed in time.
 
     >>> estimator = OverloadDurationEstimator()
     >>> estimator.record_request(10.0)
@@ -158,7 +160,7 @@
         self._last_request_at = float("-inf")
 
     def record_request(self, now: float) -> None:
-        """A request finds no place in time."""
+        """Record a request that can't be placed in time."""
         self._end_if_over(now)
         if self._started_at is None:
             self._started_at = now
@@ -172,7 +174,7 @@
         self._started_at = None
 
     def remaining_s(self, now: float) -> float:
-        """Return for how much longer the present crowd is expected to last."""
+        """Return for how much longer the current overload is expected to last."""
         self._end_if_over(now)
         if self._started_at is None:
             return 0.0
@@ -183,7 +185,7 @@
 def retry_after_s(
     wait_s: float, remaining_s: float, time_left_s: float, random: Random
 ) -> float | None:
-    """Return when a request should come back; None when it had better wait here.
+    """Return the delay before a retry; None if the request should be queued instead.
 
     >>> retry_after_s(0.1, 0.1, 5.0, Random(1)) is None
     True
@@ -199,9 +201,9 @@
 
 
 class RetryDetector:
-    """Tells requests that come for the first time from those that came back.
+    """Distinguishes first attempts from retries.
 
-    A caller's remaining time is longest at its first attempt.
+    The remaining time of a caller is longest at its first attempt.
 
     >>> detector = RetryDetector()
     >>> detector.is_retry("r", 5.0), detector.is_retry("r", 3.9), detector.is_retry("r", 5.0)
@@ -212,7 +214,7 @@
         self._max_time_left_s: dict[str, float] = {}
 
     def is_retry(self, route: str, time_left_s: float | None) -> bool:
-        """Whether a request with so much time left was sent before; unknown counts as yes."""
+        """Whether a request with this remaining time is a retry; an unknown time counts as one."""
         if time_left_s is None:
             return True
         max_time_left_s = self._max_time_left_s.get(route)
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -1,4 +1,4 @@
-"""Slots for batch items: granted in one order over the fleet, revoked for online requests."""
+"""Grants free slots to items in one order over the fleet, and revokes them for online requests."""
 
 from bisect import bisect_left
 from collections import Counter
@@ -19,40 +19,40 @@
 from cloverwalk.scheduling.replica_view import ReplicaView
 
 INITIAL_ITEM_MS = 2000.0
-"""Slot time of an item whose node has not told it; what it took is told at its end."""
+"""Slot time of an item whose node has not estimated it; it is corrected when the item ends."""
 
 DUE_SOON_FACTOR = 2.0
-"""An item with less than this multiple of the time that it still runs is due soon: one more pause
-for online work would make it late at a usual replica."""
+"""An item is due soon if the time until it is due is less than this multiple of its remaining run
+time. One more preemption would then make it late at a replica without slowdown."""
 
 FAST_THRESHOLD = 0.9
-"""A replica whose pace is below this counts as fast; items with time to spare leave it alone."""
+"""A replica with a slowdown below this is fast and is left to items that are due soon."""
 
 StoreTimeMs = Callable[[], float | None]
-"""Returns the present time of the store, in ms; None while it is not known."""
+"""Returns the current time of the store in ms, or None while it is unknown."""
 
 
 @attrs.define
 class _Claim:
-    """Waiting items of a node that may get slots now."""
+    """A group of waiting items of one node."""
 
     node: str
     pool: str
     group: WaitingGroup
     remaining: int
     is_blocked: bool = False
-    """Whether no free slot suits its items now."""
+    """Whether no free slot suits its items in this pass."""
 
     waiting: Collection[str] = ()
-    """Tenants with items of its band, as it is yielded."""
+    """Tenants with waiting items in its band, set when the claim is yielded."""
 
     def order_key(self) -> tuple[int, str, str]:
-        """What items over the fleet are sorted by."""
+        """Return the key that orders items over the fleet."""
         return (self.group.sort_key, self.node, self.group.replica_id)
 
     @property
     def work_ms(self) -> float:
-        """The slot time that one of its items is expected to take."""
+        """Expected slot time of one of its items."""
         return float(self.group.remaining_ms or INITIAL_ITEM_MS)
 
 
@@ -61,7 +61,7 @@
 
 
 class BatchGrants:
-    """Grants and revokes."""
+    """Grants slots to items and revokes them."""
 
     def __init__(
         self,
@@ -80,13 +80,13 @@
         self._waiting: dict[str, WaitingByPool] = {}
         self._node_zones: dict[str, str] = {}
         self.zone = ""
-        """The zone whose replicas items get slots of; empty: all."""
+        """Zone whose replicas may be granted; empty for all."""
         self.store_ms: StoreTimeMs = _unknown_store_time
 
-    # --- what waits ---
+    # --- waiting items ---
 
     def record_waiting(self, node: str, zone: str, waiting: WaitingByPool) -> None:
-        """Take what waits at a node; what it was just granted does not wait any more."""
+        """Record a node's waiting items, without those that were granted in the meantime."""
         self._node_zones[node] = zone
         if not waiting:
             self._waiting.pop(node, None)
@@ -98,19 +98,19 @@
         }
 
     def remove_node(self, node: str) -> None:
-        """A node is gone."""
+        """Remove the waiting items of a node."""
         self._waiting.pop(node, None)
         self._node_zones.pop(node, None)
 
     @property
     def waiting(self) -> dict[str, WaitingByPool]:
-        """What waits, by node."""
+        """Waiting items, by node and pool."""
         return self._waiting
 
     # --- revoking ---
 
     def preempt_items(self, replica_ids: Iterable[str], now: float) -> None:
-        """Have items suspended that stand in the way of online work."""
+        """Revoke the slots that online work needs at these replicas."""
         for replica_id in sorted(replica_ids):
             replica = self._replicas.find(replica_id)
             if replica is None:
@@ -134,12 +134,12 @@
     # --- granting ---
 
     def grant_free_slots(self, changed: list[str], now: float) -> None:
-        """Give free slots to waiting items; work has changed at the replicas ``changed``."""
+        """Grant free slots to waiting items; ``changed`` are replicas whose load has changed."""
         for pool in sorted({pool for waiting in self._waiting.values() for pool in waiting}):
             self._grant_pool(pool, changed, now)
 
     def _grant_pool(self, pool: str, changed: list[str], now: float) -> None:
-        """Give free slots to the items of a pool, one by one in their order."""
+        """Grant free slots to the items of one pool, one by one in their order."""
         services = pool.split(",")
         all_usable = self._within_zone(self._replicas.usable(services))
         usable = self._replicas.sample(all_usable, changed)
@@ -178,16 +178,16 @@
         return [replica for replica in usable if replica.zone == self.zone] if self.zone else usable
 
     def _reachable_ids(self, node: str, open_ids: set[str], now: float) -> set[str]:
-        """Return the replicas with room in zones that a node reaches."""
+        """Return those of the replicas whose zones the node can reach."""
         if not self._replicas.has_unreachable_zone(node):
             return open_ids
         found = [self._replicas.find(replica_id) for replica_id in open_ids]
-        replicas = [replica_id for replica_id in found if replica_id is not None]
+        replicas = [replica for replica in found if replica is not None]
         reachable = self._replicas.reachable(node, replicas, now)
-        return {replica_id.replica_id for replica_id in reachable}
+        return {replica.replica_id for replica in reachable}
 
     def _reserved_slots(self, pool: str, now: float) -> int:
-        """Return how many slots the items of a pool leave free."""
+        """Return how many slots are reserved from the items of a pool."""
         prefill_ms = self._average_prefill_ms(pool)
         return sum(
             reserved_slots(self._arrivals_per_s(service, now), prefill_ms)
@@ -195,7 +195,7 @@
         )
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
-        """Return waiting items and slots kept free of them, by the first service of their pool."""
+        """Return waiting items and reserved slots, by the first service of their pool."""
         items: Counter[str] = Counter()
         reserved: Counter[str] = Counter()
         for waiting in self._waiting.values():
@@ -206,7 +206,7 @@
         return items, reserved
 
     def _average_prefill_ms(self, pool: str) -> float:
-        """Return how long a replica reads the prompt of a waiting item, on average."""
+        """Return the average prefill time of the waiting items of a pool."""
         groups = [group for waiting in self._waiting.values() for group in waiting.get(pool, [])]
         items = sum(group.items for group in groups)
         return sum(group.items * group.prefill_ms for group in groups) / max(1, items)
@@ -220,7 +220,7 @@
         return sorted(claims, key=_Claim.order_key)
 
     def _in_order(self, claims: list[_Claim]) -> Iterator[_Claim]:
-        """Yield the claim whose item gets the next slot, until all are granted."""
+        """Yield the claim that gets the next slot, until all are granted or blocked."""
         if self._features.is_on(Feature.FAIR_SHARES):
             yield from self._in_share_order(claims)
             return
@@ -229,10 +229,11 @@
                 yield claim
 
     def _in_share_order(self, claims: list[_Claim]) -> Iterator[_Claim]:
-        """Yield claims by band, then by their tenants' shares, then by due time.
+        """Yield claims by band, then by their tenants' fair shares, then by due time.
 
-        What is yielded is granted and charged, or blocked, before the next one is asked for. Mostly
-        slots are gone within the first band, so the others are not looked at before.
+        The caller grants and charges the yielded claim, or blocks it, before it asks for the next
+        one. Slots usually run out within the first band, so later bands are sorted only when they
+        are reached.
         """
         start = 0
         while start < len(claims):
@@ -246,8 +247,10 @@
         queues: dict[str, list[_Claim]] = {}
         for claim in reversed(claims):
             queues.setdefault(claim.group.tenant, []).append(claim)
-        places = self.shares.start_steps(rank, queues)
-        heap = [(places[tenant], queue[-1].order_key(), tenant) for tenant, queue in queues.items()]
+        start_steps = self.shares.start_steps(rank, queues)
+        heap = [
+            (start_steps[tenant], queue[-1].order_key(), tenant) for tenant, queue in queues.items()
+        ]
         heapify(heap)
         while heap:
             tenant = heap[0][-1]
@@ -269,9 +272,9 @@
     def _choose_replica(
         self, claim: _Claim, open_ids: set[str], free_slots: dict[str, int], zones: dict[str, str]
     ) -> str:
-        """Return the replica that keeps the items' prompts, or the emptiest, nearest first.
+        """Return the replica with the items' prompts cached, else the nearest with most free slots.
 
-        Where replicas differ in pace, only those count where the items end in time, if any do.
+        Replicas at which the items end in time are preferred where slowdowns are known.
         """
         preferred = claim.group.replica_id
         node_zone = self._node_zones.get(claim.node, "")
@@ -285,14 +288,14 @@
         return min(open_ids, key=lambda key: (zones[key] != node_zone, -free_slots[key], key))
 
     def _with_memory(self, claim: _Claim, open_ids: set[str], now: float) -> set[str]:
-        """Return the replicas whose memory has room for one of a claim's items."""
+        """Return the replicas with enough free memory for one of the claim's items."""
         tokens = claim.group.tokens
         if tokens == 0:
             return open_ids
         return {key for key in open_ids if self._replicas.fits(key, tokens, now)}
 
     def _max_slowdown(self, group: WaitingGroup) -> float | None:
-        """Return the pace at which items of a group just end in time; None: pace does not count."""
+        """Return the slowdown at which the items just end in time; None if it does not count."""
         if not self._replicas.current_slowdowns or group.remaining_ms <= 0:
             return None
         store_ms = self.store_ms()
@@ -309,9 +312,9 @@
         free_slots: dict[str, int],
         zones: dict[str, str],
     ) -> str:
-        """Return the best replica of those where an item ends in time, else of all.
+        """Return the best replica of those at which an item ends in time, else of all.
 
-        One that is due soon goes to a fast one; one with time to spare leaves these to others.
+        An item that is due soon prefers a fast replica; any other leaves the fast ones free.
         """
         slowdown_of = self._replicas.current_slowdowns.get
         is_due_soon = max_slowdown < DUE_SOON_FACTOR
@@ -329,7 +332,7 @@
         return best
 
     def _charge(self, claim: _Claim) -> None:
-        """Count the slot time that an item is expected to take to its tenant."""
+        """Charge the tenant for the slot time that an item is expected to take."""
         rank = rank_of(claim.group.sort_key)
         self.shares.charge(rank, claim.group.tenant, claim.work_ms, claim.waiting)
 
@@ -343,7 +346,7 @@
             grant_tokens[replica_id] = grant_tokens.get(replica_id, 0) + tokens
         if self._features.is_on(Feature.FAIR_SHARES):
             self._charge(claim)
-            # Also where it is nobody's: what is not named goes to the item that is due first.
+            # Items without a tenant are named too: a slot that is not named goes to any item.
             by_tenant = decisions.grants_by_tenant.setdefault(replica_id, {})
             by_tenant[tenant] = by_tenant.get(tenant, 0) + 1
         self._load_tracker.expect(
@@ -360,7 +363,7 @@
         self._replicas.record_sent(claim.node, replica_id, now)
 
     def _keep_remaining(self, claim: _Claim) -> None:
-        """Keep what is left of a group until its node reports again."""
+        """Keep the ungranted items of a group until its node reports again."""
         groups = self._waiting[claim.node][claim.pool]
         index = groups.index(claim.group)
         remaining = [] if claim.remaining == 0 else [_with_items(claim.group, claim.remaining)]
@@ -376,7 +379,7 @@
 
 
 def _without_granted(groups: list[WaitingGroup], granted: Counter[str]) -> list[WaitingGroup]:
-    """Return groups without the first items of the tenants that were granted slots.
+    """Return the groups without the first items of tenants that have granted slots.
 
     >>> left = _without_granted([WaitingGroup(1, 2), WaitingGroup(2, 5)], Counter({"": 3}))
     >>> left == [WaitingGroup(sort_key=2, items=4)]
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -1,6 +1,6 @@
-"""Places for online requests: at once, later, or told to come back; see ``admission``.
+"""Decides placement requests for online work: place, queue or retry later; see ``admission``.
 
-Those that wait are kept and ordered by ``queued_requests``.
+``queued_requests`` keeps the queued ones and their order.
 """
 
 from collections.abc import Sequence
@@ -44,23 +44,23 @@
 from cloverwalk.scheduling.service_times import ServiceTimes
 
 QUEUED_REQUEST_TTL_S = 0.8
-"""A held request that its node has not asked for again for so long is given up there."""
+"""A queued request is dropped when its node has not repeated it for this time."""
 
 
 @attrs.frozen
 class _Admission:
-    """Whether a request is sent, held, or told to come back."""
+    """Verdict on a request."""
 
     verdict: PlacementVerdict
     ahead_ms: int = 0
-    """Slot time by which its tenant is ahead of others, where its share counted."""
+    """Slot time by which its tenant is ahead of others; 0 where fair shares did not count."""
 
     retry_after_s: float = 0.0
-    """With RETRY_LATER: when it should come back."""
+    """Delay before a retry; set with RETRY_LATER only."""
 
 
 class OnlineQueue:
-    """Answers asks. ``place_queued`` places those that wait, in their order."""
+    """Answers placement requests. ``place_queued`` places the queued ones in their order."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self.shares = FairShares()
         self._queued = QueuedRequests(features, self.shares)
         self._ahead_seen_at: dict[int, float] = {}
-        """When a request of a tenant ahead of its share last came, by rank."""
+        """When a request of a tenant ahead of its fair share was last seen, by rank."""
 
         self._quotas = quotas
         self._ledger = ledger
@@ -93,17 +93,17 @@
         self._retry_detector = RetryDetector()
 
     def arrivals_per_s(self, service: str, now: float) -> float:
-        """Return how fast requests for a service come."""
+        """Return the arrival rate of requests for a service."""
         rate = self._arrivals.get(service)
         return 0.0 if rate is None else rate.per_s(now)
 
-    # --- asks ---
+    # --- placement requests ---
 
     def handle_request(self, node: str, zone: str, request: PlacementRequest, now: float) -> str:
-        """Answer an ask; return the replica that got a request by it, empty for none."""
+        """Answer a placement request; return the replica it is placed at, or an empty string."""
         queued = self._queued.find((node, request.number))
         if queued is not None:
-            queued.request, queued.last_received_at = request, now
+            queued.request, queued.last_asked_at = request, now
             return self._place_or_queue(queued, False, now) or ""
         if request.content and not self._ledger.try_admit(request.content, now):
             self._outbox.for_node(node).placements.append(
@@ -129,7 +129,7 @@
         return self._place_or_queue(queued, may_retry_later, now) or ""
 
     def _reserve_token(self, request: PlacementRequest, now: float) -> Placement | None:
-        """Take a token of the tenant's quota; return the answer where there is none."""
+        """Reserve a token of the tenant's quota; return the refusal where there is none."""
         if request.quota_token is not QuotaTokenUse.NEW:
             return None
         match self._quotas.reserve(request.tenant, now):
@@ -139,7 +139,7 @@
                 wait_s = round(self._quotas.wait_s(request.tenant, now), 3)
                 return Placement(request.number, PlacementVerdict.OVER_QUOTA, retry_after_s=wait_s)
             case QuotaVerdict.UNKNOWN:
-                # A node that has just started soon finds a coordinator; its requests ask again.
+                # A node that has just started soon finds a coordinator, which then answers.
                 may_wait = not self._quotas.knows_fleet and not request.must_place
                 return Placement(
                     request.number,
@@ -147,28 +147,28 @@
                 )
 
     def withdraw(self, node: str, number: int, now: float) -> None:
-        """A request waits no more."""
+        """Drop a queued request that its node has withdrawn."""
         self._remove((node, number), now)
 
     def remove_node(self, node: str, now: float) -> None:
-        """A node is gone, and its requests with it."""
+        """Drop the queued requests of a node."""
         for queued in self._queued.all():
             if queued.node == node:
                 self._remove(queued.request_id, now)
 
-    def _remove(self, ask_id: RequestId, now: float) -> None:
-        queued = self._queued.remove(ask_id)
+    def _remove(self, request_id: RequestId, now: float) -> None:
+        queued = self._queued.remove(request_id)
         if queued is not None and queued.has_token:
             self._quotas.release(queued.request.tenant, now)
 
     def expire(self, now: float) -> None:
-        """Give up requests that their nodes have not asked for again."""
+        """Drop queued requests that their nodes no longer repeat."""
         for queued in self._queued.all():
-            if now - queued.last_received_at > QUEUED_REQUEST_TTL_S:
+            if now - queued.last_asked_at > QUEUED_REQUEST_TTL_S:
                 self._remove(queued.request_id, now)
 
     def place_queued(self, now: float) -> list[str]:
-        """Place waiting requests while there are slots; return the replicas that got one."""
+        """Place queued requests while slots are free; return the replicas that got one."""
         replica_ids: list[str] = []
         for queued in self._queued.in_order(now):
             replica_id = self._place_or_queue(queued, False, now)
@@ -183,16 +183,17 @@
     def _place_or_queue(
         self, queued: QueuedRequest, may_retry_later: bool, now: float
     ) -> str | None:
-        """Answer a request for good, or hold it.
+        """Place, refuse or queue a request.
 
-        Returns the replica that it goes to, an empty text for a refusal, None when it is held.
+        Returns the replica that it is placed at, an empty string for a refusal, None when it is
+        queued.
         """
         queued.waits_for_memory = False
         candidates = self._replicas.candidates(queued.node, queued.request, now)
         demand = self._demand(queued)
         chosen = choose(candidates, demand)
         if chosen is None and self._replicas.has_usable(queued.request.service):
-            # Each has too little memory left; it is as if all their slots were taken.
+            # No replica has enough free memory; handled like a lack of free slots.
             return self._queue_for_memory(queued, now)
         if chosen is None:
             return self._refuse(
@@ -215,8 +216,8 @@
         return chosen.replica.replica_id
 
     def _queue_for_memory(self, queued: QueuedRequest, now: float) -> str | None:
-        """Hold a request until a replica has memory for it, or refuse it in the end."""
-        if queued.request.must_place or now - queued.received_at >= MAX_QUEUE_WAIT_S:
+        """Queue a request until a replica has memory for it; refuse it after the longest wait."""
+        if queued.request.must_place or now - queued.asked_at >= MAX_QUEUE_WAIT_S:
             return self._refuse(
                 queued, Placement(queued.request.number, PlacementVerdict.NO_REPLICA), now
             )
@@ -232,9 +233,9 @@
         may_retry_later: bool,
         now: float,
     ) -> _Admission:
-        """Return whether a request is sent, held, or told when to come back."""
+        """Return whether a request is sent, queued, or refused with a retry-after time."""
         route = self._route(queued.request.route)
-        is_overdue = queued.request.must_place or now - queued.received_at >= MAX_QUEUE_WAIT_S
+        is_overdue = queued.request.must_place or now - queued.asked_at >= MAX_QUEUE_WAIT_S
         if route is None or is_overdue:
             return _Admission(PlacementVerdict.SEND)
         prospect = self._prospect(queued, route, wait_ms, chosen.slowdown, now)
@@ -249,7 +250,7 @@
     def _decide_by_share(
         self, queued: QueuedRequest, prospect: Prospect, may_retry_later: bool, now: float
     ) -> _Admission:
-        """Decide by what a request can expect, and by its tenant's share where that counts."""
+        """Decide by the expected waits, and by the tenant's fair share if the feature is on."""
         is_first = prospect.wait_ms == 0.0 and self._queued.is_first(queued, now)
         verdict = decide(prospect, may_retry_later, is_first)
         if not self._features.is_on(Feature.FAIR_SHARES):
@@ -261,7 +262,7 @@
             )
             is_next = is_other_ahead and not self._queued.has_queue(queued.queue)
             if verdict is PlacementVerdict.RETRY_LATER and is_next:
-                # It gets the next free slot before the tenant that is ahead.
+                # It gets the next free slot before requests of the tenant that is ahead.
                 return _Admission(PlacementVerdict.QUEUE)
             return _Admission(verdict)
         self._ahead_seen_at[rank] = now
@@ -274,7 +275,7 @@
         return _Admission(verdict, round(self.shares.ahead_ms(rank, tenant)))
 
     def _do_others_wait(self, rank: int, tenant: str) -> bool:
-        """Whether a request is held of another tenant of a rank that is not ahead of its share."""
+        """Whether another tenant of the rank that is within its fair share has a queued request."""
         return any(
             peer != tenant and not self.shares.is_ahead(rank, peer)
             for peer in self._queued.tenants(rank)
@@ -283,7 +284,10 @@
     def _will_miss_deadline(
         self, queued: QueuedRequest, candidates: Sequence[Candidate], now: float
     ) -> bool:
-        """Whether no replica can serve it before its deadline; one that may have run goes on."""
+        """Whether no replica can serve the request before its deadline.
+
+        A retry is never refused for this, since it may have run before.
+        """
         if queued.request.quota_token is QuotaTokenUse.RETRY or queued.request.time_left_ms <= 0:
             return False
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
@@ -298,7 +302,7 @@
     def _refuse_with_retry_time(
         self, queued: QueuedRequest, admission: _Admission, now: float
     ) -> str:
-        """Tell a request when to come back."""
+        """Refuse a request and send the time after which to retry."""
         if admission.ahead_ms:
             self.shares.throttled[queued.request.tenant] += 1
         placement = Placement(
@@ -353,7 +357,7 @@
             self._replicas.note_sent_suspect(replica_id, queued.request.content, now)
 
     def _charge(self, queued: QueuedRequest) -> None:
-        """Count the slot time that a request is expected to take to its tenant."""
+        """Charge the tenant for the slot time that the request is expected to take."""
         if self._features.is_on(Feature.FAIR_SHARES):
             rank, tenant = queued.queue
             work_ms = self._times.hold_ms(queued.request.route)
@@ -361,14 +365,18 @@
             self.shares.charge(rank, tenant, work_ms, self._queued.tenants(rank))
 
     def correct_usage(self, timing: RequestTiming) -> None:
-        """Count what a request took beyond what was expected; before its times are learnt."""
+        """Charge the difference between actual and expected slot time.
+
+        Call this before the new times are recorded: the expected time must be the one that was
+        charged.
+        """
         if not self._features.is_on(Feature.FAIR_SHARES):
             return
         rank = self._priority(timing.route, timing.tenant)
         extra_ms = timing.hold_ms - self._times.hold_ms(timing.route)
         self.shares.correct(rank, timing.tenant, extra_ms)
 
-    # --- what it can expect ---
+    # --- expected times ---
 
     def _priority(self, route: str, tenant: str) -> int:
         """Return the rank of requests of a route and tenant."""
@@ -391,7 +399,7 @@
     ) -> Prospect:
         current = self._configuration.current
         routes = (route,) if current is None else current.routes
-        waited_ms = (now - queued.last_received_at) * 1000
+        waited_ms = (now - queued.last_asked_at) * 1000
         return Prospect(
             self._times.wait_factor(route.name) * wait_ms,
             slowdown * self._times.first_event_ms(route.name),
@@ -420,9 +428,9 @@
         )
 
     def _other_zone_cost_ms(self, request: PlacementRequest) -> float:
-        """Return what another zone costs a request: more for one that a cut would end for good.
+        """Return the cost of another zone; higher for a request that a zone cut would end for good.
 
-        It is at most the time that the request has to spare: it rather crosses than is late.
+        It is at most the spare time until the objective: crossing zones is preferred to being late.
         """
         route = self._route(request.route)
         is_retryable = route is None or route.is_retryable
--- a/src/cloverwalk/scheduling/queued_requests.py
+++ b/src/cloverwalk/scheduling/queued_requests.py
@@ -1,8 +1,8 @@
-"""Online requests that wait for a slot, and their order.
+"""Queued online requests and their order.
 
-Ranks go first. Within a rank the tenant that is furthest behind its share goes first
-(``fair_shares``), and of its requests those whose wait costs most (``overload_order``); where these
-parts are off, the oldest goes first.
+Requests are ordered by rank, within a rank by their tenant's usage (``fair_shares``), and within a
+tenant by the cost of waiting (``overload_order``). Where these features are off, the oldest request
+goes first.
 """
 
 from collections.abc import Iterator
@@ -18,113 +18,111 @@
 from cloverwalk.scheduling.overload_order import OrderKey, order_key
 
 RequestId = tuple[str, int]
-"""Node and number of an ask."""
+"""Node and number of a placement request."""
 
 
 class QueueKey(NamedTuple):
-    """Whose requests wait in one queue."""
+    """Identifies a queue."""
 
     rank: int
     tenant: str
 
 
 class QueueOrder(NamedTuple):
-    """The turn of a queue: a lower one comes first."""
+    """Position of a queue among all queues; the lowest goes first."""
 
     rank: int
     step: int
-    """By its tenant's share; 0 where that does not count."""
+    """Step of its tenant's usage; 0 where fair shares are off."""
 
 
 @attrs.define
 class QueuedRequest:
-    """An online request that waits for a slot, or is about to."""
+    """An online request that is queued or about to be placed."""
 
     node: str
     zone: str
     request: PlacementRequest
-    received_at: float
-    last_received_at: float
+    asked_at: float
+    last_asked_at: float
     queue: QueueKey
-    """Its rank and the tenant that it came for, also where its number is asked for anew."""
+    """Its queue; it stays the same if the node repeats the number for another tenant."""
 
-    objective_start_at: float = 0.0
-    """When it has to start to be in time (steady clock, seconds)."""
+    late_at: float = 0.0
+    """Latest start that meets its latency objective (monotonic clock, seconds)."""
 
-    deadline_start_at: float = 0.0
-    """When it has to start to be served at all."""
+    hopeless_at: float = 0.0
+    """Latest start that meets its deadline (monotonic clock, seconds)."""
 
     has_token: bool = False
-    """Whether a token of its tenant's quota is set aside for it."""
+    """Whether a token of its tenant's quota is reserved for it."""
 
     waits_for_memory: bool = False
-    """Whether it was found larger than the room that any replica has: others may still fit."""
+    """Whether no replica has enough free memory for it; smaller requests may still fit."""
 
     @property
     def request_id(self) -> RequestId:
-        """Its node and number."""
+        """Node and number."""
         return (self.node, self.request.number)
 
     def age_key(self) -> tuple[int, float]:
-        """What order of arrival goes by: the more urgent first, then the older."""
-        return (self.queue.rank, self.received_at)
+        """Return the key for order of arrival: the lower rank first, then the older request."""
+        return (self.queue.rank, self.asked_at)
 
     def order_key_at(self, now: float) -> OrderKey:
-        """Return its place among requests of one rank."""
-        return order_key(self.received_at, self.objective_start_at, self.deadline_start_at, now)
+        """Return the key that orders requests of one queue."""
+        return order_key(self.asked_at, self.late_at, self.hopeless_at, now)
 
     def expect(self, start_ms: float) -> None:
-        """Set its place among requests of one rank.
+        """Set the latest starts.
 
-        ``start_ms`` is the time from a slot to its first event.
+        ``start_ms`` is the expected time from getting a slot to the first event.
         """
-        self.objective_start_at = (
-            self.received_at + (self.request.objective_left_ms - start_ms) / 1000
-        )
-        self.deadline_start_at = self.received_at + (self.request.time_left_ms - start_ms) / 1000
+        self.late_at = self.asked_at + (self.request.objective_left_ms - start_ms) / 1000
+        self.hopeless_at = self.asked_at + (self.request.time_left_ms - start_ms) / 1000
 
     def time_left_ms(self, now: float) -> float:
-        """Return the time until its caller gives up."""
-        return self.request.time_left_ms - (now - self.last_received_at) * 1000
+        """Return the remaining time until its caller gives up."""
+        return self.request.time_left_ms - (now - self.last_asked_at) * 1000
 
 
-_BY_OBJECTIVE = attrgetter("objective_start_at", "received_at")
-_BY_DEADLINE = attrgetter("deadline_start_at", "received_at")
+_BY_OBJECTIVE = attrgetter("late_at", "asked_at")
+_BY_DEADLINE = attrgetter("hopeless_at", "asked_at")
 
 
 @attrs.frozen
 class _CachedFirst:
-    """The held request that comes first, and for how long that holds."""
+    """The first queued request, cached."""
 
     queued: QueuedRequest
     until: float
-    """When it becomes late."""
+    """Time at which it becomes late and its position may change."""
 
 
 class QueuedRequests:
-    """Keeps them by node and number, and in a queue for each rank and tenant."""
+    """Queued requests by id, and in one queue per rank and tenant."""
 
     def __init__(self, features: Features, shares: FairShares) -> None:
         self._features = features
         self._shares = shares
         self._by_id: dict[RequestId, QueuedRequest] = {}
         self._queues: dict[QueueKey, dict[RequestId, QueuedRequest]] = {}
-        """None is empty."""
+        """Contains no empty queues."""
 
         self._cached_first: _CachedFirst | None = None
 
-    # --- what waits ---
+    # --- contents ---
 
     def find(self, request_id: RequestId) -> QueuedRequest | None:
-        """Return the request of an ask, if it is held."""
+        """Return a queued request by its id."""
         return self._by_id.get(request_id)
 
     def all(self) -> list[QueuedRequest]:
-        """Return what is held, in the order in which it came."""
+        """Return the queued requests in order of arrival."""
         return list(self._by_id.values())
 
     def add(self, queued: QueuedRequest, now: float) -> bool:
-        """Hold a request; return False where it is held already."""
+        """Queue a request; return False if it is queued already."""
         if queued.request_id in self._by_id:
             return False
         self._by_id[queued.request_id] = queued
@@ -135,7 +133,7 @@
         return True
 
     def remove(self, request_id: RequestId) -> QueuedRequest | None:
-        """Hold a request no more; return it if it was held."""
+        """Remove a request from its queue; return it if it was queued."""
         queued = self._by_id.pop(request_id, None)
         if queued is None:
             return None
@@ -148,25 +146,25 @@
         return queued
 
     def has_queue(self, key: QueueKey) -> bool:
-        """Whether a request of a rank and tenant is held."""
+        """Whether a request of this rank and tenant is queued."""
         return key in self._queues
 
     def tenants(self, rank: int) -> Iterator[str]:
-        """Yield the tenants with held requests of a rank."""
+        """Yield the tenants with queued requests of a rank."""
         return (tenant for of_rank, tenant in self._queues if of_rank == rank)
 
     def on_charged(self, key: QueueKey) -> None:
-        """A tenant's share has changed, since a request of it is placed."""
+        """Drop the cached first request if its tenant's usage has changed."""
         cached = self._cached_first
         if cached is not None and cached.queued.queue == key:
             self._cached_first = None
 
-    # --- their order ---
+    # --- order ---
 
     def is_first(self, queued: QueuedRequest, now: float) -> bool:
         """Whether no request that could use a free slot goes before this one.
 
-        One that waits for memory takes no slot, and keeps nobody from one.
+        A request that waits for memory can't use one and blocks nobody.
         """
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             return all(
@@ -189,7 +187,7 @@
         return (self._queue_order(queued.queue), queued.order_key_at(now))
 
     def in_order(self, now: float) -> Iterator[QueuedRequest]:
-        """Yield held requests in their order; one is placed before the next is asked for."""
+        """Yield queued requests in order; the caller places each before it asks for the next."""
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             yield from sorted(self._by_id.values(), key=QueuedRequest.age_key)
             return
@@ -200,22 +198,22 @@
                 break
             first = self._first(now)
         if first is not None and first.waits_for_memory:
-            # Others may fit where it does not: only now all are put into an order.
+            # Smaller requests may still fit. Only in this case are all requests sorted.
             yield from self._all_in_order(now)
 
     def _first(self, now: float) -> QueuedRequest | None:
-        """Return the held request that comes first.
+        """Return the request that goes first.
 
-        It stays that until it is placed or late, its tenant is charged, or one comes that goes
-        before it. What changes of other tenants' shares meanwhile counts for the next one; looking
-        each time made a decision with 200 held requests a quarter longer.
+        The cached one is used until it is placed or becomes late, its tenant is charged, or a
+        request that goes before it is added. Changes of other tenants' usage in the meantime count
+        for the next one only: comparing all queues each time is too slow for a long queue.
         """
         cached = self._cached_first
         if cached is not None and now <= cached.until:
             return cached.queued
         queued = self._find_first(now)
         if queued is not None:
-            until = queued.objective_start_at if now <= queued.objective_start_at else float("inf")
+            until = queued.late_at if now <= queued.late_at else float("inf")
             self._cached_first = _CachedFirst(queued, until)
         return queued
 
@@ -226,14 +224,14 @@
         lowest = min(queue_orders.values())
         first = [key for key, queue_order in queue_orders.items() if queue_order == lowest]
         queued_requests = [queued for key in first for queued in self._queues[key].values()]
-        in_time = [queued for queued in queued_requests if now <= queued.objective_start_at]
-        # The same as the least by ``order``, at a third of its cost.
+        in_time = [queued for queued in queued_requests if now <= queued.late_at]
+        # The same as the minimum by ``order_key_at``, but cheaper.
         return (
             min(in_time, key=_BY_OBJECTIVE) if in_time else min(queued_requests, key=_BY_DEADLINE)
         )
 
     def _all_in_order(self, now: float) -> Iterator[QueuedRequest]:
-        """Yield all held requests; shares change as their tenants' requests are placed."""
+        """Yield all queued requests; usage changes while the caller places them."""
         queues = {key: list(queue.values()) for key, queue in self._queues.items()}
         for queue in queues.values():
             queue.sort(reverse=True, key=lambda queued: queued.order_key_at(now))
@@ -252,7 +250,7 @@
                 heappop(heap)
 
     def _queue_orders(self) -> dict[QueueKey, QueueOrder]:
-        """Return the turns of all queues."""
+        """Return the positions of all queues."""
         if not self._features.is_on(Feature.FAIR_SHARES):
             return {key: QueueOrder(key.rank, 0) for key in self._queues}
         tenants_by_rank: dict[int, list[str]] = {}
@@ -270,7 +268,7 @@
         return QueueOrder(key.rank, self._shares.step(*key))
 
     def _stable_queue_order(self, key: QueueKey) -> QueueOrder:
-        """Return a queue's turn as an order may keep it while others are charged."""
+        """Return a position that stays valid while other tenants are charged."""
         if not self._features.is_on(Feature.FAIR_SHARES):
             return QueueOrder(key.rank, 0)
         return QueueOrder(key.rank, self._shares.start_step(*key))
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -1,8 +1,8 @@
-"""Which request and which item gets which slot. A policy without I/O; time is passed in.
+"""Assigns replica slots to online requests and items. A policy without I/O; time is passed in.
 
-Online requests are placed at once, or told to come back, or held until a slot is free. Items get
-the slots that online work leaves, in one order over the fleet, and give them back when an online
-request needs them.
+Online requests are placed at once, refused with a retry-after time, or queued until a slot is free.
+Items get the slots that online requests leave, in one order over the whole fleet, and are preempted
+when an online request needs their slot.
 """
 
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class Scheduler:
-    """Decides for the nodes that report to it. ``pop_decisions`` returns what to tell them."""
+    """Decides for the nodes that report to it. ``pop_decisions`` returns what to send to them."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.slowdowns = ReplicaSlowdowns()
         self._directory = directory
         self._uses_slowdowns = False
-        """Whether choices go by pace, as of the last look."""
+        """Whether placement uses slowdown estimates, as of the last update."""
 
         self._slowdown_fingerprint: int | None = None
         self.quotas = FleetQuotas(configuration, quota_bounds, random)
@@ -85,11 +85,11 @@
         self.item_shares = self._batch.shares
 
     def set_store_time(self, store_ms: StoreTimeMs) -> None:
-        """Have items be granted by what is left until they are due, in the store's time."""
+        """Set the store's clock, with which the due times of items are compared."""
         self._batch.store_ms = store_ms
 
     def handle_report(self, report: Report, now: float) -> None:
-        """Take a node's state and its asks, and decide what follows."""
+        """Apply a node's reported state, answer its placement requests and reassign slots."""
         node = report.node
         changed = self.load_tracker.record_report(node, report.loads, report.last_applied_order)
         self._batch.record_waiting(node, report.zone, report.waiting)
@@ -123,7 +123,7 @@
             self.times.record_start(timing.route, timing.first_event_ms / baseline)
 
     def _update_slowdowns(self, now: float) -> None:
-        """Have choices go by the replicas' paces of this moment, where that is in force."""
+        """Refresh the current slowdowns if the feature is on; clear them otherwise."""
         self._uses_slowdowns = self.features.is_on(Feature.REPLICA_PACE)
         if not self._uses_slowdowns:
             self._replicas.current_slowdowns = {}
@@ -142,7 +142,7 @@
         took_ms: int,
         now: float,
     ) -> None:
-        """Learn how fast a replica worked for an answer, where replicas tell their pace."""
+        """Update a replica's slowdown estimate from an answer."""
         replica = self._directory.find(timing.replica_id)
         if replica is None:
             return
@@ -150,7 +150,7 @@
             self.features.note_told_pace(replica.service)
         if not self._uses_slowdowns:
             return
-        # The answer has just ended, and the book does not count it any more.
+        # The answer has just ended, so the tracker no longer counts it.
         running = self.load_tracker.total(replica.replica_id, now).total + 1
         percent, utilization = timing.slowdown_percent, running / replica.slots
         measured = Measurement(
@@ -159,17 +159,17 @@
         self.slowdowns.record(measured, now)
 
     def apply_slowdowns(self, estimates: Mapping[str, SlowdownEstimate], now: float) -> None:
-        """Take the paces that another coordinator has learnt."""
+        """Apply the slowdown estimates that another coordinator has sent."""
         for replica_id in estimates:
             replica = self._directory.find(replica_id)
             if replica is not None:
                 self.features.note_told_pace(replica.service)
-        # A standby that nobody reports to decides nothing: it forgets here who is gone.
+        # No node reports to a standby, so removed replicas are dropped here.
         self._update_slowdowns(now)
         self.slowdowns.apply(estimates, now)
 
     def remove_node(self, node: str, now: float) -> None:
-        """A node is gone: its work ends, and its requests wait no more."""
+        """Remove a node, its work in flight and its queued requests."""
         changed = self.load_tracker.remove_node(node)
         self._batch.remove_node(node)
         self._replicas.remove_node(node)
@@ -177,11 +177,11 @@
         self._reassign_slots(changed, now)
 
     def restrict_grants_to(self, zone: str) -> None:
-        """Grant items only slots of replicas of a zone; empty: of all."""
+        """Grant items only slots of replicas in one zone; an empty zone lifts the restriction."""
         self._batch.zone = zone
 
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Expire outdated state and reassign the slots that become free by it."""
         self.reachability.tick(now)
         changed = self.load_tracker.expire(now)
         self._update_slowdowns(now)
@@ -189,7 +189,7 @@
         self._reassign_slots(changed, now)
 
     def _reassign_slots(self, changed: Iterable[str], now: float) -> None:
-        """Free slots for online work, then fill what is free: held requests first."""
+        """Preempt items for online work, place queued requests, then grant free slots to items."""
         changed = list(changed)
         self._batch.preempt_items(changed, now)
         for replica_id in self._online.place_queued(now):
@@ -197,34 +197,34 @@
                 self._batch.preempt_items([replica_id], now)
         self._batch.grant_free_slots(changed, now)
 
-    # --- what was decided, and what is known ---
+    # --- results ---
 
     def pop_decisions(self) -> dict[str, Decisions]:
-        """Return what was decided since the last call, by node."""
+        """Return the decisions made since the last call, by node."""
         return self._outbox.pop()
 
     def last_decision_number(self, node: str) -> int:
-        """Return the number of the last decisions for a node."""
+        """Return the number of the latest decisions for a node."""
         return self._outbox.last_number(node)
 
     def replica_loads(self) -> dict[str, NodeLoad]:
-        """Return the work of all nodes by replica."""
+        """Return the work in flight of all nodes, by replica."""
         return self.load_tracker.replica_loads()
 
     @property
     def replica_count(self) -> int:
-        """How many replicas are known."""
+        """Number of replicas in the directory."""
         return self._replicas.count
 
     def replica_uses(self, now: float) -> list[ReplicaUse]:
-        """Return what the slots of all replicas are used for."""
+        """Return the current use of the slots of each replica."""
         return self._replicas.uses(now)
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
-        """Return waiting items and slots kept free of them, by service."""
+        """Return the counts of waiting items and of reserved slots, by service."""
         return self._batch.waiting_items(now)
 
     @property
     def waiting(self) -> dict[str, WaitingByPool]:
-        """What waits, by node."""
+        """Waiting items, by node and pool."""
         return self._batch.waiting
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -1,11 +1,10 @@
-"""Which replica a request goes to. A pure policy: figures in, a choice out.
-
-The cost of a replica is the time that the request is expected to wait and to be read there: prompts
-are read one after the other, so those that were sent before it count. At a replica that works more
-slowly than others all this takes longer, see ``slowdown``; a fast one gets more work until it is so
-full that the slow one serves as soon. Bytes that cross zones are charged besides. Requests that
-share a prompt meet at the same replicas, since every node ranks the replicas of a zone by the same
-hash.
+"""Chooses the replica for a request. A pure policy.
+
+The cost of a replica is the time that the request is expected to wait there and to be prefilled. A
+replica prefills prompts one after the other, so those sent before count too. All this takes longer
+at a slow replica, see ``slowdown``; a fast one gets more work until it is so loaded that a slow one
+serves as soon. Bytes that cross zones cost extra. Requests that share a prompt prefix go to the
+same replicas, since every node ranks the replicas of a zone by the same rendezvous hash.
 """
 
 from collections.abc import Sequence
@@ -18,85 +17,86 @@
 
 SUSPECT_COST_MS = 10_000.0
 PEER_SUSPECT_COST_MS = 60.0
-"""Cost of a replica that failed at another node: about that of a full one over an empty one. A dead
-replica looks empty, and all would go there first."""
+"""Cost of a replica that failed at another node: about that of a full replica. Without it a dead
+replica, which has no load, would be the cheapest."""
 
 QUEUED_REQUEST_COST_MS = 60.0
-"""Expected wait for each request that is already there beyond the slots."""
+"""Expected wait for each request that is at the replica beyond its slots."""
 
 LOAD_COST_MS = 30.0
-"""Cost of a replica full of online work over an empty one, below its slots."""
+"""Cost of a replica whose slots are all in online use over an idle one."""
 
 HIGH_LOAD_THRESHOLD = 0.5
-"""Share of the slots with online work from which a replica counts as crowded."""
+"""Fraction of slots in online use from which the cost of high load is added."""
 
 HIGH_LOAD_COST_MS = 100.0
-"""Cost of a full replica over one that is just crowded, besides ``LOAD_COST_MS``."""
+"""Extra cost at full online use, on top of ``LOAD_COST_MS``; proportional above the threshold."""
 
 BATCH_COST_MS = 6.0
-"""Cost of a replica full of batch work: it gives way, but not at once."""
+"""Cost of a replica full of items: preempting them takes a moment."""
 
 PREEMPTION_COST_MS = 20.0
-"""Cost of a slot that an item has to give up: the item reads its prompt again at another one."""
+"""Cost of preempting an item: its prompt is prefilled again at another replica."""
 
 OTHER_SUSPECT_COST_MS = 40.0
-"""Cost of each suspect that a replica was sent lately, for another suspect. Requests whose replica
-ended are sent on at the same moment, and a replica that has just started looks best to them all:
-four were seen to lose both their replicas by one guilty neighbour. It outweighs a half full one."""
+"""Cost of each other crash suspect recently sent to the replica, for a crash suspect. Requests
+whose replica ended are retried at the same moment, and a replica that has just started is the
+cheapest for all of them; one harmful request would then end the replicas of the others. Exceeds the
+cost of half load."""
 
 PREFILL_TOKENS_PER_MS = 50.0
 OTHER_ZONE_COST_MS = 5.0
 OTHER_ZONE_COST_MS_PER_KB = 1.5
 
 NON_RETRYABLE_OTHER_ZONE_COST_MS = 150.0
-"""The same for a request that may not run again, where zones may be cut from each other: it is then
-lost. More than ``LOAD_COST_MS`` and ``HIGH_LOAD_COST_MS`` together: it stays where a slot is free,
-and leaves for a wait of some three requests."""
+"""Cost of another zone for a request that may not run twice, where zones may be cut off: a cut
+would lose it. Exceeds ``LOAD_COST_MS`` and ``HIGH_LOAD_COST_MS`` together, so it stays in the zone
+while a slot is free, and leaves for a queue of about three requests."""
 
 
 class Candidate(Struct, frozen=True):
-    """A replica that could take a request, with what is known of its load."""
+    """A usable replica with its known load."""
 
     replica: Replica
     in_flight: InFlight
     is_suspect: bool
     is_peer_suspect: bool = False
     prefill_ms: float = 0.0
-    """Time that the replica needs for prompts that were sent there and are not read yet."""
+    """Time that the replica needs for the prompts sent to it and not prefilled yet."""
 
     other_suspects: int = 0
-    """Requests sent there lately under which replicas have ended, for one that is a suspect too."""
+    """Other crash suspects recently sent to the replica; counted for a crash suspect only."""
 
     slowdown: float = 1.0
-    """How long work takes there, as a multiple of the service's usual time."""
+    """Current slowdown: the factor on the usual service time of the service."""
 
 
 class Demand(Struct, frozen=True):
-    """What a request asks for."""
+    """What a request needs."""
 
     zone: str
     size_bytes: int
     shared_part: str = ""
-    """Id of the longest part of its prompt that others share."""
+    """Id of the longest prefix of its prompt that it shares with other requests."""
 
     shared_tokens: int = 0
     own_tokens: int = 0
-    """Tokens of the part of its prompt that nobody shares."""
+    """Tokens of its prompt that are not shared."""
 
     other_zone_cost_ms: float = OTHER_ZONE_COST_MS
     """Cost of a replica of another zone, besides that of the bytes."""
 
     start_ms: float = 0.0
-    """How long its first event takes at a free slot of a replica of the usual pace."""
+    """Time to its first event at a free slot of a replica without slowdown."""
 
 
 def prefill_ms(tokens: int) -> float:
-    """Return the time that a replica is expected to read a prompt of so many tokens for."""
+    """Return the expected time for the prefill of a prompt."""
     return tokens / PREFILL_TOKENS_PER_MS
 
 
 def choose(candidates: Sequence[Candidate], demand: Demand) -> Candidate | None:
-    """Return the cheapest candidate, or None when there are none.
+    """Return the cheapest candidate, or None if there are none.
 
     >>> near = Replica("r1", "s", "h", 1, "z1", 4, False, 1)
     >>> far = Replica("r2", "s", "h", 2, "z2", 4, False, 1)
@@ -125,7 +125,7 @@
 def expected_prefill_ms(
     chosen: Candidate, candidates: Sequence[Candidate], demand: Demand
 ) -> float:
-    """Return how long the chosen replica is expected to read the request's prompt for."""
+    """Return the expected prefill time of the request at the chosen replica."""
     has_affinity = chosen.replica.replica_id in _prefix_affinity_ids(candidates, demand)
     tokens = demand.own_tokens + (0 if has_affinity else demand.shared_tokens)
     return chosen.slowdown * prefill_ms(tokens)
@@ -158,7 +158,7 @@
     cost += (slowdown - 1.0) * demand.start_ms
     queue_length = in_flight.online + 1 - replica.slots
     if queue_length > 0:
-        # That of a fast replica is short, but nobody should queue while another has a free slot.
+        # A fast replica has a shorter queue, but a free slot elsewhere is still better.
         cost += max(1.0, slowdown) * QUEUED_REQUEST_COST_MS * queue_length
     if affinity_ids and replica.replica_id not in affinity_ids:
         cost += slowdown * prefill_ms(demand.shared_tokens)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -761,7 +761,7 @@
     Mutant(
         "serving: each deputy gives out the whole quota",
         "scheduling/quotas.py",
-        "        fraction = min(1.0, reported / nodes) if nodes > 0 else 0.0",
+        "        fraction = min(1.0, reporting_nodes / nodes) if nodes > 0 else 0.0",
         "        fraction = 1.0",
         QUOTAS + "test_quota_holds_while_nodes_decide_independently",
     ),
