--- a/src/cloverwalk/scheduling/__init__.py
+++ b/src/cloverwalk/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Who gets which slot of which replica: counted and decided at one node, the coordinator."""
+"""Scheduling of requests and items onto replica slots, decided at the coordinator."""
--- a/src/cloverwalk/scheduling/arrivals.py
+++ b/src/cloverwalk/scheduling/arrivals.py
@@ -1,13 +1,13 @@
-"""How fast online requests arrive."""
+"""Arrival rate of online requests."""
 
 import math
 
 AVERAGING_WINDOW_S = 0.5
-"""Time over which arrivals are averaged: bursts last some seconds, and must be seen within one."""
+"""Time constant of the average, short enough to notice a burst of a few seconds within a second."""
 
 
 class ArrivalRate:
-    """Arrivals a second, in which older ones fade.
+    """Arrivals per second, as an exponentially decaying average.
 
     >>> rate = ArrivalRate()
     >>> for tenth in range(50):
@@ -23,10 +23,10 @@
         self._updated_at = 0.0
 
     def record(self, now: float) -> None:
-        """A request arrived."""
+        """Record the arrival of a request."""
         self._per_s = self.per_s(now) + 1 / AVERAGING_WINDOW_S
         self._updated_at = now
 
     def per_s(self, now: float) -> float:
-        """Return the present rate."""
+        """Return the current rate."""
         return self._per_s * math.exp(-max(0.0, now - self._updated_at) / AVERAGING_WINDOW_S)
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""What was decided for each node and is not told yet."""
+"""Decisions that have not been sent to their nodes yet."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class Decisions:
-    """What one node is to be told; ``number`` counts by node."""
+    """Decisions for one node; ``number`` increases with each batch for that node."""
 
     number: int
     placements: list[Placement] = attrs.Factory(list)
@@ -18,7 +18,7 @@
 
 
 class Outbox:
-    """Decisions by node, numbered as they are begun.
+    """Pending decisions by node, numbered when the first one of a batch is made.
 
     >>> outbox = Outbox()
     >>> outbox.for_node("n1").number, outbox.for_node("n1").number, outbox.for_node("n2").number
@@ -32,7 +32,7 @@
         self._pending: dict[str, Decisions] = {}
 
     def for_node(self, node: str) -> Decisions:
-        """Return the decisions for a node that are not told yet."""
+        """Return the pending decisions for a node."""
         decisions = self._pending.get(node)
         if decisions is None:
             self._numbers[node] = number = self._numbers.get(node, 0) + 1
@@ -40,10 +40,10 @@
         return decisions
 
     def pop(self) -> dict[str, Decisions]:
-        """Return what was decided since the last call."""
+        """Return and clear the pending decisions of all nodes."""
         popped, self._pending = self._pending, {}
         return popped
 
     def last_number(self, node: str) -> int:
-        """Return the number of the last decisions for a node."""
+        """Return the number of the latest decisions for a node."""
         return self._numbers.get(node, 0)
--- a/src/cloverwalk/scheduling/fair_share_reporter.py
+++ b/src/cloverwalk/scheduling/fair_share_reporter.py
@@ -1,4 +1,4 @@
-"""Tells each second which tenants' requests were sent away for shares, for an operator."""
+"""Reports once a second which tenants' requests were throttled for their fair share."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -8,26 +8,26 @@
 from cloverwalk.scheduling.fair_shares import FairShares
 
 REPORT_INTERVAL_S = 1.0
-"""One node writes one line in that time at most."""
+"""Shortest time between two reports of a node."""
 
 MAX_NAMED_TENANTS = 5
-"""Tenants that a line names, those with the most requests sent away; the others count as one."""
+"""A report names the tenants with the most throttled requests; all others are counted together."""
 
 
 @attrs.frozen
 class ThrottledRequests:
-    """Requests that were sent away for shares since the last look."""
+    """Requests that were throttled since the last report."""
 
     by_tenant: dict[str, int]
     others: int
-    """Those of tenants that are not named."""
+    """Throttled requests of tenants that are not named."""
 
     invalid_count: int
-    """Figures of slot time that were left out since they can't be true."""
+    """Slot times that were ignored since they are out of range."""
 
 
 class FairShareReporter:
-    """Looks at the counts of online requests and of items at the node that coordinates."""
+    """Reports the fair shares of online requests and of items at the coordinator."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._reported_invalid_count = 0
 
     def tick(self, now: float) -> None:
-        """Tell what came since it was last told, if it is time to."""
+        """Report the counts since the last report, if a report is due."""
         if now - self._reported_at < REPORT_INTERVAL_S:
             return
         self._reported_at = now
@@ -59,7 +59,7 @@
             )
 
     def slot_ms(self) -> dict[tuple[str, str], int]:
-        """Return the slot time that was given, by work and by whether its tenant was ahead."""
+        """Return the granted slot time by kind of work and by whether its tenant was ahead."""
         totals: Counter[tuple[str, str]] = Counter()
         for work, shares in (("online", self._shares), ("items", self._item_shares)):
             for share, slot_ms in shares.slot_ms.items():
--- a/src/cloverwalk/scheduling/fair_shares.py
+++ b/src/cloverwalk/scheduling/fair_shares.py
@@ -1,13 +1,14 @@
-"""Shares of slot time between tenants of one rank, by virtual time. A policy without I/O.
+"""Fair shares of slot time between tenants of one rank, by virtual time. A policy without I/O.
 
-Quotas do not share what room there is: in order of arrival a tenant that sends five times as much
-as others takes five times their room, and small ones are late for it. So each tenant's virtual time
-goes up by the slot time that its work is expected to take, and by the difference once it was
-served; among those that wait, the tenant that is furthest behind comes first. Ranks stay strict:
-each has a virtual time of its own. Online work and items are counted apart, since items run in what
-online work leaves, and what a tenant's items got there costs its requests nothing.
+Quotas alone do not divide a shortage of slots: in order of arrival, a tenant that sends five times
+as much gets five times the slots, and the requests of small tenants become late. Each tenant
+therefore has a virtual time, which increases by the slot time that its work is expected to take and
+is corrected when the work has ended. Among tenants with waiting work, the one with the lowest
+virtual time goes first. Ranks are strictly ordered, so each has virtual times of its own. Online
+work and items are counted separately: items run in the slots that online work leaves, and their use
+must not count against the tenant's requests.
 
-The order is by steps, so that among tenants that are about equal it is lateness that decides.
+Tenants are ordered in steps, so that lateness decides between those with about equal usage.
 """
 
 import math
@@ -17,28 +18,28 @@
 from cloverwalk.core.fair_share import FairShare
 
 MAX_AHEAD_MS = 4000.0
-"""Slot time by which a tenant may be ahead of others that wait, in ms. It is what an idle tenant
-saves up, what is held against a busy one, and what a takeover may get wrong: some ten requests."""
+"""Largest lead in slot time that counts, about ten requests. It bounds what an idle tenant saves
+up, what a busy one is charged, and the error after a takeover."""
 
 STEP_MS = 500.0
-"""Tenants that differ by less slot time than this, in ms, count as equal: about one request."""
+"""Tenants whose usage differs by less slot time than this, about one request, are equal."""
 
 AHEAD_THRESHOLD_MS = MAX_AHEAD_MS / 2
-"""From so much slot time on, in ms, a tenant counts as ahead of its share: it leaves part of the
-replicas' queues to the others while some of these wait. Half: those below it stay untouched."""
+"""Slot time from which a tenant is ahead of its fair share, and leaves part of the queues to others
+that wait."""
 
 MAX_REPLICATED_TENANTS = 64
-"""Tenants that a standby is told of, those furthest ahead: 2 KB in a message each 0.25 s."""
+"""Tenants in a snapshot for the standbys, those furthest ahead; bounds the size of the message."""
 
 MAX_WORK_MS = 3_600_000.0
-"""No request or item holds a slot for longer than an hour; a larger figure is a fault."""
+"""A longer slot time of one request or item is invalid."""
 
 EQUAL_WEIGHT = 1.0
-"""Each tenant's weight: configurations name none."""
+"""Weight of every tenant; configurations set none."""
 
 
 class FairShares:
-    """Counts the slot time of tenants by rank; ranks are those of the waiting work.
+    """Usage of slot time by tenant and rank.
 
     >>> shares = FairShares()
     >>> for _ in range(8):
@@ -52,13 +53,13 @@
         self._by_rank: dict[int, FairShare[str]] = {}
         self._replicated_usage: dict[str, float] = {}
         self.slot_ms: Counter[str] = Counter()
-        """Slot time that was given, by whether the tenant was ahead of its share then."""
+        """Granted slot time, by whether the tenant was ahead of its share ("ahead" or "within")."""
 
         self.throttled: Counter[str] = Counter()
-        """Requests that were sent away for shares, by tenant, until ``pop_throttled``."""
+        """Requests throttled for their tenant's share, by tenant, until ``pop_throttled``."""
 
         self.invalid_count = 0
-        """Bad figures that were left out."""
+        """Invalid slot times that were ignored."""
 
     def _for_rank(self, rank: int) -> FairShare[str]:
         shares = self._by_rank.get(rank)
@@ -68,47 +69,48 @@
                 shares.put_ahead(tenant, ahead_ms)
         return shares
 
-    # --- the order ---
+    # --- order ---
 
     def ahead_ms(self, rank: int, tenant: str) -> float:
-        """Return the slot time by which a tenant is ahead of one that was idle for long."""
+        """Return the slot time by which a tenant is ahead of one that has been idle."""
         return self._for_rank(rank).ahead(tenant)
 
     def step(self, rank: int, tenant: str) -> int:
-        """Return the place of a tenant's work: a lower step comes first."""
+        """Return the step of a tenant's usage; the lowest goes first."""
         return int(self._for_rank(rank).ahead(tenant) / STEP_MS)
 
     def start_step(self, rank: int, tenant: str) -> int:
-        """Return the place of a tenant's work among others of its rank: a lower one comes first.
+        """Return the step of a tenant's virtual start time; the lowest of its rank goes first.
 
-        Unlike its step, it is not changed by what others are charged, so an order may keep it.
+        Unlike ``step`` it does not change when other tenants are charged, so it may be kept in a
+        sorted order.
         """
         return int(self._for_rank(rank).start_time(tenant) / STEP_MS)
 
     def start_steps(self, rank: int, tenants: Iterable[str]) -> dict[str, int]:
-        """Return the same of several tenants' work."""
+        """Return the start steps of several tenants."""
         starts = self._for_rank(rank).start_times(tenants)
         return {tenant: int(start_ms / STEP_MS) for tenant, start_ms in starts.items()}
 
     def steps(self, rank: int, tenants: Iterable[str]) -> dict[str, int]:
-        """Return the places of several tenants' work."""
+        """Return the steps of several tenants."""
         ahead = self._for_rank(rank).ahead_of(tenants)
         return {tenant: int(ahead_ms / STEP_MS) for tenant, ahead_ms in ahead.items()}
 
     def is_ahead(self, rank: int, tenant: str) -> bool:
-        """Whether a tenant has had clearly more than its share lately."""
+        """Whether a tenant has clearly exceeded its fair share lately."""
         return self.ahead_ms(rank, tenant) >= AHEAD_THRESHOLD_MS
 
-    # --- what was given ---
+    # --- charges ---
 
     def charge(self, rank: int, tenant: str, work_ms: float, waiting: Iterable[str]) -> None:
-        """A tenant's work gets a slot for an expected time; ``waiting`` are tenants that wait."""
+        """Charge a tenant for the expected time of a slot; ``waiting`` are tenants that wait."""
         work_ms = self._valid_ms(work_ms)
         self.slot_ms["ahead" if self.is_ahead(rank, tenant) else "within"] += round(work_ms)
         self._for_rank(rank).charge(tenant, work_ms, EQUAL_WEIGHT, waiting)
 
     def correct(self, rank: int, tenant: str, extra_ms: float) -> None:
-        """A tenant's work took so much more than was expected; a negative figure is less."""
+        """Charge a tenant for extra slot time; a negative time is credited."""
         sign = -1 if extra_ms < 0 else 1
         self._for_rank(rank).correct(tenant, sign * self._valid_ms(abs(extra_ms)), EQUAL_WEIGHT)
 
@@ -119,14 +121,14 @@
         return 0.0
 
     def pop_throttled(self) -> Counter[str]:
-        """Return the requests that were sent away for shares since the last call, by tenant."""
+        """Return and clear the counts of throttled requests, by tenant."""
         popped, self.throttled = self.throttled, Counter()
         return popped
 
     # --- takeover ---
 
     def usage(self) -> dict[str, float]:
-        """Return the tenants that are ahead, in ms, for a node that may have to take over."""
+        """Return the tenants that are ahead and by how many ms, for a standby."""
         ahead: dict[str, float] = {}
         for shares in self._by_rank.values():
             for tenant, ahead_ms in shares.all_ahead().items():
@@ -137,7 +139,7 @@
         return {tenant: round(ahead_ms) for tenant, ahead_ms in largest if ahead_ms >= STEP_MS}
 
     def apply_usage(self, used: Mapping[str, float]) -> None:
-        """Take the coordinator's count in place of an own one."""
+        """Replace the usage by that of the coordinator."""
         self._replicated_usage = {
             tenant: self._valid_ms(ahead_ms) for tenant, ahead_ms in used.items()
         }
--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -1,8 +1,8 @@
-"""Which parts of the policy are on, and why.
+"""Optional parts of the scheduling policy, and why each is on or off.
 
-A deployment gets a part only where its configuration, its settings or what its replicas tell call
-for it; all others are served as if the part did not exist. Every decision that belongs to such a
-part asks here, so one place tells an operator what is in force.
+A feature is on only where the configuration, the settings or the reports of replicas call for it;
+elsewhere requests are served as if it did not exist. Every decision of a feature asks ``Features``,
+so one place shows an operator what is in force.
 """
 
 import enum
@@ -14,39 +14,40 @@
 
 
 class Feature(enum.Enum):
-    """A part of the policy that not every deployment needs."""
+    """An optional part of the policy."""
 
     REPLICA_PACE = "replica_pace"
-    """Choice of replicas and expected times go by how fast each replica works."""
+    """Choice of replicas and expected times use the slowdown of each replica."""
 
     FAIR_SHARES = "fair_shares"
-    """Tenants share what room there is when there is too little."""
+    """Slots are shared fairly between tenants when there are too few."""
 
     REPLICA_MEMORY = "replica_memory"
-    """What requests hold in a replica's memory is counted against its size."""
+    """The memory that requests need is counted against the replica's memory."""
 
     NODE_CAPACITY = "node_capacity"
-    """A node turns requests away before its machine is full."""
+    """A node refuses requests before its machine is overloaded."""
 
     ZONE_LOSS = "zone_loss"
-    """Each zone is served on its own while it is cut off, or while another one is lost."""
+    """Each zone is served on its own while it is cut off or another one is lost."""
 
     OVERLOAD_ORDER = "overload_order"
-    """Waiting requests go by what is lost if they wait; hopeless ones are refused at once."""
+    """Queued requests are ordered by the cost of waiting; those that will miss their deadline are
+    refused at once."""
 
 
 @attrs.frozen
 class FeatureState:
-    """Whether a part is on."""
+    """Whether a feature is on."""
 
     feature: Feature
     is_on: bool
     reason: str
-    """What calls for it, or what is missing, in words for an operator."""
+    """Explanation for an operator: what turns it on, or what is missing."""
 
 
 class Features:
-    """Answers which parts are on; what replicas tell is noted as it comes.
+    """Decides which features are on; replicas' reports are recorded as they arrive.
 
     >>> features = Features(ConfigurationHolder(), is_memory_scarce=True)
     >>> features.is_on(Feature.REPLICA_MEMORY), features.is_on(Feature.REPLICA_PACE)
@@ -68,13 +69,13 @@
         self._services_with_slowdown: set[str] = set()
         self._notified: dict[Feature, FeatureState] = {}
         self._cached: dict[Feature, bool] = {}
-        """Which parts are on under ``_cached_for``."""
+        """Results of ``is_on`` for the configuration ``_cached_for``."""
 
         self._cached_for: Configuration | None = None
         self.on_change: Callable[[FeatureState], None] = _ignore_change
 
     def note_told_pace(self, service: str) -> None:
-        """A replica of a service told how fast it works now."""
+        """Record that a replica of a service has reported its slowdown."""
         if service in self._services_with_slowdown:
             return
         self._services_with_slowdown.add(service)
@@ -82,7 +83,7 @@
         self.notify_changes()
 
     def is_on(self, feature: Feature) -> bool:
-        """Whether a part is in force; decisions ask many times, so what was found is kept."""
+        """Whether a feature is on; cached, since each decision asks several times."""
         current = self._configuration.current
         if current is not self._cached_for:
             self._cached_for = current
@@ -93,11 +94,14 @@
         return found
 
     def states(self) -> list[FeatureState]:
-        """Return all parts, in the order of their declaration."""
+        """Return the states of all features, in the order of their declaration."""
         return [self._state(feature) for feature in Feature]
 
     def notify_changes(self) -> None:
-        """Tell what has changed since the last look; to be called after news."""
+        """Notify ``on_change`` of the states that have changed since the last call.
+
+        Call this after a change of the configuration or of the reports.
+        """
         for state in self.states():
             if self._notified.get(state.feature) != state:
                 self._notified[state.feature] = state
@@ -122,8 +126,8 @@
         feature = Feature.REPLICA_PACE
         if self._services_with_slowdown:
             services = ", ".join(sorted(self._services_with_slowdown))
-            return FeatureState(feature, True, f"replicas tell their pace: {services}")
-        return FeatureState(feature, False, "no replica tells its pace")
+            return FeatureState(feature, True, f"replicas report their slowdown: {services}")
+        return FeatureState(feature, False, "no replica reports its slowdown")
 
     def _fair_shares_state(self) -> FeatureState:
         feature = Feature.FAIR_SHARES
@@ -136,16 +140,20 @@
         if self._configuration.has_tenants:
             return FeatureState(feature, True, "the configuration names tenants")
         if self._services_with_slowdown:
-            return FeatureState(feature, True, "replicas tell their pace")
-        return FeatureState(feature, False, "no tenants are named, and no replica tells its pace")
+            return FeatureState(feature, True, "replicas report their slowdown")
+        return FeatureState(
+            feature, False, "no tenants are named, and no replica reports its slowdown"
+        )
 
     def _memory_state(self) -> FeatureState:
         feature = Feature.REPLICA_MEMORY
         if not self._is_memory_scarce:
             return FeatureState(feature, False, "the settings do not say that memory is scarce")
         if not _has_memory_size(self._configuration.current):
-            return FeatureState(feature, False, "no service tells its replicas' memory")
-        return FeatureState(feature, True, "memory is scarce, and services tell their replicas'")
+            return FeatureState(feature, False, "no service declares its replicas' memory")
+        return FeatureState(
+            feature, True, "memory is scarce, and services declare their replicas' memory"
+        )
 
     def _node_capacity_state(self) -> FeatureState:
         feature = Feature.NODE_CAPACITY
--- a/src/cloverwalk/scheduling/item_sort_key.py
+++ b/src/cloverwalk/scheduling/item_sort_key.py
@@ -1,17 +1,17 @@
-"""The numbers by which the fleet's waiting items are ordered: due times, and ranks above them."""
+"""Sort keys of waiting items: lateness, then rank, then due time, in one integer."""
 
 DUE_TIME_RESOLUTION_MS = 250
-"""Due times are told in steps of this length."""
+"""Due times are rounded to multiples of this."""
 
 PRIORITY_STRIDE = 1 << 40
-"""Step between items of tenants of one rank and the next; due times are far below it."""
+"""Offset between the keys of two ranks; due times are far below it."""
 
 LATE_OFFSET = 1 << 50
-"""Step of items that can't be in time any more: behind all others."""
+"""Offset of items that can no longer be in time, which go behind all others."""
 
 
 def band_of(sort_key: int) -> int:
-    """Return what lateness and rank make of a step; items of one band differ by due time only.
+    """Return the band of a key: its lateness and rank. Keys of one band differ by due time only.
 
     >>> band_of(5) == band_of(-5) != band_of(PRIORITY_STRIDE + 5)
     True
@@ -20,7 +20,7 @@
 
 
 def band_end(sort_key: int) -> int:
-    """Return the first step beyond the band of a step.
+    """Return the first key beyond the band of a key.
 
     >>> step = 3 * PRIORITY_STRIDE + 5
     >>> band_of(band_end(step) - 1) == band_of(step), band_of(band_end(step)) == band_of(step) + 1
@@ -30,7 +30,7 @@
 
 
 def rank_of(sort_key: int) -> int:
-    """Return the rank in a step.
+    """Return the rank of a key.
 
     >>> rank_of(7), rank_of(2 * PRIORITY_STRIDE + 7), rank_of(LATE_OFFSET + PRIORITY_STRIDE)
     (0, 2, 1)
@@ -39,7 +39,7 @@
 
 
 def due_ms(sort_key: int) -> float:
-    """Return the due time of a step, in the store's time; infinite for items that are late anyhow.
+    """Return the due time of a key, in the store's time; infinite for items that are late anyway.
 
     >>> due_ms(40 + 2 * PRIORITY_STRIDE), due_ms(40 + LATE_OFFSET)
     (10000.0, inf)
--- a/src/cloverwalk/scheduling/local_grants.py
+++ b/src/cloverwalk/scheduling/local_grants.py
@@ -1,6 +1,6 @@
-"""Tokens of quotas that nodes gave out while the coordinator did not answer: told and counted.
+"""Quota tokens that nodes grant by themselves while no coordinator answers: reported and counted.
 
-Reports tell counts that only go up, so a lost or repeated report changes nothing.
+Reports contain counts that only increase, so a lost or repeated report does no harm.
 """
 
 from collections import Counter
@@ -10,11 +10,11 @@
 from cloverwalk.fleet.messages import LocalGrants
 
 GRANT_REPORT_TTL_S = 10.0
-"""Grants of a deputy are reported for so long after the last one: twice a quota's window."""
+"""Local grants are reported for this time after the last one: twice the window of a quota."""
 
 
 class GrantLog:
-    """What this node gave out as a deputy.
+    """Tokens that this node has granted locally.
 
     >>> log = GrantLog()
     >>> log.record("quiz", 1.0)
@@ -28,12 +28,12 @@
         self._series = 0
 
     def record(self, tenant: str, now: float) -> None:
-        """A token was given out."""
+        """Record a granted token."""
         self._counts[tenant] += 1
         self._granted_at = now
 
     def report(self, now: float) -> LocalGrants | None:
-        """Return what reports tell; None where nothing was given out lately."""
+        """Return the counts to report; None where nothing was granted lately."""
         if self._counts and now - self._granted_at > GRANT_REPORT_TTL_S:
             self._counts = Counter()
             self._series += 1
@@ -42,14 +42,14 @@
 
 @attrs.define
 class _NodeReport:
-    """What a node told last."""
+    """Last report of a node."""
 
     run: str
     grants: LocalGrants
 
 
 class LocalGrantsTracker:
-    """What other nodes have given out, at the coordinator."""
+    """Local grants of the other nodes, at the coordinator."""
 
     def __init__(self, since: float = 0.0) -> None:
         self._since = since
@@ -58,10 +58,10 @@
     def new_grants(
         self, node: str, run: str, grants: LocalGrants | None, now: float
     ) -> dict[str, int]:
-        """Return what a node gave out since it last told, by tenant.
+        """Return what a node has granted since its previous report, by tenant.
 
-        The first report after a takeover tells where its counts stand; what it gave out before is
-        within the care that a takeover takes.
+        The first report after a takeover only sets the starting point of the counts: earlier grants
+        are covered by the reduced bucket levels that a new coordinator starts with.
         """
         previous = self._by_node.get(node)
         if grants is not None or previous is None or previous.run != run:
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -1,17 +1,17 @@
-"""Requests that tenants may send, counted over the whole fleet. A policy without I/O.
+"""Tenants' quotas, enforced over the whole fleet. A policy without I/O.
 
-A token is taken where a place is given, so the count needs no message of its own. One node, the
-coordinator, counts for all nodes that it hears. A node that decides in its stead, for itself or for
-those that have lost the coordinator, is a deputy: it may give out a part of each quota only, as
-large as its part of the fleet, and it reports what it gave out. So a quota holds whatever nodes are
-cut off, and for however long.
+A token is taken when a request is placed, so counting needs no messages of its own. The coordinator
+counts for all nodes that report to it. A node that decides by itself while no coordinator answers
+may grant only a part of each quota, in proportion to its fraction of the fleet, and reports these
+local grants. A quota therefore holds whichever nodes are cut off, and for however long.
 
-What a quota allows in a window, plus the tolerance, is never exceeded:
+The tokens of a window never exceed what the quota allows plus the tolerance:
 
-- A bucket begins with half of the tolerance at most, not full: others may have spent the rest in
-  the window before. This covers a start, a takeover and a coordinator that stood still.
-- A coordinator that misses nodes gives out the part of those that it hears.
-- A request that waits keeps its token out of the bucket, and the bucket fills up to what is left.
+- A bucket starts with at most half of the tolerance instead of full, since other nodes may have
+  used up the rest in the previous window. This covers a start, a takeover and a coordinator that
+  was paused.
+- A coordinator with missing nodes grants only the fraction of the nodes that report to it.
+- The token of a queued request stays out of the bucket, whose size is reduced by it.
 """
 
 import enum
@@ -26,22 +26,23 @@
 from cloverwalk.tenants.directory import Tenant
 
 UNKNOWN_COUNT_FRACTION = 0.5
-"""Share of the tolerance that a coordinator uses up where it does not know the count; the other
-half is for deputies."""
+"""Fraction of the tolerance that a coordinator grants while it does not know the count; the other
+half is for local grants."""
 
 INDEPENDENT_FLEET_FRACTION = 1 / 3
-"""Share of the fleet that may decide alone at the same time without more than the deputies' half of
-the tolerance, for a tenant that is far from its limit. Near it, all nodes may."""
+"""Fraction of the fleet that may decide independently at the same time within the local half of the
+tolerance, for a tenant far from its limit. Near the limit, all nodes may."""
 
 LOCAL_RATE_FRACTION = 0.5
-"""Share of its part of a quota's rate that a deputy gives out: until a coordinator misses the
-deputy's nodes it gives out their part as well."""
+"""Fraction of its part of the rate that a node grants locally: until a coordinator notices the
+missing nodes, it grants their part as well."""
 
 NEAR_LIMIT_FRACTION = 0.5
-"""A tenant whose bucket is emptier than this may be near its limit; deputies are told its name."""
+"""A tenant whose bucket is below this level may be near its limit; the coordinator sends its name
+to the nodes."""
 
 NEAR_LIMIT_TTL_S = 5.0
-"""For how long a deputy goes by what it was told of tenants near their limits."""
+"""How long a node uses the names of tenants near their limits."""
 
 
 class QuotaVerdict(enum.Enum):
@@ -49,25 +50,25 @@
 
     TAKEN = "taken"
     OVER = "over"
-    """It is beyond its quota."""
+    """The quota is used up."""
 
     UNKNOWN = "unknown"
-    """This node can't tell, and may not give out more."""
+    """This node can't tell and may not grant more."""
 
 
 @attrs.frozen
 class QuotaBounds:
-    """How far counts may be off, as the operator's settings say."""
+    """Permitted overshoot of quotas, from the operator's settings."""
 
     window_s: float = 5.0
     overshoot: float = 0.1
-    """Share of what a quota allows in a window."""
+    """Fraction of what a quota allows in a window."""
 
     slack: float = 0.0
-    """Requests in a window."""
+    """Requests per window."""
 
     def tolerance(self, tenant: Tenant) -> float:
-        """Return how many requests more than the quota allows may be sent in a window.
+        """Return how many requests above the quota are tolerated in a window.
 
         >>> QuotaBounds(5.0, 0.1, 20.0).tolerance(Tenant("t", (), None, 16.0, 20.0))
         30.0
@@ -78,19 +79,19 @@
 
 @attrs.define
 class _Account:
-    """The bucket of one tenant."""
+    """Token bucket of one tenant."""
 
     tenant: Tenant
     bucket: TokenBucket
     limits_version: int
-    """Number of the authority by which the bucket's limits were set."""
+    """Version of the limits that the bucket has."""
 
     reserved: int = 0
-    """Tokens of requests that wait for a place."""
+    """Tokens of queued requests."""
 
 
 class FleetQuotas:
-    """Counts tokens by tenant. ``reserve`` comes first; ``spend`` or ``release`` follows."""
+    """Token counts by tenant. Call ``reserve`` first, then ``spend`` or ``release``."""
 
     def __init__(
         self, configuration: ConfigurationHolder, bounds: QuotaBounds, random: Random
@@ -103,7 +104,7 @@
         self._share = 0.0
         self._limits_version = 0
         self._role_since = 0.0
-        """Since when this node counts in its present role (steady clock, seconds)."""
+        """Start of the current role of this node (monotonic clock, seconds)."""
 
         self._replicated_levels: dict[str, float] = {}
         self._near_limit_names: frozenset[str] = frozenset()
@@ -111,10 +112,10 @@
         self._grant_log = GrantLog()
         self._remote_grants = LocalGrantsTracker()
 
-    # --- in which role this node counts ---
+    # --- role ---
 
     def become_coordinator(self, now: float) -> None:
-        """This node counts for the fleet from now on."""
+        """Start to count for the whole fleet."""
         self._is_coordinator = True
         self._role_since = now
         self._remote_grants = LocalGrantsTracker(now)
@@ -126,21 +127,24 @@
                 account.bucket.drain_to(level, now)
 
     def stop_coordinating(self, now: float) -> None:
-        """Another node counts for the fleet."""
+        """Stop counting for the fleet; another node does."""
         self._is_coordinator = False
         self._role_since = now
         self._accounts = {}
         self._set_fraction(0.0)
 
     def reset_after_pause(self, now: float) -> None:
-        """This process stood still: others may have counted meanwhile."""
+        """Lower the bucket levels after a pause of this process.
+
+        Other nodes may have granted tokens in the meantime.
+        """
         self._role_since = now
         for account in self._accounts.values():
             account.bucket.drain_to(self._unknown_count_level(account.tenant), now)
 
-    def set_fleet_fraction(self, reported: int, nodes: int) -> None:
-        """Take the part of the fleet that this node decides for; ``nodes`` is 0 if not known."""
-        fraction = min(1.0, reported / nodes) if nodes > 0 else 0.0
+    def set_fleet_fraction(self, reporting_nodes: int, nodes: int) -> None:
+        """Set the fraction of the fleet that this node decides for; ``nodes`` is 0 if unknown."""
+        fraction = min(1.0, reporting_nodes / nodes) if nodes > 0 else 0.0
         if fraction != self._share:
             self._set_fraction(fraction)
 
@@ -150,13 +154,13 @@
 
     @property
     def knows_fleet(self) -> bool:
-        """Whether this node knows how large its part of the fleet is."""
+        """Whether the fleet fraction of this node is known."""
         return self._share > 0
 
-    # --- one request ---
+    # --- tokens of a request ---
 
     def reserve(self, name: str, now: float) -> QuotaVerdict:
-        """Take a token for a request, if there is one."""
+        """Reserve a token for a request."""
         account = self._account(name, now)
         if account is None:
             return QuotaVerdict.TAKEN
@@ -168,7 +172,7 @@
         return QuotaVerdict.OVER if self._is_coordinator else QuotaVerdict.UNKNOWN
 
     def release(self, name: str, now: float) -> None:
-        """A request that had a token is not sent."""
+        """Return the reserved token of a request that is not sent."""
         account = self._account(name, now)
         if account is not None and account.reserved > 0:
             account.reserved -= 1
@@ -176,7 +180,7 @@
             account.bucket.give_back(1.0)
 
     def spend(self, name: str, now: float) -> None:
-        """A request that had a token is sent."""
+        """Use the reserved token of a request that is sent."""
         account = self._account(name, now)
         if account is None:
             return
@@ -185,7 +189,7 @@
         self._record_grant(name, now)
 
     def charge(self, name: str, now: float) -> None:
-        """A request is sent once more: it is counted, and goes whether there is a token or not."""
+        """Count a request that is sent again; it needs no free token."""
         account = self._account(name, now)
         if account is None:
             return
@@ -193,15 +197,15 @@
         self._record_grant(name, now)
 
     def wait_s(self, name: str, now: float) -> float:
-        """Return the time until there is a token."""
+        """Return the time until a token is free."""
         account = self._account(name, now)
         return 0.0 if account is None else account.bucket.wait_s(now)
 
     def _min_level(self, account: _Account) -> float:
-        """Return the level at which a token may be taken.
+        """Return the bucket level that is needed to take a token.
 
-        A deputy's part may be less than one token; it gives one out with that chance then, and is
-        in debt after it.
+        The part of a node that decides by itself may be smaller than one token. Then it grants a
+        token with that probability, and the level becomes negative.
         """
         if self._is_coordinator or account.bucket.burst >= 1.0:
             return 1.0
@@ -214,7 +218,7 @@
     # --- buckets ---
 
     def _account(self, name: str, now: float) -> _Account | None:
-        """Return a tenant's bucket with the limits in force, None where it has no limit."""
+        """Return a tenant's account with its current limits, or None if it has no limit."""
         tenant = self._configuration.tenants.by_name.get(name)
         if tenant is None or not tenant.has_limit:
             self._accounts.pop(name, None)
@@ -229,12 +233,12 @@
         return account
 
     def _has_changed(self, account: _Account, tenant: Tenant) -> bool:
-        """Whether other limits may hold for a bucket; those of deputies also change by time."""
+        """Whether the limits of a bucket may have changed; local limits also change with time."""
         is_current = account.tenant is tenant and account.limits_version == self._limits_version
         return not (is_current and self._is_coordinator)
 
     def _open_account(self, tenant: Tenant, now: float) -> _Account:
-        """Return a bucket that was not used since this node has its role."""
+        """Return a new account for a tenant not seen since this node took its role."""
         depth = self._depth(tenant, now)
         bucket = TokenBucket(self._rate_per_s(tenant), depth, now)
         if self._is_coordinator:
@@ -260,7 +264,7 @@
     def _unknown_count_level(self, tenant: Tenant) -> float:
         return UNKNOWN_COUNT_FRACTION * self._bounds.tolerance(tenant)
 
-    # --- what nodes tell each other ---
+    # --- replication and reports ---
 
     def near_limit(self, now: float) -> list[str]:
         """Return the tenants that may be near their limits, sorted."""
@@ -271,12 +275,12 @@
         )
 
     def apply_near_limit(self, names: list[str], now: float) -> None:
-        """Take what the coordinator told of tenants near their limits."""
+        """Apply the coordinator's list of tenants near their limits."""
         self._near_limit_names = frozenset(names)
         self._near_limit_at = now
 
     def bucket_levels(self, now: float) -> dict[str, float]:
-        """Return the buckets that are not full, for a node that may have to take over."""
+        """Return the levels of the buckets that are not full, for a standby."""
         return {
             name: round(account.bucket.level(now), 2)
             for name, account in self._accounts.items()
@@ -284,17 +288,17 @@
         }
 
     def apply_bucket_levels(self, levels: dict[str, float]) -> None:
-        """Take the coordinator's levels; they hold when this node takes over."""
+        """Store the coordinator's levels, to start from when this node takes over."""
         self._replicated_levels = levels
 
     def local_grants(self, now: float) -> LocalGrants | None:
-        """Return what this node gave out as a deputy lately; None is nothing."""
+        """Return the recent local grants of this node, or None."""
         return self._grant_log.report(now)
 
     def record_local_grants(
         self, node: str, run: str, grants: LocalGrants | None, now: float
     ) -> None:
-        """Count what a node gave out itself since it last told."""
+        """Count the tokens that a node has granted locally since its previous report."""
         for name, count in self._remote_grants.new_grants(node, run, grants, now).items():
             account = self._account(name, now)
             if account is not None:
--- a/src/cloverwalk/scheduling/replica_load_tracker.py
+++ b/src/cloverwalk/scheduling/replica_load_tracker.py
@@ -1,7 +1,7 @@
-"""Work in flight at each replica over all nodes, as the coordinator counts it.
+"""Work in flight at each replica over all nodes, as counted by the coordinator.
 
-Nodes report all the work that they have; what the coordinator has decided and a node has not
-reported yet counts besides. Sums by replica are kept up to date with each change.
+Nodes report all their work; decisions that a node has not confirmed yet are added to it. The sums
+by replica are updated with each change.
 """
 
 from collections import Counter
@@ -13,14 +13,14 @@
 from cloverwalk.fleet.messages import NodeLoad
 
 DECISION_TIMEOUT_S = 0.5
-"""A decision that its node has not reported after this time is taken as lost on the way."""
+"""A decision that its node has not confirmed after this time counts as lost."""
 
 SNAPSHOT_TTL_S = 1.5
-"""How long another coordinator's sums count: by then every node has reported here itself."""
+"""How long another coordinator's sums are used; every node has reported here by then."""
 
 
 class Holder(NamedTuple):
-    """How many items a node has at a replica."""
+    """Number of items that a node has at a replica."""
 
     node: str
     items: int
@@ -28,7 +28,7 @@
 
 @attrs.define
 class _Decision:
-    """An order that its node has not reported yet."""
+    """A decision that its node has not confirmed yet."""
 
     number: int
     replica_id: str
@@ -37,7 +37,7 @@
     made_at: float
     tokens: int = 0
     tenant: str = ""
-    """Whose item a grant is for, where tenants share."""
+    """Tenant whose item a grant is for, if fair shares are on."""
 
 
 @attrs.define
@@ -47,7 +47,7 @@
 
 
 class ReplicaLoadTracker:
-    """Work by replica.
+    """Work in flight by replica.
 
     >>> tracker = ReplicaLoadTracker()
     >>> tracker.record_report("n1", {"r1": NodeLoad(2, 3)}, last_applied_order=0)
@@ -68,14 +68,15 @@
         self._snapshot_until = float("-inf")
         self._is_snapshot_partial = False
         self._snapshot_baseline: dict[str, int] = {}
-        """Online work that was known here when the snapshot came; it stands in there as well."""
+        """Online work counted here when the snapshot was applied, which the snapshot includes as
+        well."""
 
     # --- changes ---
 
     def record_report(
         self, node: str, loads: dict[str, NodeLoad], last_applied_order: int
     ) -> set[str]:
-        """Take what a node reports; return the replicas whose sums may have changed."""
+        """Record a node's reported work; return the replicas whose sums may have changed."""
         work = self._work.setdefault(node, _NodeWork())
         changed = set(work.loads) | set(loads)
         self._add(work.loads, -1)
@@ -100,14 +101,14 @@
         tenant: str = "",
         now: float,
     ) -> None:
-        """Count a decision until its node reports that it has settled it."""
+        """Count a decision until its node confirms it."""
         work = self._work.setdefault(node, _NodeWork())
         decision = _Decision(number, replica_id, online, batch, now, tokens, tenant)
         work.unconfirmed.append(decision)
         self._change(replica_id, _expected_load(decision), 1)
 
     def remove_node(self, node: str) -> set[str]:
-        """A node is gone, and its connections with it; return the replicas concerned."""
+        """Remove a node with its work; return the replicas concerned."""
         work = self._work.pop(node, None)
         if work is None:
             return set()
@@ -117,7 +118,7 @@
         return set(work.loads)
 
     def expire(self, now: float) -> set[str]:
-        """Drop decisions that were lost on the way; return the replicas concerned."""
+        """Remove decisions that count as lost; return the replicas concerned."""
         changed: set[str] = set()
         for work in self._work.values():
             for decision in [
@@ -132,10 +133,10 @@
     def apply_snapshot(
         self, totals: dict[str, NodeLoad], now: float, *, is_complete: bool = True
     ) -> None:
-        """Take another coordinator's sums; they count until the nodes have reported here.
+        """Use another coordinator's sums until the nodes have reported here.
 
-        Where they never will, since this node decides for itself alone, ``is_complete`` is False:
-        work that comes here is added to the sums.
+        Where they never will, since this node decides for itself only, ``is_complete`` is False and
+        later work is added to the sums.
         """
         self._snapshot = totals
         self._snapshot_until = now + SNAPSHOT_TTL_S
@@ -161,7 +162,7 @@
         if sums == NOTHING_IN_FLIGHT:
             del self._sums[replica_id]
 
-    # --- figures ---
+    # --- sums ---
 
     def total(self, replica_id: str, now: float) -> InFlight:
         """Return the work in flight at a replica."""
@@ -183,11 +184,11 @@
 
     @property
     def busy_replica_count(self) -> int:
-        """How many replicas have work."""
+        """Number of replicas with work in flight."""
         return len(self._sums)
 
     def replica_loads(self) -> dict[str, NodeLoad]:
-        """Return the work of all nodes by replica, without what another coordinator told."""
+        """Return the work of all nodes by replica, without another coordinator's sums."""
         return {
             key: NodeLoad(load.online, load.batch, load.tokens, load.batch_tokens)
             for key, load in self._sums.items()
@@ -196,7 +197,7 @@
     def holders(self, replica_id: str) -> list[Holder]:
         """Return the nodes with items at a replica, those with the most first.
 
-        Items that a node was told to suspend or to start count as if that was done.
+        Unconfirmed grants and revokes count as if they were carried out.
         """
         found = [
             Holder(node, self._items_of(work, replica_id)) for node, work in self._work.items()
@@ -214,7 +215,7 @@
         )
 
     def granted(self, node: str) -> Counter[str]:
-        """Return how many items a node was told to start and has not reported yet, by tenant."""
+        """Return how many granted items a node has not confirmed yet, by tenant."""
         granted: Counter[str] = Counter()
         work = self._work.get(node)
         for decision in [] if work is None else work.unconfirmed:
@@ -224,6 +225,6 @@
 
 
 def _expected_load(decision: _Decision) -> NodeLoad:
-    """Return the work that a decision adds; an order concerns online work or items, not both."""
+    """Return the work that a decision adds: either online work or items, never both."""
     batch_tokens = decision.tokens if decision.batch else 0
     return NodeLoad(decision.online, decision.batch, decision.tokens, batch_tokens)
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -1,4 +1,4 @@
-"""The replicas as the scheduler sees them: work, failures, prompts that are still to be read."""
+"""The scheduler's view of the replicas: load, failures, pending prefills and reachability."""
 
 from collections.abc import Iterable, Mapping
 from random import Random
@@ -14,16 +14,16 @@
 from cloverwalk.scheduling.zone_reachability import ZoneReachability
 
 CRASH_SUSPECT_TTL_S = 1.0
-"""How long a suspect counts at its replica; online requests last 0.02 to 0.5 s there."""
+"""How long a crash suspect counts at its replica; longer than online requests usually run."""
 
 MAX_SAMPLED_REPLICAS = 128
-"""Replicas that one decision looks at; of more, it takes a sample. Each costs some 3 us: at 3,000
-replicas a request took the coordinator 9.5 ms, and takes 0.7 ms with the sample (profile). The best
-of 128 is usually among the emptiest hundredth of all."""
+"""Replicas that one decision compares; of more replicas it takes a random sample. The cost of a
+decision grows with this number, and the best of such a sample is usually among the least loaded
+hundredth of all."""
 
 
 class ReplicaView:
-    """What may be sent to which replica."""
+    """Which work may be sent to which replica."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._reachability = reachability
         self._features = features
         self._node_zones: dict[str, str] = {}
-        """The zones of nodes, by name."""
+        """Zones of nodes, by node name."""
 
         self._random = random
         self._directory = directory
@@ -46,40 +46,40 @@
         self._suspects: dict[str, set[str]] = {}
         self._prefill_until: dict[str, float] = {}
         self.current_slowdowns: Mapping[str, float] = {}
-        """How long work takes now by replica, as a multiple of its service's usual time; empty
-        while the choice does not go by it."""
+        """Current slowdown by replica; empty while slowdowns do not count."""
 
         self._sent_crash_suspects: dict[str, list[tuple[float, str]]] = {}
-        """Suspects by the replica that they were sent to: when, and their content."""
+        """Recently sent crash suspects by replica: time and content hash."""
 
         directory.restart_listeners.append(self._on_restart)
 
     def _on_restart(self, before: Replica, replica: Replica) -> None:
-        """A replica has started again: what was sent to it before is gone."""
+        """Clear the state of a replica's earlier incarnation."""
         self._prefill_until.pop(replica.replica_id, None)
         self._sent_crash_suspects.pop(replica.replica_id, None)
 
     # --- failures ---
 
     def record_zone(self, node: str, zone: str) -> None:
-        """A node tells where it stands."""
+        """Record the zone of a node."""
         self._node_zones[node] = zone
 
     def record_suspects(
         self, node: str, suspects: list[str], now: float, *, has_returned: bool = False
     ) -> None:
-        """Replicas failed at a node; news of it counts for all nodes.
+        """Record the replicas that failed at a node; new ones are suspected for all nodes.
 
-        What a node tells that ``has_returned`` is no news of its zone: a cut has just ended.
+        The first report of a node that ``has_returned`` after it lost the coordinator is no
+        evidence about zones: its failures date from a partition that has just ended.
         """
-        is_known_failure = has_returned and node not in self._suspects
+        is_stale = has_returned and node not in self._suspects
         previous = self._suspects.get(node, set())
         self._suspects[node] = set(suspects)
         self._directory.add_peer_suspects(suspects, now)
         for replica_id in suspects:
             if replica_id not in previous:
                 self._directory.suspect(replica_id, now)
-                if not is_known_failure:
+                if not is_stale:
                     self._record_failure(node, replica_id, now)
 
     def _record_failure(self, node: str, replica_id: str, now: float) -> None:
@@ -93,25 +93,25 @@
         self._reachability.note_failure(zone, replica.zone, replica_id, zone_replicas, now)
 
     def record_answer(self, node: str, replica_id: str, now: float) -> None:
-        """A replica answered a request of a node."""
+        """Record that a replica answered a request of a node."""
         self._directory.clear_suspicion(replica_id)
         replica = self._directory.find(replica_id)
         if replica is not None:
             self._reachability.note_answer(self._node_zones.get(node, ""), replica.zone, now)
 
     def remove_node(self, node: str) -> None:
-        """A node is gone, and its word with it."""
+        """Remove a node's zone and suspects."""
         self._suspects.pop(node, None)
         self._node_zones.pop(node, None)
 
-    # --- zones that can't be reached ---
+    # --- unreachable zones ---
 
     def has_unreachable_zone(self, node: str) -> bool:
-        """Whether some zone can't be reached from a node's."""
+        """Whether some zone is unreachable from the node's zone."""
         return self._reachability.has_shut(self._node_zones.get(node, ""))
 
     def reachable(self, node: str, replicas: list[Replica], now: float) -> list[Replica]:
-        """Return the replicas in zones that a node reaches, or where a probe is due."""
+        """Return the replicas in zones that a node can reach or where a probe is due."""
         if not self.has_unreachable_zone(node):
             return replicas
         zone = self._node_zones.get(node, "")
@@ -120,7 +120,7 @@
         ]
 
     def record_sent(self, node: str, replica_id: str, now: float) -> None:
-        """A request or an item of a node was sent to a replica: it may be a probe."""
+        """Record that work of a node was sent to a replica; it may be a probe of its zone."""
         replica = self._directory.find(replica_id)
         if replica is not None:
             self._reachability.note_sent(self._node_zones.get(node, ""), replica.zone, now)
@@ -128,7 +128,7 @@
     def _reachable_with_free_slot(
         self, node: str, replicas: list[Replica], now: float
     ) -> list[Replica]:
-        """Return the replicas in zones that a node reaches, if there is room, or else all."""
+        """Return the reachable replicas if one of them has a free slot, else all."""
         reachable = self.reachable(node, replicas, now)
         if len(reachable) == len(replicas):
             return replicas
@@ -138,21 +138,21 @@
         )
         return reachable if has_free_slot else replicas
 
-    # --- prompts ---
+    # --- prefills ---
 
     def note_reading(self, replica_id: str, prefill_ms: float, now: float) -> None:
-        """A prompt was sent; a replica reads one after the other."""
+        """Record a sent prompt; a replica prefills one prompt after the other."""
         begins_at = max(now, self._prefill_until.get(replica_id, now))
         self._prefill_until[replica_id] = begins_at + prefill_ms / 1000
 
     def prefill_ms(self, replica_id: str, now: float) -> float:
-        """Return how long a replica still reads what was sent."""
+        """Return the remaining prefill time of the prompts sent to a replica."""
         return max(0.0, self._prefill_until.get(replica_id, now) - now) * 1000
 
-    # --- requests under which replicas have ended ---
+    # --- crash suspects ---
 
     def note_sent_suspect(self, replica_id: str, content: str, now: float) -> None:
-        """A suspect was sent to a replica."""
+        """Record that a crash suspect was sent to a replica."""
         for other_id, sent in list(self._sent_crash_suspects.items()):
             recent = [entry for entry in sent if now - entry[0] < CRASH_SUSPECT_TTL_S]
             self._sent_crash_suspects[other_id] = recent
@@ -161,7 +161,7 @@
         self._sent_crash_suspects.setdefault(replica_id, []).append((now, content))
 
     def _other_suspects(self, replica_id: str, content: str, now: float) -> int:
-        """Return how many other suspects a replica was sent lately."""
+        """Return how many other crash suspects were sent to a replica lately."""
         if not content:
             return 0
         sent = self._sent_crash_suspects.get(replica_id, [])
@@ -170,10 +170,10 @@
             - {content}
         )
 
-    # --- what may be sent where ---
+    # --- candidates ---
 
     def candidates(self, node: str, request: PlacementRequest, now: float) -> list[Candidate]:
-        """Return the replicas that a request was not at yet, or else all, where it fits."""
+        """Return the replicas where a request fits, without those it avoids if there are others."""
         usable = self._reachable_with_free_slot(node, self._directory.usable(request.service), now)
         usable = list(self._memory.with_memory_for_online(self.sample(usable), request.tokens, now))
         fresh = [replica for replica in usable if replica.replica_id not in request.avoid]
@@ -194,7 +194,7 @@
         ]
 
     def sample(self, replicas: list[Replica], also: Iterable[str] = ()) -> list[Replica]:
-        """Return the replicas that a decision looks at: all, or some with those in ``also``."""
+        """Return the replicas that a decision compares: all, or a sample and those in ``also``."""
         if len(replicas) <= MAX_SAMPLED_REPLICAS:
             return replicas
         by_id = {
@@ -209,26 +209,26 @@
         return list(by_id.values())
 
     def can_ever_fit(self, request: PlacementRequest) -> bool:
-        """Whether a request fits into an empty replica of its service."""
+        """Whether a request fits into an idle replica of its service."""
         return self._memory.can_ever_fit(request.service, request.tokens)
 
     def has_usable(self, service: str) -> bool:
-        """Whether any replica of a service takes new work, full ones included."""
+        """Whether any replica of a service takes new work, including fully loaded ones."""
         return bool(self._directory.usable(service))
 
     def items_to_preempt(self, replica: Replica, now: float) -> int:
-        """Return how many items have to give way at a replica, for slots or for memory."""
+        """Return how many items to preempt at a replica, for slots or for memory."""
         by_slots = items_to_preempt(
             replica.slots, self._load_tracker.total(replica.replica_id, now)
         )
         return max(by_slots, self._memory.items_to_preempt(replica, now))
 
     def preempted_tokens(self, replica_id: str, items: int, now: float) -> int:
-        """Return about how much memory comes free when so many items give way."""
+        """Return approximately how many tokens are freed when this many items are preempted."""
         return self._memory.preempted_tokens(replica_id, items, now)
 
     def fits(self, replica_id: str, tokens: int, now: float) -> bool:
-        """Whether a request that may take so many tokens fits into a replica's memory now."""
+        """Whether a request of this many tokens fits into a replica's memory now."""
         replica = self._directory.find(replica_id)
         return replica is not None and self._memory.fits(replica, tokens, now)
 
@@ -237,11 +237,11 @@
         return [replica for service in services for replica in self._directory.usable(service)]
 
     def find(self, replica_id: str) -> Replica | None:
-        """Return a replica that takes new work."""
+        """Return a replica by its id, or None if it is not in the directory."""
         return self._directory.find(replica_id)
 
     def free_slots(self, replica: Replica, now: float) -> int:
-        """Return how many items have a free slot at a replica; none where it failed lately."""
+        """Return how many items have a free slot at a replica; none if it failed lately."""
         replica_id = replica.replica_id
         if self._directory.is_suspect(replica_id, now) or self._directory.is_peer_suspect(
             replica_id, now
@@ -251,11 +251,11 @@
 
     @property
     def count(self) -> int:
-        """How many replicas are known."""
+        """Number of replicas in the directory."""
         return self._directory.count
 
     def uses(self, now: float) -> list[ReplicaUse]:
-        """Return what the slots of all replicas are used for."""
+        """Return the current use of the slots of each replica."""
         return [self._use(replica, now) for replica in self._directory.all()]
 
     def _use(self, replica: Replica, now: float) -> ReplicaUse:
@@ -273,5 +273,5 @@
         )
 
     def may_prefill(self, replica_id: str, now: float) -> bool:
-        """Whether a replica may be sent the prompt of an item now."""
+        """Whether a replica may get the prompt of another item now."""
         return may_prefill_more(self.prefill_ms(replica_id, now))
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -1,27 +1,27 @@
-"""How long requests of a route take at a replica, learnt from those that were served."""
+"""Service times of requests by route, averaged over those that were served."""
 
 import attrs
 
 LEARNING_WEIGHT = 0.05
-"""Share of a new measurement in a running average: about the last 20 requests count."""
+"""Weight of a new measurement in a running average: about the last 20 requests count."""
 
 WAIT_LEARNING_WEIGHT = 0.1
-"""The same for waits, of which there are few."""
+"""The same for waits, which are rarer."""
 
 INITIAL_HOLD_MS = 500.0
-"""Time in a slot before any was measured; too long a guess only makes a new node cautious."""
+"""Time in a slot before any measurement; a long guess only makes a new node cautious."""
 
 INITIAL_START_MS = 80.0
-"""Time to the first event at a replica with a free slot before any was measured."""
+"""Time to the first event at a free slot before any measurement."""
 
 MIN_WAIT_FACTOR = 0.5
 MAX_WAIT_FACTOR = 4.0
-"""Bounds of the correction: one odd moment must not turn requests away for long."""
+"""Bounds of the correction, so that one outlier does not refuse requests for long."""
 
 
 @attrs.define
 class RunningAverage:
-    """An average in which older measurements fade; the first one replaces the guess.
+    """An exponential moving average; the first measurement replaces the initial value.
 
     >>> average = RunningAverage(500.0, weight=0.5)
     >>> average.add(100.0), average.add(200.0), average.value
@@ -33,12 +33,12 @@
     _count: int = 0
 
     def add(self, measured: float) -> None:
-        """Take a measurement."""
+        """Add a measurement."""
         self._count += 1
         self.value += max(self.weight, 1 / self._count) * (measured - self.value)
 
     def replace(self, value: float) -> None:
-        """Take an average that was made elsewhere; it counts as long established."""
+        """Replace the average by one of another node, with the weight of a settled average."""
         self.value = value
         self._count = round(1 / self.weight)
 
@@ -59,7 +59,7 @@
 
 
 class ServiceTimes:
-    """Times by route.
+    """Service times by route.
 
     >>> times = ServiceTimes()
     >>> times.record_start("r", 100.0)
@@ -77,22 +77,23 @@
         return times
 
     def hold_ms(self, route: str) -> float:
-        """Return the time from the first event to the end: a request keeps its slot so long."""
+        """Return how long a request occupies its slot: from the first event to the end."""
         return self._of(route).hold.value
 
     def first_event_ms(self, route: str) -> float:
-        """Return the time from sending to the first event, where a slot is free."""
+        """Return the expected time from sending to the first event at a free slot."""
         return self._of(route).start.value
 
     def wait_factor(self, route: str) -> float:
-        """Return how much longer requests waited for a slot than was expected.
+        """Return the ratio of actual to expected waits for a slot.
 
-        Running requests do not end one after the other, and what a replica runs is known late.
+        It differs from 1 since running requests do not end evenly, and the load of a replica is
+        known with a delay.
         """
         return self._of(route).wait_factor
 
     def estimates(self) -> dict[str, tuple[float, float, float]]:
-        """Return start and hold in ms and the wait factor, by route."""
+        """Return start and hold times in ms and the wait factor, by route."""
         return {
             name: (
                 round(times.start.value, 1),
@@ -105,22 +106,22 @@
     def apply_estimate(
         self, route: str, start_ms: float, hold_ms: float, wait_factor: float
     ) -> None:
-        """Take what another node has learnt of a route."""
+        """Apply the estimates of another node for a route."""
         times = self._of(route)
         times.start.replace(start_ms)
         times.hold.replace(hold_ms)
         times.wait_factor = wait_factor
 
     def record_start(self, route: str, took_ms: float) -> None:
-        """A request that found a free slot had its first event after so long."""
+        """Record the time to the first event of a request that found a free slot."""
         self._of(route).start.add(took_ms)
 
     def record_hold(self, route: str, took_ms: float) -> None:
-        """A request was served; its events took so long."""
+        """Record the time from the first event to the end of a request."""
         self._of(route).hold.add(took_ms)
 
     def record_wait(self, route: str, expected_ms: float, took_ms: float) -> None:
-        """A request that was expected to wait for a slot had its first event after so long.
+        """Record the time to the first event of a request that was expected to wait for a slot.
 
         ``expected_ms`` is the expected wait without the correction.
         """
--- a/src/cloverwalk/scheduling/slot_time.py
+++ b/src/cloverwalk/scheduling/slot_time.py
@@ -1,8 +1,8 @@
-"""What the replicas' slots were used for, in slot-seconds. Figures in, figures out.
+"""Use of the replicas' slots over time, in slot-seconds.
 
-The coordinator looks at all replicas now and then and adds the time since its last look, by use. So
-an operator sees whether online work, items or nothing filled the fleet, and why a slot stood idle
-while items waited. The sum over all uses is slots times time.
+The coordinator samples all replicas and adds the time since the last sample to the current use of
+each slot. This shows an operator whether online requests, items or nothing occupied the fleet, and
+why slots were idle while items waited. The sum over all uses is slots times time.
 """
 
 import enum
@@ -12,15 +12,14 @@
 import attrs
 
 SAMPLE_INTERVAL_S = 0.25
-"""Time between two looks: a fifth of the time that short requests hold a slot would be finer, but a
-look at 3,000 replicas costs some milliseconds."""
+"""Shortest time between two samples; a sample of thousands of replicas takes some milliseconds."""
 
 MAX_SAMPLE_INTERVAL_S = 1.0
-"""A longer time without a look counts as this: the node was not coordinating, or stood still."""
+"""A longer time between samples counts as this: the node was not coordinating or was paused."""
 
 
 class SlotUse(enum.Enum):
-    """What a slot is used for."""
+    """Use of a slot."""
 
     ONLINE = "online"
     ITEMS = "items"
@@ -28,24 +27,24 @@
     """No item waits that could run there."""
 
     KEPT_FREE = "kept_free"
-    """Items wait; it is one of those kept free for the online requests of the next moments."""
+    """Items wait, but the slot is reserved for online requests."""
 
     READING = "reading"
-    """Items wait, and the replica still reads prompts."""
+    """Items wait, but the replica is busy with prefills."""
 
     SUSPECTED = "suspected"
-    """Items wait, and the replica failed lately."""
+    """Items wait, but the replica failed lately."""
 
     DRAINING = "draining"
     """The replica takes no new work."""
 
     NOT_GRANTED = "not_granted"
-    """Items wait, and nothing speaks against the slot: an order is due or under way."""
+    """Items wait and the slot could be granted; an order is due or on its way."""
 
 
 @attrs.frozen
 class ReplicaUse:
-    """A replica as it is at one look."""
+    """Use of a replica's slots in one sample."""
 
     service: str
     slots: int
@@ -54,11 +53,11 @@
     is_draining: bool = False
     is_suspected: bool = False
     may_prefill: bool = True
-    """Whether it may be sent the prompt of an item now."""
+    """Whether it may get the prompt of another item now."""
 
 
 class SlotTime:
-    """Adds slot-seconds by use.
+    """Slot-seconds by use.
 
     >>> time = SlotTime()
     >>> time.sample([], {}, {}, now=10.0)
@@ -72,7 +71,7 @@
         self._sampled_at: float | None = None
 
     def is_due(self, now: float, replicas: int) -> bool:
-        """Whether it is time for a look; the more replicas, the rarer."""
+        """Whether a sample is due; the more replicas, the longer the interval."""
         if self._sampled_at is None:
             return True
         interval_s = min(MAX_SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S * (1 + replicas / 1000))
@@ -85,9 +84,9 @@
         reserved: Mapping[str, int],
         now: float,
     ) -> None:
-        """Count the time since the last look; items that wait and slots kept free are by service.
+        """Count the time since the last sample; waiting items and reserved slots are by service.
 
-        The first look only begins the count.
+        The first sample only starts the count.
         """
         since, self._sampled_at = self._sampled_at, now
         if since is None:
@@ -103,7 +102,7 @@
 def _uses(
     replica: ReplicaUse, unassigned_items: Counter[str], unassigned_reserved: Counter[str]
 ) -> Counter[SlotUse]:
-    """Return a replica's slots by use; takes the items and kept slots that it accounts for."""
+    """Return a replica's slots by use, and deduct its share of the unassigned counts."""
     online = min(replica.slots, replica.online)
     items = min(replica.slots - online, replica.batch)
     uses = Counter({SlotUse.ONLINE: online, SlotUse.ITEMS: items})
@@ -126,7 +125,7 @@
 
 
 def _unused_slot_use(replica: ReplicaUse) -> SlotUse:
-    """Return what keeps items from a free slot of a replica."""
+    """Return why a free slot of a replica has no item."""
     if replica.is_suspected:
         return SlotUse.SUSPECTED
     if not replica.may_prefill:
--- a/src/cloverwalk/scheduling/slot_time_reporter.py
+++ b/src/cloverwalk/scheduling/slot_time_reporter.py
@@ -1,4 +1,4 @@
-"""Looks at the replicas for ``slot_time``, and tells each second what slots were used for."""
+"""Samples the replicas for ``slot_time`` and reports once a second how slots were used."""
 
 from collections.abc import Callable
 
@@ -6,13 +6,13 @@
 from cloverwalk.scheduling.slot_time import SlotTime, SlotUse
 
 REPORT_INTERVAL_S = 1.0
-"""An operator reads a fleet's story by second; one node writes one line in that time."""
+"""Shortest time between two reports of a node."""
 
 ReportUses = Callable[[dict[SlotUse, float]], None]
 
 
 class SlotTimeReporter:
-    """Counts slot time at the node that coordinates."""
+    """Counts slot time at the coordinator."""
 
     def __init__(self, scheduler: Scheduler, report: ReportUses) -> None:
         self._scheduler = scheduler
@@ -22,7 +22,7 @@
         self.slot_time = SlotTime()
 
     def tick(self, now: float) -> None:
-        """Look if it is time to; tell what came since it was last told."""
+        """Take a sample and report the slot time since the last report, if these are due."""
         uses = self._scheduler.replica_uses
         if self.slot_time.is_due(now, self._scheduler.replica_count):
             waiting, reserved = self._scheduler.waiting_items(now)
--- a/src/cloverwalk/scheduling/slowdown.py
+++ b/src/cloverwalk/scheduling/slowdown.py
@@ -1,12 +1,12 @@
-"""How fast each replica works, learnt at the coordinator. Figures in, figures out; time is passed.
-
-A pace is a factor of the time that its service's replicas usually take: 2.0 is half as fast. It is
-the product of a long-term figure, which the kind of machine makes, and of a short-term one, which
-neighbours on that machine make. The long-term one is learnt from answers: their time per event,
-against what other replicas of the service take with as many requests at once. The short-term one is
-what a replica tells against what it tells on average, so it does not matter what it calls usual;
-where this has not improved the forecast lately, it is what was measured last. Either fades back to
-the long-term figure with its age, and only a slower one than that counts.
+"""Estimates the slowdown of each replica, at the coordinator. A policy without I/O.
+
+A slowdown is a factor on the usual service time of the service: 2.0 takes twice as long. It is the
+product of a baseline, which depends on the kind of machine, and a short-term deviation, which
+depends on other work on that machine. The baseline is estimated from answers: their time per event,
+compared with other replicas of the service at a similar load. The deviation is what a replica
+reports, relative to its average report, so its own idea of normal does not matter. If reports have
+not improved the forecast lately, the latest measurements are used instead. A deviation fades with
+its age, and counts only if it means slower than the baseline.
 """
 
 import math
@@ -21,94 +21,92 @@
 
 MAX_SLOWDOWN = 4.0
 MIN_SLOWDOWN = 0.25
-"""Bounds of a pace: beyond them a replica fails rather than that it is slow, and one wrong figure
-must not take it out of use."""
+"""Bounds of a slowdown: beyond them a replica has failed rather than slowed down, and one wrong
+value must not take it out of use."""
 
 REPORTED_TTL_S = 0.6
-"""A told figure counts in full when new and not at all at this age: neighbours' work lasts for
-parts of a second."""
+"""Age at which a reported slowdown has faded to nothing; other work on a machine lasts for less
+than a second."""
 
 MEASURED_TTL_S = 1.0
-"""The same for measured ones, of which there are fewer."""
+"""The same for measured ones, which are rarer."""
 
 BASELINE_WEIGHT = 0.04
-"""Share of an answer in the long-term figure: about the last 25 count, seconds of a busy
-replica."""
+"""Weight of an answer in the baseline: about the last 25 answers count."""
 
 PRIOR_ANSWERS = 4
-"""A new replica's figure of 1.0 counts as so many answers: a single one says little."""
+"""The initial baseline of 1.0 has the weight of this many answers."""
 
 MAX_DEVIATION = math.log(1.5)
-"""One answer counts as at most this factor away from what was expected: an event may wait behind
-another request's long prompt."""
+"""Largest deviation of one answer that counts (logarithm): an event may wait behind the long prompt
+of another request."""
 
 SHORT_TERM_WEIGHT = 0.4
-"""Share of an answer in the measured short-term figure: the last two or three count."""
+"""Weight of an answer in the measured deviation: the last two or three count."""
 
 ERROR_WEIGHT = 0.1
 MIN_TRUST_ANSWERS = 8
-"""A replica's word counts unproved for so many of its answers; then measured figures say whether
-it counts on."""
+"""A replica's reports are trusted for this many answers; from then on, the forecast errors
+decide."""
 
 MAX_ERROR_RATIO = 0.95
-"""With its word, answers must be expected better than without, by this factor of the error."""
+"""Reports are trusted if they reduce the forecast error at least to this fraction."""
 
 NOISE_ERROR = 0.08
-"""Errors below this are the spread of single answers; they say nothing against a replica's word."""
+"""Errors below this are the spread of single answers and no reason to distrust reports."""
 
 SERVICE_WEIGHT = 0.02
 MIN_SERVICE_ANSWERS = 10
-"""What a service usually takes is an average of about 50 answers, and is used from 10 on."""
+"""Answers after which the average time per event of a service is used."""
 
 MIN_EVENTS = 8
-"""Answers with fewer events say little of the time between them."""
+"""Answers with fewer events are too short to measure the time between them."""
 
 MAX_EVENTS = 10_000_000
 MAX_DURATION_MS = 3_600_000
 MAX_REPORTED_PERCENT = 10_000
-"""Figures above these can't be right: no answer takes an hour, none is a hundredfold slow."""
+"""Values above these bounds are invalid."""
 
 LOAD_CLASSES = 8
-"""Times between events are compared among replicas that are equally full, in steps of an eighth."""
+"""Times between events are compared among replicas of similar load, in this many classes."""
 
 REFRESH_INTERVAL_S = 0.1
-"""Faded figures are worked out so often: a sixth of the time in which a told one fades. Where more
-than a thousand fade it is rarer, since each costs some 2 us."""
+"""How often fading deviations are recomputed; less often where more than a thousand fade."""
 
 UNUSUAL_THRESHOLD = math.log(1.25)
 USUAL_AGAIN_THRESHOLD = math.log(1.1)
-"""A replica whose long-term figure is beyond the first is logged as unusual, until it is below the
-second; with one bound, it would be logged again and again."""
+"""A replica is logged as unusual when its baseline (logarithm) exceeds the first threshold, and as
+usual when it is below the second. A single threshold would log small variations again and again."""
 
 ESTABLISHED_ANSWERS = 12
-"""Answers after which a long-term figure is worth a line in the log and a place in a snapshot."""
+"""Answers after which a baseline is logged and replicated."""
 
 SLOW_THRESHOLD = 1.25
 FAST_THRESHOLD = 0.8
-"""Bounds of the classes that the metrics count by."""
+"""Bounds of the classes in the metrics."""
 
 
 @attrs.define
 class Measurement:
-    """How one answer ran at a replica, as a node told it."""
+    """Timing of one answer of a replica, as reported by a node."""
 
     replica_id: str
     service: str
     is_item: bool
     events: int
     took_ms: float
-    """From its first event to its last."""
+    """Time from its first event to its last."""
 
     reported_percent: int
-    """What the replica told as the answer began; 0: nothing."""
+    """Slowdown that the replica reported at the start of the answer; 0 if it reported none."""
 
     utilization: float
-    """Share of the replica's slots that were in use, this answer's included."""
+    """Fraction of the replica's slots in use, including this answer."""
 
 
 @attrs.define
 class _ReplicaEstimate:
-    """What is known of one replica; figures are logarithms of factors."""
+    """Estimates for one replica; all factors are logarithms."""
 
     baseline: float = 0.0
     answers: int = 0
@@ -119,46 +117,46 @@
     measured: float = 0.0
     measured_at: float = -math.inf
     error: float = 0.0
-    """Average error of expecting the long-term figure."""
+    """Average forecast error of the baseline alone."""
 
     reported_error: float = 0.0
-    """The same with what the replica told."""
+    """Average forecast error with the replica's reports."""
 
     is_unusual: bool = False
 
     @property
     def is_trusted(self) -> bool:
-        """Whether what the replica tells counts."""
+        """Whether the replica's reports count."""
         if self.answers < MIN_TRUST_ANSWERS:
             return True
         quiet = max(self.error, self.reported_error) < NOISE_ERROR
         return quiet or self.reported_error < MAX_ERROR_RATIO * self.error
 
     def is_expired(self, now: float) -> bool:
-        """Whether only the long-term figure counts any more."""
+        """Whether only the baseline still counts."""
         return now >= max(self.reported_at + REPORTED_TTL_S, self.measured_at + MEASURED_TTL_S)
 
     def record_errors(self, deviation: float, reported_deviation: float) -> None:
-        """Compare forecasts without and with what the replica told."""
+        """Update the forecast errors without and with the replica's report."""
         self.error += ERROR_WEIGHT * (abs(deviation) - self.error)
         unexplained = abs(deviation - reported_deviation)
         self.reported_error += ERROR_WEIGHT * (unexplained - self.reported_error)
 
     def update_baseline(self, unexplained: float) -> None:
-        """Learn from the part of an answer's deviation that what was told does not explain."""
+        """Update the baseline by the part of a deviation that the report does not explain."""
         self.answers += 1
         weight = max(BASELINE_WEIGHT, 1 / (self.answers + PRIOR_ANSWERS))
         self.baseline += weight * _limited(unexplained)
         self.baseline = _logarithm(math.exp(self.baseline))
 
     def update_measured(self, deviation: float, now: float) -> None:
-        """Learn from an answer's deviation; what was measured before has faded meanwhile."""
+        """Update the measured deviation; the earlier one has faded in the meantime."""
         before = _remaining_weight(now - self.measured_at, MEASURED_TTL_S) * self.measured
         self.measured = before + SHORT_TERM_WEIGHT * _limited(deviation - before)
         self.measured_at = now
 
     def slowdown(self, now: float) -> float:
-        """Return the present pace as a factor."""
+        """Return the current slowdown as a factor."""
         reported_weight = 0.0
         if self.is_trusted:
             reported_weight = _remaining_weight(now - self.reported_at, REPORTED_TTL_S)
@@ -169,13 +167,13 @@
             reported_weight * (self.reported - self.reported_baseline)
             + measured_weight * self.measured
         )
-        # Only slowness counts: else whoever told last that it is free, and may have ended since,
-        # would draw all requests from those that are free but were not heard.
+        # Only a slower replica counts. Otherwise the one that last reported to be fast, and may
+        # have ended since, would draw all requests from free replicas without a recent report.
         return _bounded(math.exp(self.baseline + max(0.0, deviation)))
 
 
 class ReplicaSlowdowns:
-    """Paces by replica.
+    """Slowdowns by replica.
 
     >>> slowdowns = ReplicaSlowdowns()
     >>> slowdowns.slowdown("r1")
@@ -190,34 +188,34 @@
         self._service_times: dict[tuple[str, bool, int], _ServiceTime] = {}
         self._incarnations: dict[str, tuple[str, int, int]] = {}
         self._first_seen_at: dict[str, float] = {}
-        """When a replica that has started again was first seen."""
+        """When the current incarnation of a restarted replica was first seen."""
 
         self._refreshed_at = -math.inf
         self._fading: set[str] = set()
-        """Replicas whose short-term figure still counts."""
+        """Replicas whose deviation still counts."""
 
         self.current: dict[str, float] = {}
-        """Paces now, of the replicas of which something is known; see ``refresh``."""
+        """Current slowdowns of the replicas with estimates; see ``refresh``."""
 
         self.invalid_count = 0
-        """Figures that could not be right, and were not taken."""
+        """Invalid values that were ignored."""
 
         self.on_change: Callable[[str, float, bool], None] = _ignore_change
-        """Told a replica, its long-term factor, and whether that is unusual from now on."""
+        """Called with a replica, its baseline and whether that is unusual from now on."""
 
-    # --- what is asked ---
+    # --- current estimates ---
 
     def slowdown(self, replica_id: str) -> float:
-        """Return the pace of a replica as of the last refresh."""
+        """Return the slowdown of a replica as of the last refresh."""
         return self.current.get(replica_id, 1.0)
 
     def baseline(self, replica_id: str) -> float:
-        """Return the long-term figure of a replica."""
+        """Return the baseline of a replica as a factor."""
         estimate = self._estimates.get(replica_id)
         return 1.0 if estimate is None else _bounded(math.exp(estimate.baseline))
 
     def refresh(self, now: float) -> None:
-        """Have figures fade, now and then."""
+        """Recompute the fading slowdowns, if a refresh is due."""
         if now - self._refreshed_at < REFRESH_INTERVAL_S * (1 + len(self._fading) / 1000):
             return
         self._refreshed_at = now
@@ -229,21 +227,21 @@
                 self._fading.discard(replica_id)
 
     def counts_by_class(self) -> Counter[str]:
-        """Return how many replicas are fast, usual and slow by their long-term figure."""
+        """Return how many replicas are fast, usual and slow by their baseline."""
         return Counter(
             _speed_class(math.exp(estimate.baseline)) for estimate in self._estimates.values()
         )
 
-    # --- what is learnt ---
+    # --- measurements ---
 
     def record(self, measured: Measurement, now: float) -> None:
-        """Learn from an answer that has just ended."""
+        """Update the estimates by an answer that has just ended."""
         if not _is_valid_measurement(measured):
             self.invalid_count += 1
             return
         began_at = now - measured.took_ms / 1000
         if began_at < self._first_seen_at.get(measured.replica_id, -math.inf):
-            # It says what an earlier process did.
+            # The answer is of an earlier incarnation.
             return
         estimate = self._estimates.setdefault(measured.replica_id, _ReplicaEstimate())
         reported = (
@@ -261,7 +259,7 @@
         self._fading.add(replica_id)
 
     def _measured_factor(self, measured: Measurement) -> float | None:
-        """Return the logarithm of an answer's time against the usual one; None: not known."""
+        """Return the logarithm of an answer's time over the usual one; None if that is unknown."""
         if measured.events < MIN_EVENTS or measured.took_ms <= 0:
             return None
         utilization = min(1.0, max(0.0, measured.utilization))
@@ -290,7 +288,7 @@
         self._check_unusual(replica_id, estimate)
 
     def _check_unusual(self, replica_id: str, estimate: _ReplicaEstimate) -> None:
-        """Tell that a replica's long-term figure has left the usual one, or is back."""
+        """Notify ``on_change`` when a baseline becomes unusual or usual again."""
         if estimate.answers < ESTABLISHED_ANSWERS:
             return
         threshold = USUAL_AGAIN_THRESHOLD if estimate.is_unusual else UNUSUAL_THRESHOLD
@@ -299,10 +297,10 @@
             estimate.is_unusual = is_unusual
             self.on_change(replica_id, math.exp(estimate.baseline), is_unusual)
 
-    # --- replicas come and go ---
+    # --- restarts and removals ---
 
     def update_replicas(self, replicas: Iterable[Replica], now: float) -> None:
-        """Forget replicas that are gone or have started again."""
+        """Remove the estimates of replicas that were removed or have restarted."""
         incarnations = {
             replica.replica_id: (replica.host, replica.port, replica.started_ms)
             for replica in replicas
@@ -310,7 +308,7 @@
         for replica_id, incarnation in self._incarnations.items():
             if incarnations.get(replica_id) != incarnation:
                 self.restart(replica_id, now)
-        # Figures of another coordinator may be of replicas that were never seen here.
+        # Estimates of another coordinator may be for replicas that were never seen here.
         for replica_id in self._estimates.keys() - incarnations.keys():
             self.restart(replica_id, now)
         self._first_seen_at = {
@@ -319,15 +317,15 @@
         self._incarnations = incarnations
 
     def restart(self, replica_id: str, now: float) -> None:
-        """A replica has started again: it begins as its service's usual one."""
+        """Reset a replica to the usual slowdown of its service."""
         self._estimates.pop(replica_id, None)
         self.current.pop(replica_id, None)
         self._first_seen_at[replica_id] = now
 
-    # --- handover ---
+    # --- replication ---
 
     def baselines(self) -> dict[str, float]:
-        """Return the logarithms of long-term figures that enough answers stand for."""
+        """Return the logarithms of baselines with enough answers."""
         return {
             key: estimate.baseline
             for key, estimate in self._estimates.items()
@@ -335,11 +333,11 @@
         }
 
     def estimates(self, replica_ids: Iterable[str], now: float) -> dict[str, SlowdownEstimate]:
-        """Return what is known of some replicas, as a snapshot tells it."""
+        """Return the estimates for some replicas, as sent in a snapshot."""
         return {key: _to_message(self._estimates[key], now) for key in replica_ids}
 
     def apply(self, estimates: Mapping[str, SlowdownEstimate], now: float) -> None:
-        """Take what another coordinator has learnt."""
+        """Apply the estimates of another coordinator."""
         for replica_id, received in estimates.items():
             if not _is_valid_estimate(received):
                 self.invalid_count += 1
@@ -359,15 +357,15 @@
 
 @attrs.define
 class _ServiceTime:
-    """Time between two events at the replicas of a service that are equally full, in ms."""
+    """Average time between events at replicas of one service and load class, in ms."""
 
     average: RunningAverage = attrs.Factory(_service_average)
     answers: int = 0
 
     def factor(self, event_ms: float) -> float | None:
-        """Take a measurement; return the logarithm of its factor, None while too little is known.
+        """Add a measurement; return the logarithm of its ratio to the average, if that is known.
 
-        One that is far off counts as a bounded one in the average, too.
+        An outlier is bounded before it is added to the average.
         """
         average_ms = self.average.value
         if self.answers >= MIN_SERVICE_ANSWERS:
@@ -411,12 +409,12 @@
 
 
 def _remaining_weight(age_s: float, ttl_s: float) -> float:
-    """Return how much of a figure of some age counts, from 1 to 0."""
+    """Return the weight of a value by its age, from 1 down to 0."""
     return max(0.0, 1.0 - max(0.0, age_s) / ttl_s)
 
 
 def _limited(deviation: float) -> float:
-    """Return a deviation as far as one answer counts."""
+    """Return a deviation, limited to what one answer may count."""
     return min(MAX_DEVIATION, max(-MAX_DEVIATION, deviation))
 
 
--- a/src/cloverwalk/scheduling/slowdown_replication.py
+++ b/src/cloverwalk/scheduling/slowdown_replication.py
@@ -1,4 +1,4 @@
-"""Which replicas' paces a snapshot tells the standbys: those that have changed. A pure policy."""
+"""Chooses the replicas whose changed baselines a snapshot sends to standbys. A pure policy."""
 
 import math
 from collections.abc import Mapping
@@ -6,18 +6,17 @@
 import attrs
 
 MIN_CHANGE = math.log(1.1)
-"""A smaller change of the long-term figure is not worth its bytes: it changes no choice by more
-than a few milliseconds."""
+"""A smaller change of a baseline (logarithm) is not sent: it hardly affects the choice of a
+replica."""
 
 RESEND_INTERVAL_S = 5.0
-"""Time between two tellings of one replica. With two copies to three standbys of some 32 bytes,
-these are 38 bytes a replica and second at the most, and none while it does not change."""
+"""Shortest time between two changes sent for one replica, which bounds the traffic to standbys."""
 
 COPIES = 2
-"""Snapshots in a row that tell a change: a datagram may be lost."""
+"""Consecutive snapshots that contain a change, since a datagram may be lost."""
 
 MAX_REPLICAS_PER_SNAPSHOT = 100
-"""Replicas in one snapshot, 3 KB; others are told in the next ones, four a second."""
+"""Bounds the size of a snapshot; other replicas follow in the next ones."""
 
 
 @attrs.define
@@ -30,7 +29,7 @@
 
 
 class SlowdownReplicator:
-    """Remembers what the standbys were told.
+    """Keeps track of the baselines that the standbys have.
 
     >>> replicator = SlowdownReplicator()
     >>> baselines = {"r1": math.log(1.6), "r2": math.log(1.02)}
@@ -43,9 +42,9 @@
         self._standbys: list[str] = []
 
     def due(self, baselines: Mapping[str, float], standbys: list[str], now: float) -> list[str]:
-        """Return the replicas to tell of now, by the logarithms of their long-term figures.
+        """Return the replicas to send now; ``baselines`` are logarithms.
 
-        New standbys are told of all that differ from the usual.
+        After a change of standbys, all baselines that differ from 1.0 are sent.
         """
         if standbys != self._standbys:
             self._standbys = standbys
--- a/src/cloverwalk/scheduling/zone_reachability.py
+++ b/src/cloverwalk/scheduling/zone_reachability.py
@@ -1,9 +1,10 @@
-"""Which zones can't be reached from which. A policy without I/O; time is passed in.
+"""Which zones are unreachable from which. A policy without I/O; time is passed in.
 
-A cut between zones shows as failures at many replicas of one zone at once, while a replica that
-fails alone says nothing of its zone. What stands on the other side of a cut is avoided as a whole,
-instead of one replica after the other at the cost of a request each. Reach is known by pairs:
-the zone of the node that sends, and that of the replica or of the nodes that are heard.
+A partition between zones shows as failures of many replicas of one zone at once, whereas a single
+failing replica says nothing about its zone. An unreachable zone is avoided as a whole, instead of
+one replica after the other at the cost of a request each. Reachability is kept for links, that is,
+pairs of zones: the zone of the sending node, and the zone of the replica or of the nodes that
+report.
 """
 
 import enum
@@ -12,45 +13,46 @@
 import attrs
 
 FAILED_REPLICAS = 4
-"""Distinct replicas of a zone that must fail. Up to three fail together by themselves: a crash
-takes the replicas of one machine, and a request that ends replicas is sent to two or three."""
+"""Distinct replicas of a zone that must fail. Up to three can fail together without a partition: a
+crash takes the replicas of one machine, and a request that ends replicas is sent to two or
+three."""
 
 LEAST_FAILED_REPLICAS = 2
-"""The same where the zone has fewer replicas: all of them, but one alone is no zone."""
+"""Lower bound for zones with fewer replicas: all of them must fail, and at least this many."""
 
 WINDOW_S = 1.0
-"""They fail within this time: that of connecting to a host that does not answer, and some more."""
+"""Time within which they must fail; longer than a connection attempt to an unresponsive host."""
 
 MIN_UNRESPONSIVE_NODES = 3
-"""Nodes of a zone that must be silent together; fewer may have failed each by itself."""
+"""Nodes of a zone that must be unresponsive together; fewer may have failed one by one."""
 
 SILENT_S = 1.3
-"""Silence of all nodes of a zone. Each reports once a second at least, and 0.3 s is left for
-reports that are late."""
+"""Time without a report from any node of a zone. Each reports at least once a second; the rest
+allows for delays."""
 
 PROBE_EVERY_S = 0.5
-"""Time between single requests that are let through to a zone that can't be reached. Each may cost
-its caller the time to connect, so they are few; cuts last for seconds."""
+"""Time between two probes of an unreachable zone, which are single requests. Each may cost its
+caller a connection timeout."""
 
 JUDGED_S = 2.0
-"""A probe that was sent so long ago without any failure since has got through: a connection fails
-within a second where nothing answers."""
+"""A probe without a failure for this time has succeeded, since a connection to an unresponsive host
+fails within a second."""
 
 
 class Evidence(enum.Enum):
-    """What tells that a zone can or can't be reached."""
+    """Reason for a change of reachability."""
 
     FAILURES = "failures"
-    """Several of its replicas failed, and none answered."""
+    """Several of the zone's replicas failed and none answered."""
 
     SILENCE = "silence"
-    """None of its nodes is heard."""
+    """None of its nodes reports."""
 
     ANSWER = "answer"
     """One of its replicas answered."""
 
     HEARD = "heard"
-    """One of its nodes was heard."""
+    """One of its nodes reported."""
 
     NO_FAILURE = "no_failure"
     """A probe was sent, and nothing has failed since."""
@@ -58,7 +60,7 @@
 
 @attrs.frozen
 class ReachabilityChange:
-    """A zone can be reached from another one, or can't be any more."""
+    """A zone has become reachable or unreachable from another one."""
 
     source: str
     zone: str
@@ -68,14 +70,15 @@
 
 @attrs.define
 class _Link:
-    """The way from one zone to another."""
+    """Reachability of one zone from another."""
 
     failed_at: dict[str, float] = attrs.Factory(dict)
-    """Replicas that failed since the last answer."""
+    """When each replica failed, since the last answer."""
 
     is_unreachable: bool = False
     is_unresponsive: bool = False
-    """Whether the nodes there are not heard. That shuts the way once; an answer may open it."""
+    """Whether no node there reports. This makes the zone unreachable once; an answer makes it
+    reachable again."""
 
     probed_at: float = float("-inf")
     first_probe_at: float | None = None
@@ -83,7 +86,7 @@
 
 
 class ZoneReachability:
-    """The ways between zones.
+    """Reachability of zones from each other.
 
     >>> zones = ZoneReachability()
     >>> for number in range(FAILED_REPLICAS):
@@ -102,12 +105,12 @@
         self._unreachable: set[tuple[str, str]] = set()
         self.on_change: Callable[[ReachabilityChange], None] = _ignore_change
 
-    # --- what is seen ---
+    # --- observations ---
 
     def note_failure(
         self, source: str, zone: str, replica_id: str, replicas: int, now: float
     ) -> None:
-        """A replica failed at a node of ``source``; its zone has so many ``replicas`` like it."""
+        """Record a failure; ``replicas`` is the number of usable replicas of its zone."""
         if source == zone:
             return
         link = self._links.setdefault((source, zone), _Link())
@@ -121,7 +124,7 @@
             self._set(source, zone, False, Evidence.FAILURES, now)
 
     def note_answer(self, source: str, zone: str, now: float) -> None:
-        """A replica answered a node of ``source``."""
+        """Record that a replica answered a node of ``source``."""
         link = self._links.get((source, zone))
         if link is None:
             return
@@ -132,7 +135,7 @@
     def record_last_seen(
         self, source: str, zone: str, heard_at: Sequence[float], now: float
     ) -> None:
-        """Take when the known nodes of a zone were last heard from ``source``."""
+        """Record when the known nodes of a zone were last seen from ``source``."""
         link = self._links.get((source, zone))
         is_unresponsive = len(heard_at) >= MIN_UNRESPONSIVE_NODES and now - max(heard_at) > SILENT_S
         if is_unresponsive:
@@ -149,27 +152,27 @@
             self._set(source, zone, False, Evidence.SILENCE, now)
         link.is_unresponsive = True
 
-    # --- what follows ---
+    # --- results ---
 
     @property
     def unreachable_count(self) -> int:
-        """How many ways between zones can't be used."""
+        """Number of unreachable links."""
         return len(self._unreachable)
 
     def has_shut(self, source: str) -> bool:
-        """Whether some zone can't be reached from ``source``."""
+        """Whether some zone is unreachable from ``source``."""
         return bool(self._unreachable) and any(
             unreachable_from == source for unreachable_from, _ in self._unreachable
         )
 
     def may_send(self, source: str, zone: str, now: float) -> bool:
-        """Whether a zone can be reached, or is to be probed now."""
+        """Whether a zone is reachable or due for a probe."""
         if (source, zone) not in self._unreachable:
             return True
         return now - self._links[source, zone].probed_at >= PROBE_EVERY_S
 
     def note_sent(self, source: str, zone: str, now: float) -> None:
-        """A request was sent: where the zone can't be reached, it is a probe."""
+        """Record that a request was sent; to an unreachable zone it is a probe."""
         if (source, zone) not in self._unreachable:
             return
         link = self._links[source, zone]
@@ -178,7 +181,7 @@
             link.first_probe_at = now
 
     def tick(self, now: float) -> None:
-        """Open the ways whose probes have had no failure for long."""
+        """Mark zones reachable whose probes have had no failure for long enough."""
         for source, zone in sorted(self._unreachable):
             link = self._links[source, zone]
             sent_at = link.first_probe_at
