--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -1,4 +1,4 @@
-"""Requests are placed only where a replica's memory holds them at their most."""
+"""Requests are placed only where their longest possible output fits into a replica's memory."""
 
 from random import Random
 
@@ -46,7 +46,7 @@
 
 
 def ask(fleet: Fleet, node: int, tokens: int) -> int:
-    """Ask for a request of so many tokens; the node reports them where it is sent."""
+    """Send a placement request of this many tokens; the node reports them where it is sent."""
     number = fleet.ask(node, tokens=tokens)
     placement = fleet.nodes[node].placements[number]
     if placement.verdict is PlacementVerdict.SEND:
@@ -142,7 +142,7 @@
     grant_tokens = fleet.scheduler.pop_decisions()["n1"].grant_tokens
     assert grant_tokens == {"r1": 8_000, "r0": 500}
     sizes = [4_000, 3_000, 500]
-    # The items due first would be started at r0, which has no memory for them, and fall over it.
+    # The items due first do not fit into the memory of r0.
     assert pick(["", "", ""], 1, {}, sizes, grant_tokens["r0"]) == [2]
     assert pick(["", "", ""], 2, {}, sizes, grant_tokens["r1"]) == [0, 1]
 
@@ -200,7 +200,7 @@
 
 
 def test_items_waiting_for_memory_do_not_change_their_tenants_usage() -> None:
-    """Reports come many times a second while a large item waits for memory."""
+    """Reports arrive many times a second while a large item waits."""
     fleet = small_fleet(replicas=1, tenants=(Tenant("hot", ()), Tenant("small", ())))
     shares = fleet.scheduler.item_shares
     for _ in range(4):
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -1,4 +1,4 @@
-"""Replicas that differ in pace: what is learnt of them, and which work goes where."""
+"""Slowdown estimates of replicas, and the placement of work by them."""
 
 import math
 from random import Random
@@ -54,7 +54,7 @@
 
 
 class SlowdownFleet:
-    """A coordinator's scheduler and one node, with answers of the replicas by hand."""
+    """A coordinator's scheduler and one node; a test supplies the answers of the replicas."""
 
     def __init__(self, replicas: int) -> None:
         self.now = 100.0
@@ -74,7 +74,7 @@
         self.sequence = 0
 
     def report(self, **more: object) -> Decisions | None:
-        """Have the node report; return what was decided for it, with which it does nothing."""
+        """Have the node report; return the decisions for it, which it does not carry out."""
         self.sequence += 1
         fields = {
             "last_applied_order": self.sequence - 1,
@@ -87,7 +87,7 @@
         return self.scheduler.pop_decisions().get("n0")
 
     def answer(self, replica_id: str, factor: float, reported: int = 100, count: int = 1) -> None:
-        """Have a replica answer requests at a pace, while it tells one."""
+        """Have a replica answer requests at a slowdown, and report one."""
         took_ms = round(factor * EVENT_MS * (EVENTS - 1))
         timing = RequestTiming("chat", replica_id, 40, took_ms, 0, EVENTS, reported)
         for _ in range(count):
@@ -95,13 +95,13 @@
             self.report(request_timings=[timing])
 
     def answer_in_turn(self, factors: dict[str, float], rounds: int = 60) -> None:
-        """Have all replicas answer in turn, each at its pace."""
+        """Have all replicas answer in turn, each at its slowdown."""
         for _ in range(rounds):
             for replica_id in self.ids:
                 self.answer(replica_id, factors.get(replica_id, 1.0))
 
     def place(self, count: int) -> list[str]:
-        """Ask for requests that stay; return where they were sent."""
+        """Request places for requests that do not end; return where they were sent."""
         requests = [
             PlacementRequest(
                 10_000 + number, "chat", "model", objective_left_ms=300, time_left_ms=5000
@@ -119,7 +119,7 @@
     def grants(
         self, remaining_ms: int, left_ms: float, items: int, replica_id: str = ""
     ) -> set[str]:
-        """Return where waiting items are granted slots, that are due in ``left_ms``."""
+        """Return where items that are due in ``left_ms`` are granted slots."""
         step = int((STORE_MS + left_ms) // 250)
         group = WaitingGroup(step, items, replica_id, remaining_ms=remaining_ms)
         decided = self.report(waiting={"model": [group]})
@@ -134,7 +134,7 @@
 
 
 def test_fast_replicas_get_more_requests_and_slow_ones_still_get_some() -> None:
-    """A service on two kinds of machines, half full: work goes where it starts soonest."""
+    """A third of the replicas is fast, at half load."""
     fleet = SlowdownFleet(replicas=9)
     fast = fleet.ids[:3]
     fleet.answer_in_turn(dict.fromkeys(fast, 0.6))
@@ -184,7 +184,7 @@
     fleet.now += 2.0
     assert fleet.grants(remaining_ms=2000, left_ms=2500, items=1, replica_id="r1") == {"r0"}
     assert fleet.grants(remaining_ms=2000, left_ms=60_000, items=1, replica_id="r1") == {"r1"}
-    # Late is better than not at all.
+    # An item runs late rather than not at all.
     assert fleet.grants(remaining_ms=2000, left_ms=2500, items=2 * SLOTS) == {"r0", "r1"}
 
 
@@ -202,7 +202,7 @@
 
 
 def test_old_slowdown_report_does_not_count() -> None:
-    """An answer that took 5 s tells what was told as it began."""
+    """An answer that took 5 s carries a report from its start."""
     fleet = SlowdownFleet(replicas=1)
     fleet.answer_in_turn({})
     before = fleet.slowdown("r0")
@@ -215,7 +215,7 @@
     fleet.answer_in_turn({"r0": 2.5})
     fleet.directory.put(Replica("r0", "model", "h2", 7, "z1", SLOTS, False, 2))
     assert fleet.slowdown("r0") == 1.0
-    # An answer of the earlier process says nothing of this one.
+    # An answer of the earlier incarnation does not count.
     fleet.report(request_timings=[RequestTiming("chat", "r0", 40, 300, 0, EVENTS, 400)])
     assert fleet.slowdown("r0") == 1.0
 
@@ -232,7 +232,7 @@
 
 
 def test_slow_replica_that_reports_no_slowdown_is_estimated_as_slow() -> None:
-    """It tells 100 while its neighbours take half of its machine for a while."""
+    """It reports 100 while other work on its machine makes it slow at times."""
     fleet = SlowdownFleet(replicas=3)
     fleet.answer_in_turn({}, rounds=40)
     for _ in range(slowdown.MIN_TRUST_ANSWERS):
@@ -244,7 +244,7 @@
 
 
 def test_false_slowdown_reports_are_trusted_for_some_answers_only() -> None:
-    """It tells a hundredfold now and then, and answers as fast as ever."""
+    """It sometimes reports a hundredfold slowdown, but answers as fast as ever."""
     fleet = SlowdownFleet(replicas=2)
     fleet.answer_in_turn({})
     slowdowns = []
@@ -255,13 +255,13 @@
         fleet.now += 1.0
     assert max(slowdowns) <= MAX_SLOWDOWN
     assert all(value < 1.3 for value in slowdowns[2 * slowdown.MIN_TRUST_ANSWERS :])
-    # What it calls usual does not matter, as long as it calls it so all the time.
+    # A constant report does not matter, whatever its value.
     fleet.answer("r1", 1.0, reported=10_000, count=100)
     assert fleet.slowdown("r1") < 1.5
 
 
 def test_report_of_high_speed_does_not_lower_the_slowdown() -> None:
-    """It may have ended since, or lie; the others have been quiet for a while."""
+    """The replica may have ended since, or the report may be false; others are free as well."""
     fleet = SlowdownFleet(replicas=2)
     fleet.answer_in_turn({})
     fleet.now += 2.0
@@ -311,7 +311,7 @@
     assert slowdowns.current == {}
 
 
-# --- what nodes tell ---
+# --- reports of nodes ---
 
 
 def test_nodes_report_timings_of_requests_and_items_to_the_coordinator() -> None:
@@ -381,7 +381,7 @@
     in_world(test)
 
 
-# --- bytes ---
+# --- replication ---
 
 
 def test_unchanged_slowdowns_are_not_sent_to_standbys() -> None:
@@ -447,7 +447,7 @@
         assert all(MIN_SLOWDOWN <= value <= MAX_SLOWDOWN for value in values)
 
 
-# --- switched off ---
+# --- feature off ---
 
 loads = st.builds(InFlight, st.integers(0, 20), st.integers(0, 9))
 candidates = st.lists(
@@ -485,7 +485,7 @@
 
 
 def cost_without_slowdown(candidate: Candidate, demand: Demand, affinity_ids: set[str]) -> float:
-    """The cost that decides where no replica tells its pace."""
+    """Cost of a replica while no replica reports its slowdown."""
     slots, load = candidate.replica.slots, candidate.in_flight
     used = load.online / slots
     cost = selection.SUSPECT_COST_MS if candidate.is_suspect else 0.0
@@ -531,7 +531,7 @@
 def test_timings_change_no_decision_while_no_replica_reports_its_slowdown(
     history: list[tuple[str, int, int]],
 ) -> None:
-    """Times of items and events of answers change nothing, nor does how long items still run."""
+    """Event counts and the remaining run time of items change no decision either."""
     without_timings, with_timings = SlowdownFleet(replicas=3), SlowdownFleet(replicas=3)
     for number, (replica_id, took_ms, items) in enumerate(history):
         request = PlacementRequest(
@@ -560,7 +560,7 @@
 
 
 def test_standby_removes_the_slowdowns_of_removed_and_restarted_replicas() -> None:
-    """Replicas come and go for months at a standby that nobody reports to."""
+    """Estimates must not accumulate at a standby, to which no node reports."""
     fleet = SlowdownFleet(2)
     estimates = {key: SlowdownEstimate(1.6, 1.6, 0) for key in (*fleet.ids, "gone")}
     fleet.scheduler.apply_slowdowns(estimates, fleet.now)
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -1,4 +1,4 @@
-"""Tenants share what room there is: the coordinator's decisions, without sockets."""
+"""Fair shares of slots between tenants: the coordinator's decisions, without sockets."""
 
 from collections import Counter
 from typing import Any
@@ -18,11 +18,11 @@
 
 
 def busy_fleet(tenants: tuple[Tenant, ...] = TENANTS) -> Fleet:
-    """Return a fleet whose slots are all taken by requests of one tenant."""
+    """Return a fleet whose slots are all in use by requests of one tenant."""
     fleet = Fleet(replicas=1, tenants=tenants)
     for _ in range(SLOTS):
         fleet.ask(0, tenant="hot")
-    # The first request of a route that is late is told to come back; later ones are held.
+    # The first late request of a route is refused; later ones count as retries and are queued.
     fleet.ask(2, objective_left_ms=LATE_MS, tenant="hot")
     return fleet
 
@@ -89,7 +89,7 @@
 def test_tenant_ahead_leaves_part_of_the_queues_while_another_waits() -> None:
     fleet = busy_fleet()
     for _ in range(8):
-        # Long requests of one tenant: it has had far more than the others.
+        # Long requests of one tenant put it far ahead of the others.
         timing = RequestTiming("chat", "r0", 50, 9000, 0, tenant="hot")
         fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
@@ -120,7 +120,7 @@
 
 
 def test_request_number_reused_for_another_tenant_stays_in_its_queue() -> None:
-    """A process that was started again counts its asks anew; the earlier ones may be held yet."""
+    """A restarted process reuses the numbers of requests that may still be queued."""
     fleet = busy_fleet()
     number = queue_request(fleet, "small")
     again = PlacementRequest(
@@ -200,7 +200,7 @@
 
 
 def test_slots_that_become_free_together_are_shared() -> None:
-    """A takeover or the end of a burst frees all slots in one decision; one tenant is due first."""
+    """A takeover or the end of a burst may free all slots in one decision."""
     replicas = 16
     fleet = Fleet(replicas=replicas, tenants=TENANTS)
     fleet.nodes[0].waiting = [
@@ -215,7 +215,7 @@
 
 
 def test_grants_for_items_without_a_tenant_are_named() -> None:
-    """Public routes take items of anybody; a slot that is not named goes to any item."""
+    """Public routes accept items without a tenant; a slot that is not named goes to any item."""
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [
         WaitingGroup(1, 20, tenant="hot", remaining_ms=1000),
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Which online requests are sent, wait, or are told to come back."""
+"""Online requests are sent, queued or refused with a retry-after time."""
 
 from random import Random
 
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Shares between tenants hold whatever they send, and through a takeover; the order in overload."""
+"""Fair shares hold for any load and through a takeover; the order of requests in overload."""
 
 from random import Random
 
@@ -14,18 +14,18 @@
 MAX_WORK_MS = 400.0
 WORK = st.floats(20.0, MAX_WORK_MS)
 MAX_DEFICIT_MS = MAX_AHEAD_MS + STEP_MS + 2 * MAX_WORK_MS
-"""How much more slot time another tenant may get while one waits all the time."""
+"""How much more slot time another tenant may get while one has waiting work."""
 
 
 @attrs.define
 class Server:
-    """One slot, and what waits for it; each tenant's work waits in a line of its own."""
+    """One slot, with a queue for each tenant."""
 
     shares: FairShares = attrs.Factory(FairShares)
     waiting: dict[str, list[tuple[int, float]]] = attrs.Factory(dict)
     served: dict[str, float] = attrs.Factory(lambda: dict.fromkeys(TENANTS, 0.0))
     since: dict[str, dict[str, float]] = attrs.Factory(dict)
-    """What all had been served when a tenant began to wait."""
+    """What every tenant had been served when a tenant's work began to wait."""
 
     sent: int = 0
 
@@ -51,7 +51,7 @@
         self.served[tenant] += work_ms
 
     def max_deficit_ms(self) -> float:
-        """Return how much less any waiting tenant got than another since it began to wait."""
+        """Return how much less any waiting tenant got than another since its work began to wait."""
         return max(
             (
                 (self.served[peer] - served_before[peer])
@@ -104,7 +104,7 @@
 
 
 def test_very_long_request_counts_against_its_tenant_up_to_the_bound() -> None:
-    """A stream may hold a slot for minutes; its tenant must not wait as long for the others."""
+    """A stream may occupy a slot for minutes; its tenant must not be blocked for as long."""
     shares = FairShares()
     shares.charge(0, "a", 400.0, ["b"])
     shares.correct(0, "a", 600_000.0)
@@ -121,7 +121,7 @@
     assert (shares.ahead_ms(0, "a"), shares.invalid_count) == (500.0, 3)
 
 
-# --- the order in overload ---
+# --- order in overload ---
 
 BURST_INTERVAL_S = 6.0
 BURST_FACTOR = 1.9
@@ -132,19 +132,19 @@
 
 @attrs.frozen
 class Waiter:
-    received_at: float
+    asked_at: float
     work_s: float
 
     def key(self, now: float) -> OrderKey:
-        objective_start_at, deadline_start_at = (
-            self.received_at + OBJECTIVE_S,
-            self.received_at + PATIENCE_S,
+        late_at, hopeless_at = (
+            self.asked_at + OBJECTIVE_S,
+            self.asked_at + PATIENCE_S,
         )
-        return order_key(self.received_at, objective_start_at, deadline_start_at, now)
+        return order_key(self.asked_at, late_at, hopeless_at, now)
 
 
 def arrivals(until: float) -> list[Waiter]:
-    """A tenth of the requests takes four times as long; each 6 s there are 1.9 times as many."""
+    """A tenth of the requests takes four times as long; bursts have 1.9 times the usual rate."""
     waiters, now = list[Waiter](), 0.0
     while now < until:
         now += 1 / (USUAL_PER_S * (BURST_FACTOR if now % BURST_INTERVAL_S < 1.0 else 1.0))
@@ -153,7 +153,7 @@
 
 
 def total_worth(order: str) -> tuple[float, int]:
-    """Serve one slot by an order; return the worth and how many large ones were in time."""
+    """Serve one slot in an order; return the worth and the number of large requests in time."""
     coming, waiting = arrivals(60.0), list[Waiter]()
     now, gained, large_in_time = 0.0, 0.0, 0
     keys = {
@@ -162,15 +162,15 @@
         "order": lambda waiter: waiter.key(now),
     }
     while coming or waiting:
-        while coming and coming[0].received_at <= now:
+        while coming and coming[0].asked_at <= now:
             waiting.append(coming.pop(0))
-        waiting = [waiter for waiter in waiting if now - waiter.received_at <= PATIENCE_S]
+        waiting = [waiter for waiter in waiting if now - waiter.asked_at <= PATIENCE_S]
         if not waiting:
-            now = coming[0].received_at if coming else now
+            now = coming[0].asked_at if coming else now
             continue
         first = min(waiting, key=keys[order])
         waiting.remove(first)
-        is_in_time = now - first.received_at <= OBJECTIVE_S
+        is_in_time = now - first.asked_at <= OBJECTIVE_S
         gained += 1.0 if is_in_time else 0.15
         large_in_time += is_in_time and first.work_s > 0.1
         now += first.work_s
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -1,4 +1,4 @@
-"""What tenants may send over the whole fleet holds for any order of sends, losses and takeovers."""
+"""Quotas hold over the whole fleet for any order of requests, failures and takeovers."""
 
 from random import Random
 
@@ -33,7 +33,7 @@
 
 
 def max_in_window(sent: list[float], window_s: float = BOUNDS.window_s) -> int:
-    """Return the most sends within any span of a window's length."""
+    """Return the largest number of sends within any window."""
     return max(
         (sum(at <= other_at <= at + window_s for other_at in sent) for at in sent),
         default=0,
@@ -65,7 +65,7 @@
 def test_coordinator_never_grants_more_than_the_quota(
     limited: Tenant, bursts: list[tuple[float, int, float, bool]]
 ) -> None:
-    """Requests come in bursts; some wait before they are sent, and some leave meanwhile."""
+    """Requests arrive in bursts; some wait before they are sent, and some are withdrawn."""
     quotas = coordinating(holder(limited), now=-100.0)
     now, sent = 0.0, []
     waiting: list[tuple[float, bool]] = []
@@ -92,7 +92,7 @@
 def test_quota_holds_through_a_takeover(
     limited: Tenant, per_step: int, taken_over_at: float, has_levels: bool
 ) -> None:
-    """A tenant that sends far too much, and a coordinator that is lost at any moment."""
+    """A tenant sends far too much, and the coordinator fails at any moment."""
     configuration = holder(limited)
     first = coordinating(configuration, now=-100.0)
     standby = FleetQuotas(configuration, BOUNDS, Random(2))
@@ -113,7 +113,7 @@
 
 @attrs.define
 class PartitionedFleet:
-    """A fleet of which some nodes decide alone from a moment on."""
+    """A fleet of which some nodes decide independently from the start."""
 
     nodes: int
     independent: int
@@ -156,7 +156,7 @@
 def test_quota_holds_while_nodes_decide_independently(
     limited: Tenant, fleet: tuple[int, int], reports: bool, seed: int
 ) -> None:
-    """A third of the nodes at the most, each with more requests than it may send."""
+    """At most a third of the nodes is independent, each with more requests than it may send."""
     sent = PartitionedFleet(fleet[0], fleet[1], reports).sends(limited, 4, seed)
     assert max_in_window(sent) <= max_allowed(limited)
 
