--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -346,7 +346,7 @@
             grant_tokens[replica_id] = grant_tokens.get(replica_id, 0) + tokens
         if self._features.is_on(Feature.FAIR_SHARES):
             self._charge(claim)
-            # Items without a tenant are named too: a slot that is not named goes to any item.
+            # Items without a tenant are named too: an unnamed slot goes to the item due first.
             by_tenant = decisions.grants_by_tenant.setdefault(replica_id, {})
             by_tenant[tenant] = by_tenant.get(tenant, 0) + 1
         self._load_tracker.expect(
--- a/src/cloverwalk/scheduling/decisions.py
+++ b/src/cloverwalk/scheduling/decisions.py
@@ -7,7 +7,7 @@
 
 @attrs.define
 class Decisions:
-    """Decisions for one node; ``number`` increases with each batch for that node."""
+    """Decisions for one node; ``number`` increases with each set of decisions for that node."""
 
     number: int
     placements: list[Placement] = attrs.Factory(list)
@@ -18,7 +18,7 @@
 
 
 class Outbox:
-    """Pending decisions by node, numbered when the first one of a batch is made.
+    """Pending decisions by node, numbered when the first one of a set is made.
 
     >>> outbox = Outbox()
     >>> outbox.for_node("n1").number, outbox.for_node("n1").number, outbox.for_node("n2").number
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -428,7 +428,7 @@
         )
 
     def _other_zone_cost_ms(self, request: PlacementRequest) -> float:
-        """Return the cost of another zone; higher for a request that a zone cut would end for good.
+        """Return the cost of another zone; higher for a request that a partition would lose.
 
         It is at most the spare time until the objective: crossing zones is preferred to being late.
         """
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -237,7 +237,7 @@
         return [replica for service in services for replica in self._directory.usable(service)]
 
     def find(self, replica_id: str) -> Replica | None:
-        """Return a replica by its id, or None if it is not in the directory."""
+        """Return a replica that takes new work, or None."""
         return self._directory.find(replica_id)
 
     def free_slots(self, replica: Replica, now: float) -> int:
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -49,9 +49,9 @@
 OTHER_ZONE_COST_MS_PER_KB = 1.5
 
 NON_RETRYABLE_OTHER_ZONE_COST_MS = 150.0
-"""Cost of another zone for a request that may not run twice, where zones may be cut off: a cut
-would lose it. Exceeds ``LOAD_COST_MS`` and ``HIGH_LOAD_COST_MS`` together, so it stays in the zone
-while a slot is free, and leaves for a queue of about three requests."""
+"""Cost of another zone for a request that may not run twice, where zones may be cut off: a
+partition would lose it. Exceeds ``LOAD_COST_MS`` and ``HIGH_LOAD_COST_MS`` together, so it stays in
+the zone while a slot is free, and leaves for a queue of about three requests."""
 
 
 class Candidate(Struct, frozen=True):
--- a/src/cloverwalk/scheduling/zone_reachability.py
+++ b/src/cloverwalk/scheduling/zone_reachability.py
@@ -110,7 +110,7 @@
     def note_failure(
         self, source: str, zone: str, replica_id: str, replicas: int, now: float
     ) -> None:
-        """Record a failure; ``replicas`` is the number of usable replicas of its zone."""
+        """Record a failure; the zone has ``replicas`` usable replicas of the service."""
         if source == zone:
             return
         link = self._links.setdefault((source, zone), _Link())
