--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -1,8 +1,8 @@
-"""Which parts of the policy are on, and why.
+"""Optional parts of the scheduling policy, and why each is on or off.
 
-A deployment gets a part only where its configuration, its settings or what its replicas tell call
-for it; all others are served as if the part did not exist. Every decision that belongs to such a
-part asks here, so one place tells an operator what is in force.
+A feature is on only where the configuration, the settings or the reports of replicas call for it;
+elsewhere requests are served as if it did not exist. Every decision of a feature asks ``Features``,
+so one place shows an operator what is in force.
 """
 
 import enum
@@ -14,39 +14,40 @@
 
 
 class Feature(enum.Enum):
-    """A part of the policy that not every deployment needs."""
+    """An optional part of the policy."""
 
     REPLICA_PACE = "replica_pace"
-    """Choice of replicas and expected times go by how fast each replica works."""
+    """Choice of replicas and expected times use the slowdown of each replica."""
 
     FAIR_SHARES = "fair_shares"
-    """Tenants share what room there is when there is too little."""
+    """Slots are shared fairly between tenants when there are too few."""
 
     REPLICA_MEMORY = "replica_memory"
-    """What requests hold in a replica's memory is counted against its size."""
+    """The memory that requests need is counted against the replica's memory."""
 
     NODE_CAPACITY = "node_capacity"
-    """A node turns requests away before its machine is full."""
+    """A node refuses requests before its machine is overloaded."""
 
     ZONE_LOSS = "zone_loss"
-    """Each zone is served on its own while it is cut off, or while another one is lost."""
+    """Each zone is served on its own while it is cut off or another one is lost."""
 
     OVERLOAD_ORDER = "overload_order"
-    """Waiting requests go by what is lost if they wait; hopeless ones are refused at once."""
+    """Queued requests are ordered by the cost of waiting; those that will miss their deadline are
+    refused at once."""
 
 
 @attrs.frozen
 class FeatureState:
-    """Whether a part is on."""
+    """Whether a feature is on."""
 
     feature: Feature
     is_on: bool
     reason: str
-    """What calls for it, or what is missing, in words for an operator."""
+    """Explanation for an operator: what turns it on, or what is missing."""
 
 
 class Features:
-    """Answers which parts are on; what replicas tell is noted as it comes.
+    """Decides which features are on; replicas' reports are recorded as they arrive.
 
     >>> features = Features(ConfigurationHolder(), is_memory_scarce=True)
     >>> features.is_on(Feature.REPLICA_MEMORY), features.is_on(Feature.REPLICA_PACE)
@@ -65,106 +66,113 @@
         self._configuration = configuration
         self._is_memory_scarce = is_memory_scarce
         self._lost_zones = lost_zones
-        self._tells_pace: set[str] = set()
-        self._known: dict[Feature, FeatureState] = {}
-        self._found: dict[Feature, bool] = {}
-        """Which parts are on under ``_found_for``."""
+        self._services_with_slowdown: set[str] = set()
+        self._notified: dict[Feature, FeatureState] = {}
+        self._cached: dict[Feature, bool] = {}
+        """Results of ``is_on`` for the configuration ``_cached_for``."""
 
-        self._found_for: Configuration | None = None
-        self.on_change: Callable[[FeatureState], None] = _nobody
+        self._cached_for: Configuration | None = None
+        self.on_change: Callable[[FeatureState], None] = _ignore_change
 
     def note_told_pace(self, service: str) -> None:
-        """A replica of a service told how fast it works now."""
-        if service in self._tells_pace:
+        """Record that a replica of a service has reported its slowdown."""
+        if service in self._services_with_slowdown:
             return
-        self._tells_pace.add(service)
-        self._found.clear()
+        self._services_with_slowdown.add(service)
+        self._cached.clear()
         self.notify_changes()
 
     def is_on(self, feature: Feature) -> bool:
-        """Whether a part is in force; decisions ask many times, so what was found is kept."""
+        """Whether a feature is on; cached, since each decision asks several times."""
         current = self._configuration.current
-        if current is not self._found_for:
-            self._found_for = current
-            self._found.clear()
-        found = self._found.get(feature)
+        if current is not self._cached_for:
+            self._cached_for = current
+            self._cached.clear()
+        found = self._cached.get(feature)
         if found is None:
-            found = self._found[feature] = self._state(feature).is_on
+            found = self._cached[feature] = self._state(feature).is_on
         return found
 
     def states(self) -> list[FeatureState]:
-        """Return all parts, in the order of their declaration."""
-        return [self._state(one) for one in Feature]
+        """Return the states of all features, in the order of their declaration."""
+        return [self._state(feature) for feature in Feature]
 
     def notify_changes(self) -> None:
-        """Tell what has changed since the last look; to be called after news."""
+        """Notify ``on_change`` of the states that have changed since the last call.
+
+        Call this after a change of the configuration or of the reports.
+        """
         for state in self.states():
-            if self._known.get(state.feature) != state:
-                self._known[state.feature] = state
+            if self._notified.get(state.feature) != state:
+                self._notified[state.feature] = state
                 self.on_change(state)
 
     def _state(self, feature: Feature) -> FeatureState:
         match feature:
             case Feature.REPLICA_PACE:
-                return self._pace()
+                return self._slowdown_state()
             case Feature.FAIR_SHARES:
-                return self._shares()
+                return self._fair_shares_state()
             case Feature.REPLICA_MEMORY:
-                return self._memory()
+                return self._memory_state()
             case Feature.NODE_CAPACITY:
-                return self._capacity()
+                return self._node_capacity_state()
             case Feature.ZONE_LOSS:
-                return self._zone_loss()
+                return self._zone_loss_state()
             case Feature.OVERLOAD_ORDER:
-                return self._order()
+                return self._overload_order_state()
 
-    def _pace(self) -> FeatureState:
+    def _slowdown_state(self) -> FeatureState:
         feature = Feature.REPLICA_PACE
-        if self._tells_pace:
-            told = ", ".join(sorted(self._tells_pace))
-            return FeatureState(feature, True, f"replicas tell their pace: {told}")
-        return FeatureState(feature, False, "no replica tells its pace")
+        if self._services_with_slowdown:
+            services = ", ".join(sorted(self._services_with_slowdown))
+            return FeatureState(feature, True, f"replicas report their slowdown: {services}")
+        return FeatureState(feature, False, "no replica reports its slowdown")
 
-    def _shares(self) -> FeatureState:
+    def _fair_shares_state(self) -> FeatureState:
         feature = Feature.FAIR_SHARES
         if self._configuration.has_tenants:
             return FeatureState(feature, True, "the configuration names tenants")
         return FeatureState(feature, False, "the configuration names no tenants")
 
-    def _order(self) -> FeatureState:
+    def _overload_order_state(self) -> FeatureState:
         feature = Feature.OVERLOAD_ORDER
         if self._configuration.has_tenants:
             return FeatureState(feature, True, "the configuration names tenants")
-        if self._tells_pace:
-            return FeatureState(feature, True, "replicas tell their pace")
-        return FeatureState(feature, False, "no tenants are named, and no replica tells its pace")
+        if self._services_with_slowdown:
+            return FeatureState(feature, True, "replicas report their slowdown")
+        return FeatureState(
+            feature, False, "no tenants are named, and no replica reports its slowdown"
+        )
 
-    def _memory(self) -> FeatureState:
+    def _memory_state(self) -> FeatureState:
         feature = Feature.REPLICA_MEMORY
         if not self._is_memory_scarce:
             return FeatureState(feature, False, "the settings do not say that memory is scarce")
-        if not _tells_memory(self._configuration.current):
-            return FeatureState(feature, False, "no service tells its replicas' memory")
-        return FeatureState(feature, True, "memory is scarce, and services tell their replicas'")
+        if not _has_memory_size(self._configuration.current):
+            return FeatureState(feature, False, "no service declares its replicas' memory")
+        return FeatureState(
+            feature, True, "memory is scarce, and services declare their replicas' memory"
+        )
 
-    def _capacity(self) -> FeatureState:
+    def _node_capacity_state(self) -> FeatureState:
         feature = Feature.NODE_CAPACITY
         if self._is_memory_scarce:
             return FeatureState(feature, True, "the settings say that memory is scarce")
         return FeatureState(feature, False, "the settings do not say that memory is scarce")
 
-    def _zone_loss(self) -> FeatureState:
+    def _zone_loss_state(self) -> FeatureState:
         feature = Feature.ZONE_LOSS
         if self._lost_zones > 0:
             return FeatureState(feature, True, "the settings say that a whole zone may be lost")
         return FeatureState(feature, False, "the settings name no zone that may be lost")
 
 
-def _tells_memory(configuration: Configuration | None) -> bool:
+def _has_memory_size(configuration: Configuration | None) -> bool:
     if configuration is None:
         return False
-    return any(one.memory_tokens > 0 for one in configuration.services.values())
+    return any(service.memory_tokens > 0 for service in configuration.services.values())
 
 
-def _nobody(state: FeatureState) -> None:
+def _ignore_change(state: FeatureState) -> None:
     return
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -1,8 +1,8 @@
-"""Which request and which item gets which slot. A policy without I/O; time is passed in.
+"""Assigns replica slots to online requests and items. A policy without I/O; time is passed in.
 
-Online requests are placed at once, or told to come back, or held until a slot is free. Items get
-the slots that online work leaves, in one order over the fleet, and give them back when an online
-request needs them.
+Online requests are placed at once, refused with a retry-after time, or queued until a slot is free.
+Items get the slots that online requests leave, in one order over the whole fleet, and are preempted
+when an online request needs their slot.
 """
 
 from collections import Counter
@@ -20,7 +20,7 @@
 from cloverwalk.gateway.configuration import ConfigurationHolder
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.replicas import ReplicaDirectory
-from cloverwalk.scheduling.batch import BatchGrants, StoreMs
+from cloverwalk.scheduling.batch import BatchGrants, StoreTimeMs
 from cloverwalk.scheduling.decisions import Decisions, Outbox
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.online import OnlineQueue
@@ -35,7 +35,7 @@
 
 
 class Scheduler:
-    """Decides for the nodes that report to it. ``pop_decisions`` returns what to tell them."""
+    """Decides for the nodes that report to it. ``pop_decisions`` returns what to send to them."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
         self.times = times
         self.slowdowns = ReplicaSlowdowns()
         self._directory = directory
-        self._is_paced = False
-        """Whether choices go by pace, as of the last look."""
+        self._uses_slowdowns = False
+        """Whether placement uses slowdown estimates, as of the last update."""
 
-        self._paced_fingerprint: int | None = None
+        self._slowdown_fingerprint: int | None = None
         self.quotas = FleetQuotas(configuration, quota_bounds, random)
         self.load_tracker = ReplicaLoadTracker()
         self._outbox = Outbox()
@@ -84,142 +84,147 @@
         self.online_shares = self._online.shares
         self.item_shares = self._batch.shares
 
-    def set_store_time(self, store_ms: StoreMs) -> None:
-        """Have items be granted by what is left until they are due, in the store's time."""
+    def set_store_time(self, store_ms: StoreTimeMs) -> None:
+        """Set the store's clock, with which the due times of items are compared."""
         self._batch.store_ms = store_ms
 
     def handle_report(self, report: Report, now: float) -> None:
-        """Take a node's state and its asks, and decide what follows."""
+        """Apply a node's reported state, answer its placement requests and reassign slots."""
         node = report.node
         changed = self.load_tracker.record_report(node, report.loads, report.last_applied_order)
         self._batch.record_waiting(node, report.zone, report.waiting)
-        self._replicas.hear_zone(node, report.zone)
+        self._replicas.record_zone(node, report.zone)
         has_returned = not report.has_lost_coordinator
-        self._replicas.hear_suspects(node, report.suspects, now, has_returned=has_returned)
-        self._look_at_paces(now)
+        self._replicas.record_suspects(node, report.suspects, now, has_returned=has_returned)
+        self._update_slowdowns(now)
         for number in report.withdrawn:
             self._online.withdraw(node, number, now)
-        for served in report.request_timings:
-            self._online.correct(served)
-            self._learn(node, served, now)
-        for timing in report.item_timings:
-            self._learn_pace(timing, True, timing.events, timing.took_ms, now)
-        for one in report.corrections:
-            self.item_shares.correct(one.rank, one.tenant, one.extra_ms)
-        for ask in report.placement_requests:
-            replica_id = self._online.answer(node, report.zone, ask, now)
+        for request_timing in report.request_timings:
+            self._online.correct_usage(request_timing)
+            self._record_request_timing(node, request_timing, now)
+        for item_timing in report.item_timings:
+            self._record_slowdown(item_timing, True, item_timing.events, item_timing.took_ms, now)
+        for correction in report.corrections:
+            self.item_shares.correct(correction.rank, correction.tenant, correction.extra_ms)
+        for request in report.placement_requests:
+            replica_id = self._online.handle_request(node, report.zone, request, now)
             if replica_id:
-                self._batch.make_room([replica_id], now)
-        self._settle(changed, now)
-
-    def _learn(self, node: str, served: RequestTiming, now: float) -> None:
-        self._replicas.note_answer(node, served.replica_id, now)
-        self._learn_pace(served, False, served.events, served.hold_ms, now)
-        usual = self.slowdowns.usual(served.replica_id)
-        self.times.note_hold(served.route, served.hold_ms / usual)
-        if served.expected_wait_ms > 0:
-            self.times.note_wait(served.route, served.expected_wait_ms, served.first_event_ms)
+                self._batch.preempt_items([replica_id], now)
+        self._reassign_slots(changed, now)
+
+    def _record_request_timing(self, node: str, timing: RequestTiming, now: float) -> None:
+        self._replicas.record_answer(node, timing.replica_id, now)
+        self._record_slowdown(timing, False, timing.events, timing.hold_ms, now)
+        baseline = self.slowdowns.baseline(timing.replica_id)
+        self.times.record_hold(timing.route, timing.hold_ms / baseline)
+        if timing.expected_wait_ms > 0:
+            self.times.record_wait(timing.route, timing.expected_wait_ms, timing.first_event_ms)
         else:
-            self.times.record_start(served.route, served.first_event_ms / usual)
+            self.times.record_start(timing.route, timing.first_event_ms / baseline)
 
-    def _look_at_paces(self, now: float) -> None:
-        """Have choices go by the replicas' paces of this moment, where that is in force."""
-        self._is_paced = self.features.is_on(Feature.REPLICA_PACE)
-        if not self._is_paced:
-            self._replicas.paces = {}
+    def _update_slowdowns(self, now: float) -> None:
+        """Refresh the current slowdowns if the feature is on; clear them otherwise."""
+        self._uses_slowdowns = self.features.is_on(Feature.REPLICA_PACE)
+        if not self._uses_slowdowns:
+            self._replicas.current_slowdowns = {}
             return
-        if self._paced_fingerprint != self._directory.fingerprint:
-            self._paced_fingerprint = self._directory.fingerprint
-            self.slowdowns.note_replicas(self._directory.all(), now)
+        if self._slowdown_fingerprint != self._directory.fingerprint:
+            self._slowdown_fingerprint = self._directory.fingerprint
+            self.slowdowns.update_replicas(self._directory.all(), now)
         self.slowdowns.refresh(now)
-        self._replicas.paces = self.slowdowns.present
+        self._replicas.current_slowdowns = self.slowdowns.current
 
-    def _learn_pace(
-        self, told: RequestTiming | ItemTiming, is_item: bool, events: int, took_ms: int, now: float
+    def _record_slowdown(
+        self,
+        timing: RequestTiming | ItemTiming,
+        is_item: bool,
+        events: int,
+        took_ms: int,
+        now: float,
     ) -> None:
-        """Learn how fast a replica worked for an answer, where replicas tell their pace."""
-        replica = self._directory.find(told.replica_id)
+        """Update a replica's slowdown estimate from an answer."""
+        replica = self._directory.find(timing.replica_id)
         if replica is None:
             return
-        if told.slowdown_percent > 0:
+        if timing.slowdown_percent > 0:
             self.features.note_told_pace(replica.service)
-        if not self._is_paced:
+        if not self._uses_slowdowns:
             return
-        # The answer has just ended, and the book does not count it any more.
+        # The answer has just ended, so the tracker no longer counts it.
         running = self.load_tracker.total(replica.replica_id, now).total + 1
-        percent, fill = told.slowdown_percent, running / replica.slots
+        percent, utilization = timing.slowdown_percent, running / replica.slots
         measured = Measurement(
-            replica.replica_id, replica.service, is_item, events, took_ms, percent, fill
+            replica.replica_id, replica.service, is_item, events, took_ms, percent, utilization
         )
-        self.slowdowns.note(measured, now)
+        self.slowdowns.record(measured, now)
 
-    def apply_slowdowns(self, figures: Mapping[str, SlowdownEstimate], now: float) -> None:
-        """Take the paces that another coordinator has learnt."""
-        for replica_id in figures:
+    def apply_slowdowns(self, estimates: Mapping[str, SlowdownEstimate], now: float) -> None:
+        """Apply the slowdown estimates that another coordinator has sent."""
+        for replica_id in estimates:
             replica = self._directory.find(replica_id)
             if replica is not None:
                 self.features.note_told_pace(replica.service)
-        # A standby that nobody reports to decides nothing: it forgets here who is gone.
-        self._look_at_paces(now)
-        self.slowdowns.apply(figures, now)
+        # No node reports to a standby, so removed replicas are dropped here.
+        self._update_slowdowns(now)
+        self.slowdowns.apply(estimates, now)
 
     def remove_node(self, node: str, now: float) -> None:
-        """A node is gone: its work ends, and its requests wait no more."""
+        """Remove a node, its work in flight and its queued requests."""
         changed = self.load_tracker.remove_node(node)
         self._batch.remove_node(node)
         self._replicas.remove_node(node)
         self._online.remove_node(node, now)
-        self._settle(changed, now)
+        self._reassign_slots(changed, now)
 
     def restrict_grants_to(self, zone: str) -> None:
-        """Grant items only slots of replicas of a zone; empty: of all."""
+        """Grant items only slots of replicas in one zone; an empty zone lifts the restriction."""
         self._batch.zone = zone
 
     def tick(self, now: float) -> None:
-        """Do what is due by time alone."""
+        """Expire outdated state and reassign the slots that become free by it."""
         self.reachability.tick(now)
         changed = self.load_tracker.expire(now)
-        self._look_at_paces(now)
+        self._update_slowdowns(now)
         self._online.expire(now)
-        self._settle(changed, now)
+        self._reassign_slots(changed, now)
 
-    def _settle(self, changed: Iterable[str], now: float) -> None:
-        """Free slots for online work, then fill what is free: held requests first."""
+    def _reassign_slots(self, changed: Iterable[str], now: float) -> None:
+        """Preempt items for online work, place queued requests, then grant free slots to items."""
         changed = list(changed)
-        self._batch.make_room(changed, now)
-        for replica_id in self._online.try_held(now):
+        self._batch.preempt_items(changed, now)
+        for replica_id in self._online.place_queued(now):
             if replica_id:
-                self._batch.make_room([replica_id], now)
-        self._batch.fill(changed, now)
+                self._batch.preempt_items([replica_id], now)
+        self._batch.grant_free_slots(changed, now)
 
-    # --- what was decided, and what is known ---
+    # --- results ---
 
     def pop_decisions(self) -> dict[str, Decisions]:
-        """Return what was decided since the last call, by node."""
+        """Return the decisions made since the last call, by node."""
         return self._outbox.pop()
 
     def last_decision_number(self, node: str) -> int:
-        """Return the number of the last decisions for a node."""
+        """Return the number of the latest decisions for a node."""
         return self._outbox.last_number(node)
 
     def replica_loads(self) -> dict[str, NodeLoad]:
-        """Return the work of all nodes by replica."""
+        """Return the work in flight of all nodes, by replica."""
         return self.load_tracker.replica_loads()
 
     @property
     def replica_count(self) -> int:
-        """How many replicas are known."""
+        """Number of replicas in the directory."""
         return self._replicas.count
 
     def replica_uses(self, now: float) -> list[ReplicaUse]:
-        """Return what the slots of all replicas are used for."""
+        """Return the current use of the slots of each replica."""
         return self._replicas.uses(now)
 
     def waiting_items(self, now: float) -> tuple[Counter[str], Counter[str]]:
-        """Return waiting items and slots kept free of them, by service."""
+        """Return the counts of waiting items and of reserved slots, by service."""
         return self._batch.waiting_items(now)
 
     @property
     def waiting(self) -> dict[str, WaitingByPool]:
-        """What waits, by node."""
+        """Waiting items, by node and pool."""
         return self._batch.waiting
