--- a/src/cloverwalk/jobs/assigner.py
+++ b/src/cloverwalk/jobs/assigner.py
@@ -71,7 +71,7 @@
             return
         open_jobs = [versioned for versioned in self._view.all() if versioned.record.is_open]
         self._keep_only({versioned.record.job_id for versioned in open_jobs})
-        candidates = self._heirs()
+        candidates = self._owner_candidates()
         job_ids_by_owner: dict[str, list[str]] = {}
         for versioned in open_jobs:
             new_owner = self._choose_owner(versioned, candidates, now)
@@ -81,7 +81,7 @@
         for new_owner, job_ids in sorted(job_ids_by_owner.items()):
             self._coordinator.send_takeover(new_owner, job_ids)
 
-    def _heirs(self) -> list[str]:
+    def _owner_candidates(self) -> list[str]:
         """Return the processes that may run jobs.
 
         Those on overloaded machines are left out unless all are overloaded.
--- a/src/cloverwalk/jobs/checkpoint.py
+++ b/src/cloverwalk/jobs/checkpoint.py
@@ -13,9 +13,12 @@
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import CommitStatus, Expectation, Transaction
 
-SAVE_EVERY_MS = 1000.0
+SAVE_INTERVAL_MS = 1000.0
 MAX_SEGMENTS = 80
+"""Segments saved in one transaction."""
+
 MAX_CHARACTERS = 400_000
+"""Output characters saved in one transaction."""
 
 OnConflict = Callable[[JobRun], Awaitable[None]]
 
@@ -50,8 +53,8 @@
     async def run(self) -> None:
         """Save periodically until cancelled, and at once when the store is back after an outage."""
         while True:
-            await self._runner.until_jobs()
-            await self._health.backoff(SAVE_EVERY_MS)
+            await self._runner.wait_until_jobs()
+            await self._health.backoff(SAVE_INTERVAL_MS)
             await self.save()
 
     async def save(self) -> None:
--- a/src/cloverwalk/jobs/commit.py
+++ b/src/cloverwalk/jobs/commit.py
@@ -5,7 +5,7 @@
 from cloverwalk.store.health import StoreHealth
 from cloverwalk.store.types import CommitOutcome, CommitStatus, Store, Transaction
 
-FIRST_PAUSE_S = 0.03
+INITIAL_RETRY_DELAY_S = 0.03
 MAX_RETRY_DELAY_S = 0.5
 MIN_TIMEOUT_S = 0.15
 MAX_TIMEOUT_S = 1.5
@@ -35,7 +35,7 @@
             self._latency_s = min(MAX_TIMEOUT_S, 2 * max(self._latency_s, elapsed_s / 8))
         return outcome
 
-    async def settle(
+    async def commit_until_resolved(
         self, transaction: Transaction, deadline: float, refuse_at: float = float("inf")
     ) -> CommitOutcome:
         """Repeat a transaction until it is committed or in conflict, or until ``deadline``.
@@ -44,7 +44,7 @@
         conflicting rows. At the deadline, the status is UNKNOWN if any answer was lost, otherwise
         NOT_DONE. As long as no answer was lost, the deadline is ``refuse_at`` if that is earlier.
         """
-        retry_delay_s = FIRST_PAUSE_S
+        retry_delay_s = INITIAL_RETRY_DELAY_S
         has_lost_response = False
         while True:
             outcome = await self.once(transaction)
--- a/src/cloverwalk/jobs/evidence.py
+++ b/src/cloverwalk/jobs/evidence.py
@@ -1,4 +1,4 @@
-"""Reasons that end work for good, and the evidence that each of them needs.
+"""Reasons that end items or remove records, and the evidence that each of them needs.
 
 The caller loses an item that is listed as dead and a record that is removed, so nothing else ends
 them: ``JobRun`` ends no item without one of the types below, the sweeper removes no record without
@@ -119,7 +119,7 @@
 
 
 class RouteMonitor:
-    """Detects that the routes of jobs were removed for good.
+    """Detects that the routes of jobs were permanently removed.
 
     Neither elapsed time nor the configuration of this node proves it: a node that was disconnected,
     was suspended or has just taken the job over may lack a route that exists, and would list the
--- a/src/cloverwalk/jobs/intake.py
+++ b/src/cloverwalk/jobs/intake.py
@@ -57,7 +57,8 @@
 """The same while the store serves other nodes: there the client gets its response in time."""
 
 ELSEWHERE_RETRY_AFTER_S = 0.02
-"""A retry reaches another node, and one that the store serves need not wait."""
+"""Retry-after time while the store serves other nodes: the retry reaches one of them, so it need
+not wait."""
 
 MAX_CONFLICTS = 40
 MAX_PAYLOAD_ROWS = 12
@@ -146,7 +147,7 @@
             record.payload_rows = len(payload)
             payload = await self._write_payload_ahead(submission, payload, deadline)
             transaction = await self._transaction(record, payload, route)
-            committing = self._committer.settle(transaction, deadline, refuse_at)
+            committing = self._committer.commit_until_resolved(transaction, deadline, refuse_at)
             outcome = await writes.track(committing)
             if outcome.status is CommitStatus.COMMITTED:
                 await self._on_committed(submission, record, outcome, route, transaction)
@@ -209,7 +210,7 @@
         """
         while len(payload) > MAX_PAYLOAD_ROWS:
             batch, payload = payload[:MAX_PAYLOAD_ROWS], payload[MAX_PAYLOAD_ROWS:]
-            outcome = await self._committer.settle(Transaction(puts=batch), deadline)
+            outcome = await self._committer.commit_until_resolved(Transaction(puts=batch), deadline)
             if outcome.status is not CommitStatus.COMMITTED:
                 raise self._unresolved_error(submission, CommitOutcome(CommitStatus.NOT_DONE))
         return payload
@@ -244,7 +245,10 @@
         return self._quotas[key]
 
     async def _closed_jobs(self, quota: QuotaRow, record: JobRecord) -> set[str]:
-        """Return closed jobs of the quota row: those of cached records, and a few that are read."""
+        """Return the jobs of the quota row that are closed by their records.
+
+        The cached records are checked, and a few others are read from the store.
+        """
         closed_ids = {job_id for job_id in quota.jobs if self._is_cached_job_closed(job_id)}
         old_ids = [
             job_id
@@ -271,7 +275,7 @@
     async def _check_quota(
         self, quota: QuotaRow, closed_ids: set[str], record: JobRecord, route: Route
     ) -> None:
-        """Raise JobError 429 where a job does not fit beside the tokens that still wait."""
+        """Raise JobError 429 if a job's tokens and the waiting ones exceed the route's limit."""
         other_jobs = {
             key: entry
             for key, entry in quota.jobs.items()
@@ -369,5 +373,5 @@
 def _check_owner(record: JobRecord, submission: Submission) -> None:
     """Raise JobError where the existing job belongs to another tenant."""
     if record.tenant != submission.tenant:
-        message = "a job can't be handed in with this id"
+        message = "a job can't be submitted with this id"
         raise JobError(Reason.ID_TAKEN, "job_id_taken", message)
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -21,19 +21,22 @@
 from cloverwalk.gateway.request_timing import slowdown_percent
 from cloverwalk.jobs.run import ItemRun, JobRun, RunTiming
 
-READ_EVERY_S = 0.1
+READ_INTERVAL_S = 0.1
 """Events of an item are read in batches at this interval, since no client waits for single ones. A
 slot is freed later by at most this time."""
 
 REPLACEMENT_CHARACTER = "\ufffd"
 """Stands for bytes in an event's data that are not UTF-8."""
 
-ANSWER_SILENCE_S = 3.0
-EVENT_SILENCE_S = 1.5
+ANSWER_TIMEOUT_S = 3.0
+"""Timeout for the head of an answer, and for the body of a failure."""
+
+EVENT_TIMEOUT_S = 1.5
+"""Timeout for the next data of an event stream."""
 
 
 class ItemFailedError(Exception):
-    """The replica ran the item, and it failed by its own fault."""
+    """The replica ran the item and reports that it failed."""
 
 
 class ItemImpossibleError(Exception):
@@ -73,7 +76,7 @@
         """Run an item to its end; events are added to the run as they arrive.
 
         With ``must_be_new`` it is sent over a new connection. Raises ReplicaError when the run was
-        interrupted, ItemFailedError or ItemImpossibleError when the replica says so.
+        interrupted, ItemFailedError or ItemImpossibleError when the replica reports it.
         """
         address = (replica.host, replica.port)
         item_run.delivery = item_run.timing = None
@@ -106,7 +109,7 @@
             request, replica.replica_id, None, item_run.last_event_id
         )
         try:
-            async with curio.timeout_after(ANSWER_SILENCE_S):
+            async with curio.timeout_after(ANSWER_TIMEOUT_S):
                 item_run.delivery = Delivery(connection.is_new, self.clock())
                 await connection.send("POST", item_run.item.path, headers, item_run.item.body)
                 head = await connection.read_head(item_run.item.item_id)
@@ -128,7 +131,7 @@
     async def _read_failure(self, connection: ReplicaConnection) -> None:
         """Read a failure's body to its end: a truncated answer proves nothing about the item."""
         try:
-            async with curio.timeout_after(ANSWER_SILENCE_S):
+            async with curio.timeout_after(ANSWER_TIMEOUT_S):
                 while await connection.read_body() is not None:
                     pass
         except curio.TaskTimeout as error:
@@ -173,14 +176,14 @@
             if events:
                 timing.record_events(len(events), self.clock())
                 on_output()
-            await curio.sleep(READ_EVERY_S)
+            await curio.sleep(READ_INTERVAL_S)
             connection.expect_data()
         if splitter.rest:
             raise ReplicaError("the stream ended within an event", True, "answer_cut")
 
     async def _next_data(self, connection: ReplicaConnection) -> bytes | None:
         try:
-            async with curio.timeout_after(EVENT_SILENCE_S):
+            async with curio.timeout_after(EVENT_TIMEOUT_S):
                 return await connection.read_body()
         except curio.TaskTimeout as error:
             raise ReplicaError("no event in time", True, TIMED_OUT) from error
@@ -191,10 +194,11 @@
     if event.event_id is None:
         raise ValueError("an event has no id")
     if REPLACEMENT_CHARACTER in event.data:
-        # The replica sent this character, or bytes that are not UTF-8: those raise ValueError.
+        # The replica sent this character itself, or bytes that are not UTF-8: decoding the latter
+        # raises ValueError.
         event.raw.decode("utf-8")
     order.take(event.event_id)
-    if not job.take_event(item_run, event.event_id, event.data):
+    if not job.add_event(item_run, event.event_id, event.data):
         raise ValueError("an event is missing")
 
 
--- a/src/cloverwalk/jobs/item_time.py
+++ b/src/cloverwalk/jobs/item_time.py
@@ -12,7 +12,11 @@
 """Weight of a new measurement in a running average."""
 
 INITIAL_EVENTS = 200.0
+"""Estimated events of an item before any is measured."""
+
 INITIAL_EVENT_S = 0.025
+"""Estimated time per event before any is measured."""
+
 MIN_REMAINING_EVENTS = 20.0
 MAX_STRETCH = 4.0
 """Longest expected time from start to end, as a multiple of the time at replicas."""
@@ -34,7 +38,10 @@
         self._stretch = 1.0
 
     def record_run(self, events: int, earlier_events: int, run_s: float) -> None:
-        """Record an item's last run; ``earlier_events`` of its events came from earlier runs."""
+        """Record the run that completed an item.
+
+        ``earlier_events`` of the item's ``events`` came from earlier runs.
+        """
         self._events += SMOOTHING_FACTOR * (events - self._events)
         if events > earlier_events:
             self._event_s += SMOOTHING_FACTOR * (run_s / (events - earlier_events) - self._event_s)
--- a/src/cloverwalk/jobs/lister.py
+++ b/src/cloverwalk/jobs/lister.py
@@ -1,4 +1,7 @@
-"""Assigns positions to finished items: each group in one transaction under the job's version."""
+"""Lists finished items: stores their results at the next positions of their job.
+
+Each group of items is listed in one transaction under the version of the job's record.
+"""
 
 from collections.abc import Awaitable, Callable
 
@@ -88,7 +91,9 @@
         record = job.record_after(group)
         transaction = self._transaction(job, group, record)
         while not job.is_dropped:
-            outcome = await self._committer.settle(transaction, self._clock() + COMMIT_TIMEOUT_S)
+            outcome = await self._committer.commit_until_resolved(
+                transaction, self._clock() + COMMIT_TIMEOUT_S
+            )
             if outcome.status is CommitStatus.COMMITTED:
                 await self._on_listed(job, group, record, outcome.version)
                 return
@@ -125,7 +130,10 @@
     async def _reconcile(
         self, job: JobRun, group: list[ItemRun], record: JobRecord, outcome: CommitOutcome
     ) -> None:
-        """Handle a changed record: by this node (its answer was lost), an end or a new owner."""
+        """Handle a conflict with a change of the record.
+
+        It was changed by this node (the answer was lost), by an end of the job or by a new owner.
+        """
         row = outcome.conflict(job_key(job.job_id))
         if row is None or row.value is None:
             await self._drop_job(job.job_id)
--- a/src/cloverwalk/jobs/quota.py
+++ b/src/cloverwalk/jobs/quota.py
@@ -1,8 +1,9 @@
 """Computes the waiting tokens of a tenant's jobs on a route, without a shared counter.
 
 The quota row names every admitted job of the tenant on the route. It is changed only in the
-transaction that admits a job, under its version, so admissions are serialized. The tokens that a
-job still holds are read from its record: an outdated record only makes the sum too high.
+transaction that admits a job, under its version, so admissions are serialized. The waiting
+tokens of a job, those of its items that are not listed, are read from its record: an outdated
+record only makes the sum too high.
 """
 
 from cloverwalk.jobs.records import QuotaRow
@@ -10,7 +11,7 @@
 
 
 def waiting_tokens(quota: QuotaRow, view: JobView) -> int:
-    """Return the tokens that the admitted jobs still hold, by the cached records."""
+    """Return the waiting tokens of the admitted jobs; all of a job's tokens if it is not cached."""
     return sum(
         _waiting_tokens_of(job_id, tokens, view) for job_id, (tokens, _) in quota.jobs.items()
     )
--- a/src/cloverwalk/jobs/records.py
+++ b/src/cloverwalk/jobs/records.py
@@ -1,8 +1,8 @@
 """Rows of a job in the store: their types, keys and encoding.
 
-A job's record is one row, which its owner changes only at the version that it knows: a write after
-somebody else's change fails. So the terms of two owners may overlap, and positions still have one
-writer.
+A job's record is one row, which its owner changes only at the version that it last saw: a write
+after another node's change fails. So two nodes may own a job at once for a while, and each position
+still has one writer.
 """
 
 from enum import Enum
@@ -42,6 +42,7 @@
     headers: list[tuple[str, str]]
     body: bytes
     tokens: int
+    """Tokens that it counts for in its tenant's quota and in the memory of a replica."""
 
 
 class ItemResult(Struct):
@@ -53,7 +54,7 @@
 
 
 class PartialOutput(Struct):
-    """A segment of an unfinished item's output: the events from index ``start`` on.
+    """A segment of the output of the unfinished item at ``index``: its events from ``start`` on.
 
     Two runs of an item may produce different text, so segments of different owners are never
     joined: each owner, identified by its epoch, saves its output from the first event on.
@@ -75,7 +76,11 @@
     path: str
     accepted_ms: float
     due_ms: float
+    """Time by which the items should be done; later ones count as late."""
+
     give_up_ms: float
+    """End of the retention at acceptance; not after ``accepted_ms`` if items are kept forever."""
+
     max_attempts: int
     total: int
     tokens: int
--- a/src/cloverwalk/jobs/run.py
+++ b/src/cloverwalk/jobs/run.py
@@ -42,7 +42,10 @@
 
     events: int = 0
     first_at: float = 0.0
+    """When the first events were read (monotonic clock, seconds)."""
+
     last_at: float = 0.0
+    """When the latest events were read."""
 
     def record_events(self, events: int, now: float) -> None:
         """Record that events have arrived."""
@@ -171,11 +174,11 @@
         item_run.replica_id = replica_id
         item_run.replica_started_ms = replica_started_ms
 
-    def take_event(self, item_run: ItemRun, event_id: int | None, data: str) -> bool:
+    def add_event(self, item_run: ItemRun, event_id: int | None, data: str) -> bool:
         """Add an event's data; return False when it does not follow the last one.
 
         >>> run = JobRun(_example_record(), 1, [JobItem("a", "/", [], b"", 1)])
-        >>> [run.take_event(run.items[0], number, "x") for number in (1, 2, 2, 4)]
+        >>> [run.add_event(run.items[0], number, "x") for number in (1, 2, 2, 4)]
         [True, True, True, False]
         >>> run.items[0].texts
         ['x', 'x']
@@ -202,7 +205,10 @@
         self._finish(item_run, ItemState.SUCCEEDED, "\n".join(item_run.texts))
 
     def fail(self, item_run: ItemRun, not_before: float, route: Route | None) -> None:
-        """Count a run that failed; ``route`` is the one that takes the job's items now."""
+        """Count a failed run; ``route`` is the job's route in the current configuration, if any.
+
+        Once its attempts are used, the item ends; otherwise it may start again at ``not_before``.
+        """
         item_run.failures += 1
         evidence = attempts_used(item_run.replica_id, item_run.failures, self.record, route)
         if evidence is None:
--- a/src/cloverwalk/jobs/runner.py
+++ b/src/cloverwalk/jobs/runner.py
@@ -18,7 +18,7 @@
 from cloverwalk.jobs.item_call import ItemCaller, ItemFailedError, ItemImpossibleError
 from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.run import ItemRun, JobRun, Phase
-from cloverwalk.jobs.waiting_items import WaitingItem, pick, summarise
+from cloverwalk.jobs.waiting_items import WaitingItem, group_items, pick_items
 from cloverwalk.scheduling.replica_memory import memory_limit_tokens
 from cloverwalk.scheduling.selection import prefill_ms
 from cloverwalk.store.clock import StoreTime
@@ -29,7 +29,7 @@
 CHECK_INTERVAL_S = 0.5
 """Interval between checks of the waiting items when nothing else happens: some become late."""
 
-RETRY_S = 0.3
+RETRY_DELAY_S = 0.3
 
 
 class _RunningItem:
@@ -48,7 +48,7 @@
         """Slot time that the item was expected to take when it got its slot."""
 
         self.is_preempted = False
-        """Whether it was told to free its slot: it no longer counts as work at the replica."""
+        """Whether it was ordered to free its slot: it no longer counts as work at the replica."""
 
     def record_output(self) -> None:
         """Record that the replica has produced output in this run."""
@@ -129,7 +129,7 @@
         """Approximate memory that the jobs of this node use."""
         return sum(job.buffered_bytes for job in self.jobs.values())
 
-    async def until_jobs(self) -> None:
+    async def wait_until_jobs(self) -> None:
         """Wait until this node runs at least one job."""
         await self._has_jobs.wait()
 
@@ -173,7 +173,7 @@
                 if services:
                     pool = ",".join(services)
                     by_pool.setdefault(pool, []).extend(self._waiting_items(job))
-        waiting = {pool: summarise(items) for pool, items in by_pool.items() if items}
+        waiting = {pool: group_items(items) for pool, items in by_pool.items() if items}
         if waiting != self._coordinator_client.waiting or self._pop_has_ended_run():
             self._coordinator_client.waiting = waiting
             await self._coordinator_client.trigger_report()
@@ -232,7 +232,7 @@
         """Return the memory that an item may use at a replica, 0 where memory is not counted.
 
         An item that no replica can hold counts as 0: its replica rejects it, and other items do not
-        wait.
+        wait for it.
         """
         current = self._configuration.current
         if not self._loads.counts_tokens or current is None:
@@ -260,7 +260,7 @@
         return prefill_ms(prompt[-1].tokens) if prompt else 0.0
 
     async def _end_expired_items(self) -> None:
-        """End waiting items that are past their retention or whose route was removed for good."""
+        """End waiting items past their retention, and those whose route was removed permanently."""
         for job in list(self.jobs.values()):
             evidence = self._evidence_for_all_items(job)
             if evidence is None:
@@ -340,7 +340,7 @@
                 [self._tokens(job, item_run) for job, item_run in waiting] if tokens else []
             )
             max_tokens = tokens.get(replica_id, 0) if tokens else None
-            for index in pick(
+            for index in pick_items(
                 tenants, count, by_tenant.get(replica_id, {}), item_tokens, max_tokens
             ):
                 job, item_run = waiting[index]
@@ -413,7 +413,7 @@
             outcome = "impossible"
             is_answered = True
         except ItemFailedError:
-            job.fail(item_run, self._clock() + RETRY_S, self._route(job))
+            job.fail(item_run, self._clock() + RETRY_DELAY_S, self._route(job))
             outcome = "failed"
             is_answered = True
         except ReplicaError as error:
@@ -447,7 +447,7 @@
         self._record_correction(running)
         item_run.suspensions += outcome == "suspended"
         if item_run.phase is Phase.RUNNING:
-            retry_delay_s = 0.0 if outcome == "suspended" else RETRY_S
+            retry_delay_s = 0.0 if outcome == "suspended" else RETRY_DELAY_S
             job.suspend(item_run, self._clock() + retry_delay_s)
         self._record_timing(running)
         self._metrics.item_ended(outcome)
@@ -492,7 +492,7 @@
         self._coordinator_client.record_item_timing(item_timing)
 
     def _record_lateness(self, job: JobRun, item_run: ItemRun) -> str | None:
-        """Count a late item and return the cause; None for one in time, or not finished."""
+        """Count a late item and return the cause; None if it is in time, dead or not finished."""
         if item_run.phase is not Phase.FINISHED or item_run.end is not None:
             return None
         cause = item_cause(
@@ -516,7 +516,7 @@
 
         Items without output in this run come first: they may still be in the replica's queue, ahead
         of the online request. Then follow items that can't be in time, then those of the lowest
-        priority, and among these the ones with the most time to spare.
+        priority (the highest number), and among these the ones with the most time to spare.
         """
         candidates = [
             running_item
--- a/src/cloverwalk/jobs/service.py
+++ b/src/cloverwalk/jobs/service.py
@@ -79,7 +79,7 @@
         return record
 
     async def item_body(self, job_id: str, tenant: str, item_id: str) -> bytes:
-        """Return the body of an item of a tenant's job that is not listed."""
+        """Return the body of an item of a tenant's job."""
         await self._find(job_id, tenant)
         job = self._runner.jobs.get(job_id)
         if job is not None:
@@ -106,7 +106,9 @@
             ended = replace_record(record, is_ended=True)
             key = job_key(job_id)
             transaction = Transaction([Expectation(key, version)], [Put(key, encode(ended))])
-            outcome = await writes.track(self._committer.settle(transaction, deadline))
+            outcome = await writes.track(
+                self._committer.commit_until_resolved(transaction, deadline)
+            )
             if outcome.status is CommitStatus.COMMITTED:
                 await self._on_ended(ended, outcome.version)
                 return
--- a/src/cloverwalk/jobs/sweeper.py
+++ b/src/cloverwalk/jobs/sweeper.py
@@ -34,10 +34,11 @@
 """Added to the time for which a job can be read."""
 
 MAX_REMOVALS = 90
+"""Rows removed in one transaction."""
 
 
 class JobSweeper:
-    """Removes old jobs; each job falls to one of the live members."""
+    """Removes old jobs; the hash of its id assigns each job to one of the live ``members``."""
 
     def __init__(
         self,
@@ -66,7 +67,7 @@
             await self.sweep()
 
     async def sweep(self) -> None:
-        """Remove the old jobs that fall to this node."""
+        """Remove the old jobs that are assigned to this node."""
         for versioned in self._view.all():
             evidence = status_expired(versioned.record, self._store_time(), self._readable_ms)
             if evidence is None:
--- a/src/cloverwalk/jobs/takeover.py
+++ b/src/cloverwalk/jobs/takeover.py
@@ -94,7 +94,9 @@
         record = replace_record(previous, owner=self._incarnation, epoch=previous.epoch + 1)
         key = job_key(previous.job_id)
         transaction = Transaction([Expectation(key, versioned.version)], [Put(key, encode(record))])
-        outcome = await self._committer.settle(transaction, self._clock() + TAKEOVER_TIMEOUT_S)
+        outcome = await self._committer.commit_until_resolved(
+            transaction, self._clock() + TAKEOVER_TIMEOUT_S
+        )
         version = await self._owned_version(record, outcome)
         if version is None:
             return
@@ -167,7 +169,7 @@
         transaction = Transaction(
             [Expectation(key, job.version)], [Put(key, encode(record)), *puts]
         )
-        outcome = await self._committer.settle(transaction, deadline)
+        outcome = await self._committer.commit_until_resolved(transaction, deadline)
         self._log.write(
             catalogue.JOB_HANDED_OVER,
             job=job.job_id,
--- a/src/cloverwalk/jobs/verifier.py
+++ b/src/cloverwalk/jobs/verifier.py
@@ -11,8 +11,8 @@
 from cloverwalk.telemetry.log import ServingLog
 
 VERIFY_INTERVAL_S = 1.2
-"""An ended job starts nothing after this time and that of two calls to the store; callers allow
-three seconds."""
+"""An ended job starts no item later than this interval plus the time of two calls to the store;
+callers allow three seconds."""
 
 
 class JobVerifier:
@@ -31,7 +31,7 @@
     async def run(self) -> None:
         """Verify periodically until cancelled."""
         while True:
-            await self._runner.until_jobs()
+            await self._runner.wait_until_jobs()
             await curio.sleep(VERIFY_INTERVAL_S)
             for job in list(self._runner.jobs.values()):
                 if not job.is_dropped:
--- a/src/cloverwalk/jobs/view.py
+++ b/src/cloverwalk/jobs/view.py
@@ -10,7 +10,7 @@
 from cloverwalk.store.types import Row, RowPage
 
 MAX_REMOVED_IDS = 4096
-"""Removed jobs that are remembered, the latest ones."""
+"""Ids of the latest removed jobs, kept so that an outdated read does not restore them."""
 
 MAX_RECORDS = 50_000
 """Cached records, the latest ones; bounds their memory."""
--- a/src/cloverwalk/jobs/waiting_items.py
+++ b/src/cloverwalk/jobs/waiting_items.py
@@ -26,8 +26,12 @@
     """The properties of an item that decide when it starts."""
 
     due_ms: float
+    """Time by which it is ordered, see ``ItemTimeEstimator.effective_due_ms``."""
+
     can_be_in_time: bool
     replica_id: str
+    """Replica that may have its prompt cached; empty if there is none."""
+
     prefill_ms: float
     priority: int = 0
     tenant: str = ""
@@ -44,11 +48,11 @@
         return int(self.due_ms // DUE_TIME_RESOLUTION_MS) + rank
 
 
-def summarise(items: Iterable[WaitingItem]) -> list[WaitingGroup]:
+def group_items(items: Iterable[WaitingItem]) -> list[WaitingGroup]:
     """Return the groups of waiting items to report, those due first in front.
 
     >>> items = [WaitingItem(8_200.0, True, "", 5.0), WaitingItem(8_100.0, True, "", 7.0)]
-    >>> summarise(items) == [WaitingGroup(32, 2, prefill_ms=6)]
+    >>> group_items(items) == [WaitingGroup(32, 2, prefill_ms=6)]
     True
     """
     by_key: dict[tuple[int, str, str], list[WaitingItem]] = {}
@@ -89,7 +93,7 @@
     )
 
 
-def pick(
+def pick_items(
     tenants: Sequence[str],
     count: int,
     granted: Mapping[str, int],
@@ -99,12 +103,14 @@
     """Return the indices of the waiting items that start; ``tenants`` has one entry per item.
 
     Each tenant's first items start in the slots that were granted for it. A slot whose tenant has
-    no more items goes to the first of the others, so that none stays free.
+    no more items goes to the first of the remaining items, so that none stays free.
 
-    With ``max_tokens``, the items together use no more of the replica's memory: the slot may have
-    been granted for a smaller item than the first.
+    With ``max_tokens``, the items together use at most that much of the replica's memory: the slot
+    may have been granted for a smaller item than the first.
 
-    >>> pick(["a", "a", "b", "b"], 2, {"b": 1, "a": 1}), pick(["a", "a", "b"], 2, {"c": 1})
+    >>> pick_items(["a", "a", "b", "b"], 2, {"b": 1, "a": 1}), pick_items(
+    ...     ["a", "a", "b"], 2, {"c": 1}
+    ... )
     ([0, 2], [0, 1])
     """
     slots_left = Counter(granted)
@@ -121,7 +127,7 @@
 
 
 def _fitting(ordered: list[int], count: int, tokens: Sequence[int], max_tokens: int) -> list[int]:
-    """Return the first items that together use at most ``max_tokens``."""
+    """Return up to ``count`` items in order, without those that do not fit into ``max_tokens``."""
     fitting: list[int] = []
     for index in ordered:
         if len(fitting) == count:
--- a/src/cloverwalk/jobs/writes.py
+++ b/src/cloverwalk/jobs/writes.py
@@ -10,7 +10,7 @@
     """Tracks whether any transaction of a call may have taken effect, or still can.
 
     A transaction counts as possibly done from when it is sent until its outcome or a conflict
-    proves otherwise. So a caller that forgets to check makes no false promise.
+    proves otherwise. So a call that skips the check is never answered as not run by mistake.
     """
 
     def __init__(self) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -496,8 +496,8 @@
     Mutant(
         "serving: output is not saved at the store's return",
         "jobs/checkpoint.py",
-        "            await self._health.backoff(SAVE_EVERY_MS)",
-        "            await curio.sleep(SAVE_EVERY_MS / 1000)",
+        "            await self._health.backoff(SAVE_INTERVAL_MS)",
+        "            await curio.sleep(SAVE_INTERVAL_MS / 1000)",
         HEALTH + "test_output_of_running_items_is_saved_when_the_store_is_back",
         (
             (
--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -23,7 +23,7 @@
 from cloverwalk.telemetry.log import ServingLog
 
 
-class HandClock:
+class ManualClock:
     """A clock that advances a little with each reading, so that loops with a time limit end."""
 
     def __init__(self, step_s: float = 0.01) -> None:
@@ -126,10 +126,10 @@
         if job is not None:
             job.is_dropped = True
 
-    async def submit(self, submitted: Submission, route: Route, allowed_s: float = 3.0) -> None:
+    async def submit(self, submitted: Submission, route: Route, timeout_s: float = 3.0) -> None:
         writes = JobWriteTracker()
         try:
-            await self.intake.submit(submitted, route, self.clock() + allowed_s, writes)
+            await self.intake.submit(submitted, route, self.clock() + timeout_s, writes)
         except JobError as error:
             raise RefusedError(error_response(error, writes)) from error
 
@@ -142,5 +142,5 @@
     """Run an item to its end."""
     job.begin(item_run, "r1", 0.0)
     for number, word in enumerate(text.split()):
-        assert job.take_event(item_run, number, word)
+        assert job.add_event(item_run, number, word)
     job.succeed(item_run)
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -192,11 +192,11 @@
         for round_number in range(3):
             urgent = f"urgent{round_number}"
             assert (await world.hand_in(urgent, 5, node=1, path="/soon/x")).status == 202
-            seen = len(replica.arrivals)
+            first_index = len(replica.arrivals)
             # Items use all slots of the replica: none is reserved.
-            most = seen + replica.slots
-            await world.until(lambda most=most: len(replica.arrivals) >= most)  # type: ignore[misc]
-            first = [run.request_id for run in replica.arrivals[seen:most]]
+            end_index = first_index + replica.slots
+            await world.until(lambda end_index=end_index: len(replica.arrivals) >= end_index)  # type: ignore[misc]
+            first = [run.request_id for run in replica.arrivals[first_index:end_index]]
             assert len([request_id for request_id in first if request_id.startswith(urgent)]) == 5
 
     in_world(test)
--- a/tests/serving/test_crash_detector.py
+++ b/tests/serving/test_crash_detector.py
@@ -7,7 +7,7 @@
 import curio
 import pytest
 from fleet_world import free_port
-from job_world import HandClock
+from job_world import ManualClock
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.gateway.crash_detector import (
@@ -49,7 +49,7 @@
     replica: Replica | None = REPLICA,
 ) -> int:
     """Return how many crashes are counted after a failure at a replica."""
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     directory, ledger = ReplicaDirectory(), CrashLedger()
     if replica is not None:
         directory.put(replica)
@@ -82,7 +82,7 @@
 
 def test_what_breaks_off_later_is_looked_after_anew() -> None:
     """A reset that is looked after, and then the replica ends under another request."""
-    clock, ledger, directory = HandClock(step_s=0.0), CrashLedger(), ReplicaDirectory()
+    clock, ledger, directory = ManualClock(step_s=0.0), CrashLedger(), ReplicaDirectory()
     directory.put(REPLICA)
     looks = Looks(LISTENS)
     pool: Any = looks
@@ -131,7 +131,7 @@
     async def main() -> None:
         address = ("127.0.0.1", free_port())
         serving = await curio.spawn(PlatformReplica("r1", address).run, daemon=True)
-        await test(ReplicaPool(PlatformCodec(), HandClock()), address)
+        await test(ReplicaPool(PlatformCodec(), ManualClock()), address)
         await serving.cancel()
 
     curio.run(main)
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -247,7 +247,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # It would be sent again this soon, several times while the second job runs.
-    monkeypatch.setattr(runner, "RETRY_S", 0.05)
+    monkeypatch.setattr(runner, "RETRY_DELAY_S", 0.05)
 
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=2)
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -304,11 +304,11 @@
         standbys = roster.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [one.node for one in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
-        assert assigner._heirs() == [one for one in heirs if not is_full(world, one)]
+        assert assigner._owner_candidates() == [one for one in heirs if not is_full(world, one)]
         for node in world.nodes:
             node.link.utilization_percent = 99
         await world.run(1.5)
-        assert assigner._heirs() == heirs
+        assert assigner._owner_candidates() == heirs
 
     in_fleet(7, test)
 
--- a/tests/serving/test_item_ends.py
+++ b/tests/serving/test_item_ends.py
@@ -1,7 +1,7 @@
 """Items are listed as dead only for an allowed reason.
 
-Guards against ending items by a store time or configuration version that is unknown or uncertain:
-an unknown store time once counted as zero, and items ended before their retention was over.
+Guards against ending items early because the store time or the configuration version is unknown or
+uncertain.
 """
 
 import os
@@ -155,13 +155,13 @@
 
 
 @given(
-    has_asked=st.booleans(),
+    has_read_before=st.booleans(),
     store_zero_s=st.sampled_from([0.0, 12.0, 36.0, 500.0]),
     first_answer_s=st.sampled_from([0.004, 0.3, 1.0, 4.0]),
     later_answer_s=st.sampled_from([0.004, 0.3, 1.0]),
 )
 def test_items_are_kept_for_retention_when_store_time_is_learnt_late(
-    has_asked: bool, store_zero_s: float, first_answer_s: float, later_answer_s: float
+    has_read_before: bool, store_zero_s: float, first_answer_s: float, later_answer_s: float
 ) -> None:
     """The first answer of the store may be requested before the job is sent, and read late."""
 
@@ -170,10 +170,10 @@
         store = SlowStore(time)
         owner = OwnerProcess("n1", store, time, configuration=1)
         store.answer_s = first_answer_s
-        if has_asked:
+        if has_read_before:
             await owner.reader.read_record("j")
         sent_at = time.now
-        await owner.submit(submission("j"), batch_route(), allowed_s=30.0)
+        await owner.submit(submission("j"), batch_route(), timeout_s=30.0)
         await owner.run_job("j")
         store.answer_s = later_answer_s
         await owner.reader.read_record("j")
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -35,10 +35,10 @@
 
 
 class SlowlyClosingCaller:
-    """Runs items forever; only ``may_close`` of the preempted ones end at once."""
+    """Runs items forever; only ``max_immediate_closes`` of the preempted ones end at once."""
 
     def __init__(self) -> None:
-        self.may_close = 0
+        self.max_immediate_closes = 0
         self.preempted = 0
         self.all_may_close = curio.Event()
 
@@ -57,7 +57,7 @@
             await curio.Event().wait()
         finally:
             self.preempted += 1
-            if self.preempted > self.may_close:
+            if self.preempted > self.max_immediate_closes:
                 await self.all_may_close.wait()
 
 
@@ -179,7 +179,7 @@
     """However many of the preempted items have closed their connections."""
 
     async def test(owner: OwnerWorld) -> None:
-        owner.caller.may_close = closed
+        owner.caller.max_immediate_closes = closed
         before, items = await owner.report()
         assert items == SLOTS
         applying = await curio.spawn(owner.order, -3, daemon=True)
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -10,7 +10,7 @@
 from fleet_world import FleetWorld, in_world
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock, OwnerNode, RefusedError, batch_route, submission
+from job_world import ManualClock, OwnerNode, RefusedError, batch_route, submission
 
 from cloverwalk.core.error_response import NOT_RUN_STATUSES, error_response
 from cloverwalk.emulator.memory_store import CommitFault, MemoryStore
@@ -101,7 +101,7 @@
 def test_committed_end_is_not_answered_as_not_run_after_conflicts() -> None:
     async def main() -> None:
         store = InterferingStore()
-        node = OwnerNode("n1", store, HandClock(0.0001))
+        node = OwnerNode("n1", store, ManualClock(0.0001))
         await node.submit(submission("j"), batch_route())
         conflicts = MAX_END_CONFLICTS - 1
         store.interferences.extend([Interference.ROWS_CHANGE] * conflicts)
@@ -123,8 +123,8 @@
             world.store.failing_status = status
             answer = await world.hand_in(f"j{status}", count=1)
             world.store.failing_status = 0
-            is_taken = f"j{status}" in world.store.rows.values(JOB_TABLE)
-            assert is_taken
+            is_accepted = f"j{status}" in world.store.rows.values(JOB_TABLE)
+            assert is_accepted
             assert answer.status not in NOT_RUN_STATUSES, status
             assert (await world.hand_in(f"j{status}", count=1)).status == 202
 
@@ -140,42 +140,43 @@
 """More commits than a call has time for."""
 
 Course = list[tuple[CommitFault | None, Interference | None]]
+"""The fault and the interference of each commit, in order."""
 
 
-def schedule(store: InterferingStore, course: Course, at_last: CommitFault | None) -> None:
-    """Have the coming commits meet a course of events, and then always the last fault."""
+def schedule(store: InterferingStore, course: Course, final_fault: CommitFault | None) -> None:
+    """Schedule the events of ``course`` for the next commits, and ``final_fault`` for all later."""
     store.commit_faults.extend(fault for fault, _ in course)
-    store.commit_faults.extend([at_last] * MAX_COMMITS)
+    store.commit_faults.extend([final_fault] * MAX_COMMITS)
     store.interferences.extend(interference for _, interference in course)
 
 
 @pytest.mark.parametrize("max_queued_tokens", [0, 25, 1000])
-@given(course=courses, at_last=faults)
+@given(course=courses, final_fault=faults)
 def test_refused_submission_is_never_stored(
-    max_queued_tokens: int, course: Course, at_last: CommitFault | None
+    max_queued_tokens: int, course: Course, final_fault: CommitFault | None
 ) -> None:
     """Whatever is lost, late, refused or changed between the attempts of one submission."""
 
     async def main() -> None:
         store = InterferingStore()
-        schedule(store, course, at_last)
-        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.05)))
+        schedule(store, course, final_fault)
+        node = without_retry_delays(OwnerNode("n1", store, ManualClock(0.05)))
         status = await submit_status(node, max_queued_tokens)
         store.run_late()
-        is_taken = "j" in store.values(JOB_TABLE)
-        assert not (is_taken and status in NOT_RUN_STATUSES)
-        assert is_taken or status != 202
+        is_accepted = "j" in store.values(JOB_TABLE)
+        assert not (is_accepted and status in NOT_RUN_STATUSES)
+        assert is_accepted or status != 202
 
     curio.run(main)
 
 
-@given(course=courses, at_last=faults)
-def test_refused_end_never_takes_effect(course: Course, at_last: CommitFault | None) -> None:
+@given(course=courses, final_fault=faults)
+def test_refused_end_never_takes_effect(course: Course, final_fault: CommitFault | None) -> None:
     async def main() -> None:
         store = InterferingStore()
-        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.05)))
+        node = without_retry_delays(OwnerNode("n1", store, ManualClock(0.05)))
         await node.submit(submission("j"), batch_route())
-        schedule(store, course, at_last)
+        schedule(store, course, final_fault)
         status = await end_status(node)
         store.run_late()
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
@@ -192,7 +193,7 @@
         store = InterferingStore()
         store.interferences.extend([None, Interference.ROWS_CHANGE])
         store.commit_faults.extend([CommitFault.LATE, None, *[CommitFault.NOT_DONE] * 300])
-        node = without_retry_delays(OwnerNode("n1", store, HandClock(0.01)))
+        node = without_retry_delays(OwnerNode("n1", store, ManualClock(0.01)))
         assert await submit_status(node, 1000) == 503
         assert store.late
         store.run_late()
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from job_world import (
-    HandClock,
+    ManualClock,
     OwnerNode,
     RefusedError,
     batch_route,
@@ -45,8 +45,8 @@
 def test_accepted_job_is_complete_in_store() -> None:
     async def main() -> None:
         store = MemoryStore()
-        await OwnerNode("n1", store, HandClock()).submit(submission("j"), batch_route())
-        other = OwnerNode("n2", store, HandClock())
+        await OwnerNode("n1", store, ManualClock()).submit(submission("j"), batch_route())
+        other = OwnerNode("n2", store, ManualClock())
         record = await other.reader.find("j")
         items = await other.reader.items(record)
         assert [item.body for item in items] == [b"body 0", b"body 1", b"body 2"]
@@ -58,7 +58,7 @@
     async def main() -> None:
         store = MemoryStore()
         store.now_ms = 50_000.0
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         node.store_time = lambda: exactly(store.now_ms) if store.reads else None
         await node.submit(submission("j"), batch_route())
         record = await node.reader.find("j")
@@ -71,7 +71,7 @@
 def test_submission_is_refused_while_store_time_is_unknown() -> None:
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         node.store_time = lambda: None
         with pytest.raises(RefusedError) as refused:
             await node.submit(submission("j"), batch_route())
@@ -87,8 +87,8 @@
         job = submission("j")
         for number, item in enumerate(job.items):
             item.body = bytes([number]) * 700_000
-        await OwnerNode("n1", store, HandClock()).submit(job, batch_route())
-        other = OwnerNode("n2", store, HandClock())
+        await OwnerNode("n1", store, ManualClock()).submit(job, batch_route())
+        other = OwnerNode("n2", store, ManualClock())
         items = await other.reader.items(await other.reader.find("j"))
         assert [item.body for item in items] == [item.body for item in job.items]
 
@@ -100,10 +100,10 @@
     async def main() -> None:
         store = MemoryStore()
         store.commit_faults.extend(faults)
-        first = OwnerNode("n1", store, HandClock())
+        first = OwnerNode("n1", store, ManualClock())
         await first.submit(submission("j"), batch_route(1000))
         store.run_late()
-        second = OwnerNode("n2", store, HandClock())
+        second = OwnerNode("n2", store, ManualClock())
         await second.submit(submission("j"), batch_route(1000))
         assert list(store.values(JOB_TABLE)) == ["j"]
         assert list(first.jobs) == ["j"]
@@ -113,11 +113,11 @@
 
 
 def test_resubmitted_job_is_not_restarted_after_takeover() -> None:
-    """The takeover restores what an earlier owner listed; a submission knows nothing of that."""
+    """Only a takeover restores what an earlier owner listed; a submission does not read it."""
 
     async def main() -> None:
         store = MemoryStore()
-        first = OwnerNode("n1", store, HandClock())
+        first = OwnerNode("n1", store, ManualClock())
         await first.submit(submission("j"), batch_route())
         job = first.jobs["j"]
         finish(job, job.items[0], "a b")
@@ -125,7 +125,7 @@
         taken_over = replace_record(job.record, owner="n2", epoch=2)
         put = Put(job_key("j"), encode(taken_over))
         await store.commit(Transaction([Expectation(job_key("j"), job.version)], [put]), 1.0)
-        new_owner = OwnerNode("n2", store, HandClock())
+        new_owner = OwnerNode("n2", store, ManualClock())
         await new_owner.submit(submission("j"), batch_route())
         assert new_owner.jobs == {}
 
@@ -136,7 +136,7 @@
     async def main() -> None:
         store = MemoryStore()
         store.commit_faults.extend([LATE] * 200)
-        node = OwnerNode("n1", store, HandClock(0.05))
+        node = OwnerNode("n1", store, ManualClock(0.05))
         with pytest.raises(RefusedError) as caught:
             await node.submit(submission("j"), batch_route())
         assert caught.value.status == 504
@@ -156,7 +156,7 @@
     async def main() -> None:
         store = MemoryStore()
         store.commit_faults.extend([REFUSED] * 200)
-        node = OwnerNode("n1", store, HandClock(0.01))
+        node = OwnerNode("n1", store, ManualClock(0.01))
         node.is_served_elsewhere = is_elsewhere
         with pytest.raises(RefusedError) as refused:
             await node.submit(submission("j"), batch_route())
@@ -179,7 +179,7 @@
 
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock(0.2))
+        node = OwnerNode("n1", store, ManualClock(0.2))
         await node.submit(submission("j"), batch_route())
         job = node.jobs["j"]
         finish(job, job.items[0], "a b")
@@ -199,7 +199,7 @@
 def test_former_owner_lists_no_results() -> None:
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("j"), batch_route())
         job = node.jobs["j"]
         record = replace_record(job.record, owner="n2", epoch=2)
@@ -225,7 +225,7 @@
 
     async def main() -> None:
         store = MemoryStore()
-        first = OwnerNode("n1", store, HandClock())
+        first = OwnerNode("n1", store, ManualClock())
         await first.submit(submission("j", count=5), batch_route())
         job = first.jobs["j"]
         store.commit_faults.extend(faults)
@@ -235,9 +235,9 @@
                 job = await take_over(store, job.record.epoch)
             if job.items[index].result is None:
                 finish(job, job.items[index], f"text of {index}")
-            owner = OwnerNode(job.record.owner, store, HandClock())
+            owner = OwnerNode(job.record.owner, store, ManualClock())
             await owner.lister.list_finished(job)
-            now_listed = await listed(OwnerNode("reader", store, HandClock()), "j")
+            now_listed = await listed(OwnerNode("reader", store, ManualClock()), "j")
             assert now_listed[: len(seen)] == seen
             seen = now_listed
             store.run_late()
@@ -247,7 +247,7 @@
     async def take_over(store: MemoryStore, epoch: int) -> JobRun:
         faults = list(store.commit_faults)
         store.commit_faults.clear()
-        node = OwnerNode("n2", store, HandClock())
+        node = OwnerNode("n2", store, ManualClock())
         await node.sync_view()
         cached = node.view.find("j")
         assert cached is not None
@@ -267,7 +267,7 @@
 def test_quota_holds_for_concurrent_submissions() -> None:
     async def main() -> None:
         store = MemoryStore()
-        nodes = [OwnerNode(f"n{number}", store, HandClock()) for number in range(6)]
+        nodes = [OwnerNode(f"n{number}", store, ManualClock()) for number in range(6)]
         refused = 0
         tasks = [
             await curio.spawn(node.submit, submission(f"j{number}", 3, 100), batch_route(1000))
@@ -285,7 +285,7 @@
 def test_listed_items_free_quota() -> None:
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("j", 3, 100), batch_route(400))
         with pytest.raises(RefusedError):
             await node.submit(submission("k", 3, 100), batch_route(400))
@@ -303,19 +303,19 @@
 
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
-        with pytest.raises(JobError) as sure:
+        node = OwnerNode("n1", store, ManualClock())
+        with pytest.raises(JobError) as missing:
             await node.reader.read("nothing", 0, 0.0)
-        await OwnerNode("n2", store, HandClock()).submit(submission("nothing"), batch_route())
+        await OwnerNode("n2", store, ManualClock()).submit(submission("nothing"), batch_route())
         assert (await node.reader.read("nothing", 0, 0.0)).total == 3
         store.is_down = True
-        with pytest.raises(JobError) as down:
+        with pytest.raises(JobError) as unavailable:
             await node.reader.read("nothing", 0, 0.0)
-        with pytest.raises(JobError) as down_unseen:
+        with pytest.raises(JobError) as unavailable_uncached:
             await node.reader.read("other", 0, 0.0)
         statuses = [
             error_response(raised.value, NOTHING_SENT).status
-            for raised in (sure, down, down_unseen)
+            for raised in (missing, unavailable, unavailable_uncached)
         ]
         assert statuses == [404, 503, 503]
 
@@ -355,7 +355,7 @@
     job.begin(item, "r1", 0.0)
     saved: list[PartialOutput] = []
     for number in range(1, 10):
-        assert job.take_event(item, number, "x" * 9000)
+        assert job.add_event(item, number, "x" * 9000)
         if number % 3 == 0:
             new = job.unsaved()
             job.mark_saved(new)
@@ -370,7 +370,7 @@
 def test_outdated_read_does_not_restore_removed_job() -> None:
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("j"), batch_route())
         lagging = await store.read_table(JOB_TABLE)
         row = lagging.rows[0]
@@ -384,7 +384,7 @@
 def test_sweep_removes_old_jobs_and_keeps_open_ones() -> None:
     async def main() -> None:
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("old"), batch_route())
         await node.submit(submission("open"), batch_route())
         job = node.jobs["old"]
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -37,11 +37,11 @@
 @pytest.fixture(autouse=True, scope="module")
 def no_limit_of_time_decides() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(item_call, "READ_EVERY_S", 0.0)
+        patch.setattr(item_call, "READ_INTERVAL_S", 0.0)
         patch.setattr(replica_connection, "CONNECT_TIMEOUT_S", TEST_LIMIT_S)
         for module, name in (
-            (item_call, "ANSWER_SILENCE_S"),
-            (item_call, "EVENT_SILENCE_S"),
+            (item_call, "ANSWER_TIMEOUT_S"),
+            (item_call, "EVENT_TIMEOUT_S"),
             (answer_relay, "FIRST_EVENT_SILENCE_S"),
             (answer_relay, "EVENT_TIMEOUT_S"),
         ):
@@ -104,7 +104,7 @@
         assert await callers.run_item(*item_job()) == "succeeded"
         # The job is taken over again, with what was saved of its output.
         job, one = item_job()
-        assert job.take_event(one, 1, "own")
+        assert job.add_event(one, 1, "own")
         assert await callers.run_item(job, one) == "succeeded"
         assert one.texts == ["own", "own"]
 
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock
+from job_world import ManualClock
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.directory_sync import DirectorySync
@@ -68,7 +68,7 @@
     """What a node knows of replicas, fed with rows."""
 
     def __init__(self) -> None:
-        clock = HandClock(step_s=0.0)
+        clock = ManualClock(step_s=0.0)
         log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
         self.lines: list[int] = []
         log.write = lambda number, **_: self.lines.append(number)  # type: ignore[method-assign]
@@ -127,7 +127,7 @@
 def test_peers_hear_that_an_entry_can_t_be_read() -> None:
     """What the coordinator tells them takes the replica out of their lists, and back in."""
     known, peer = Known(), ReplicaDirectory()
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     log = ServingLog("n2", clock, os.open(os.devnull, os.O_WRONLY))
     sync = DirectorySync(peer, log, clock)
     known.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -10,7 +10,7 @@
 from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.messages import NodeLoad, WaitingGroup
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, Service
-from cloverwalk.jobs.waiting_items import pick
+from cloverwalk.jobs.waiting_items import pick_items
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.features import Features
 from cloverwalk.scheduling.quotas import QuotaBounds
@@ -141,8 +141,8 @@
     assert told == {"r1": 8_000, "r0": 500}
     sizes = [4_000, 3_000, 500]
     # The items due first would be started at r0, which has no memory for them, and fall over it.
-    assert pick(["", "", ""], 1, {}, sizes, told["r0"]) == [2]
-    assert pick(["", "", ""], 2, {}, sizes, told["r1"]) == [0, 1]
+    assert pick_items(["", "", ""], 1, {}, sizes, told["r0"]) == [2]
+    assert pick_items(["", "", ""], 2, {}, sizes, told["r1"]) == [0, 1]
 
 
 def test_a_takeover_counts_the_memory_that_the_coordinator_before_knew() -> None:
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -11,7 +11,7 @@
 from fleet_world import FleetWorld, configuration, free_port, in_world, route
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock
+from job_world import ManualClock
 from test_scheduler import Fleet
 
 from cloverwalk.core.clock import steady_s
@@ -262,7 +262,7 @@
 
 def broken_off(*connections: Connection, refused_at: float | None = None) -> list[bool]:
     """Return which are broken off at 100.0, when a list that was confirmed at 99.0 is outdated."""
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     none: Any = None
     pool, directory = ReplicaPool(none, clock), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
@@ -297,7 +297,7 @@
 def test_an_address_that_refuses_is_remembered_until_the_next_start() -> None:
     async def main() -> None:
         codec: Any = None
-        pool, address = ReplicaPool(codec, HandClock()), ("127.0.0.1", free_port())
+        pool, address = ReplicaPool(codec, ManualClock()), ("127.0.0.1", free_port())
         assert await pool.probe(address) is Reachability.REFUSES
         probed_at = pool.take_refusal(address)
         assert probed_at < float("inf") == pool.take_refusal(address)
@@ -323,7 +323,7 @@
     entries: Sequence[Replica] = (),
 ) -> int:
     """Return how many replicas ended under a request, by what was broken off."""
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     ledger = CrashLedger()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
@@ -350,7 +350,7 @@
 
 def test_a_start_that_refuses_counts_for_itself() -> None:
     """A replica that ends, comes back under its id and ends again has ended twice."""
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     ledger, directory = CrashLedger(), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = Refusing()
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -6,7 +6,7 @@
 from fleet_world import FleetWorld, in_world
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock, OwnerNode, batch_route, exactly, submission
+from job_world import ManualClock, OwnerNode, batch_route, exactly, submission
 
 from cloverwalk.core.clock import Clock
 from cloverwalk.emulator.memory_store import MemoryStore
@@ -35,7 +35,7 @@
 
 def test_a_long_pause_ends_with_the_return_of_the_store() -> None:
     async def test() -> None:
-        health = StoreHealth(Clock(HandClock()))
+        health = StoreHealth(Clock(ManualClock()))
         await health.record_failure()
         task = await curio.spawn(health.backoff, HOUR_MS)
         await curio.sleep(0)
@@ -80,8 +80,8 @@
 def test_each_answer_and_failure_of_the_store_is_noted() -> None:
     async def test() -> None:
         inner = MemoryStore()
-        health = StoreHealth(Clock(HandClock()))
-        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
+        health = StoreHealth(Clock(ManualClock()))
+        store = MonitoredStore(inner, health, StoreClock(Clock(ManualClock())))
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         for call in (
             lambda: store.commit(put, 1.0),
@@ -108,7 +108,7 @@
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
             time = StoreClock(Clock(lambda: 1.0))
-            store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
+            store = MonitoredStore(inner, StoreHealth(Clock(ManualClock())), time)
             assert time.now() is None
             arguments = {
                 "commit": (put, 1.0),
@@ -127,8 +127,8 @@
     async def test() -> None:
         inner = MemoryStore()
         inner.is_down = True
-        time = StoreClock(Clock(HandClock()))
-        store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
+        time = StoreClock(Clock(ManualClock()))
+        store = MonitoredStore(inner, StoreHealth(Clock(ManualClock())), time)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         await store.commit(put, 1.0)
         assert time.now() is None
@@ -137,7 +137,7 @@
 
 
 def test_an_answer_that_lay_unread_does_not_set_the_time_back() -> None:
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, asked_at_ms=time.steady_ms())
     now.now += 4.0
@@ -149,7 +149,7 @@
 
 def test_a_machine_that_was_suspended_knows_the_time_again() -> None:
     """Its steady clock stood still and the store's did not: the answer contradicts the bounds."""
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, asked_at_ms=time.steady_ms())
     now.now += 1.0
@@ -174,7 +174,7 @@
     zero_ms: float, calls: list[tuple[float, float, float, float]]
 ) -> None:
     """Whatever answers take to come and to be read, and whatever the clocks drift between them."""
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     store_ms = zero_ms
     for out_s, back_s, rest_s, drift in calls:
@@ -194,14 +194,14 @@
 
 def test_a_transaction_in_a_long_pause_is_repeated_at_once(monkeypatch: object) -> None:
     async def test() -> None:
-        monkeypatch.setattr(commit, "FIRST_PAUSE_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
+        monkeypatch.setattr(commit, "INITIAL_RETRY_DELAY_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
         inner = MemoryStore()
         inner.is_down = True
-        health = StoreHealth(Clock(HandClock()))
-        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
+        health = StoreHealth(Clock(ManualClock()))
+        store = MonitoredStore(inner, health, StoreClock(Clock(ManualClock())))
         committer = commit.Committer(store, health, lambda: 0.0)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
-        task = await curio.spawn(committer.settle, put, 2 * HOUR_MS)
+        task = await curio.spawn(committer.commit_until_resolved, put, 2 * HOUR_MS)
         while not health.is_unavailable:
             await curio.sleep(0)
         inner.is_down = False
@@ -214,24 +214,24 @@
 
 def test_output_of_running_items_is_saved_when_the_store_is_back(monkeypatch: object) -> None:
     async def test() -> None:
-        monkeypatch.setattr(checkpoint, "SAVE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(checkpoint, "SAVE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("j"), batch_route())
         job = node.jobs["j"]
         job.begin(job.items[0], "r1", 0.0)
-        assert job.take_event(job.items[0], 1, "word")
+        assert job.add_event(job.items[0], 1, "word")
 
         class OneJob:
             jobs = node.jobs
 
-            async def until_jobs(self) -> None:
+            async def wait_until_jobs(self) -> None:
                 return
 
         async def no_conflict(_job: JobRun) -> None:
             raise AssertionError("nobody else has changed the job")
 
-        health = StoreHealth(Clock(HandClock()))
+        health = StoreHealth(Clock(ManualClock()))
         await health.record_failure()
         saver = Checkpointer(OneJob(), node.committer, health, no_conflict)  # type: ignore[arg-type]
         task = await curio.spawn(saver.run, daemon=True)
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, pick, summarise
+from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, group_items, pick_items
 from cloverwalk.scheduling.fair_shares import MOST_AHEAD_MS, STEP_MS, FairShares
 from cloverwalk.scheduling.overload_order import OrderKey, is_hopeless, order_key
 
@@ -195,7 +195,7 @@
 def test_an_owner_runs_items_of_the_tenants_it_was_granted_slots_for_and_leaves_none_free(
     tenants: list[str], count: int, granted: dict[str, int]
 ) -> None:
-    picked = pick(tenants, count, granted)
+    picked = pick_items(tenants, count, granted)
     assert len(picked) == len(set(picked)) == min(count, len(tenants))
     if sum(granted.values()) <= count:
         for tenant, slots in granted.items():
@@ -206,7 +206,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 60_000), st.sampled_from("abc")), max_size=60))
 def test_many_groups_are_told_without_mixing_tenants(items: list[tuple[float, str]]) -> None:
-    groups = summarise(WaitingItem(due, True, "", 0.0, tenant=tenant) for due, tenant in items)
+    groups = group_items(WaitingItem(due, True, "", 0.0, tenant=tenant) for due, tenant in items)
     assert len(groups) <= MAX_GROUPS + 2
     for tenant in "abc":
         told = sum(one.items for one in groups if one.tenant == tenant)
--- a/tests/unit/test_item_order.py
+++ b/tests/unit/test_item_order.py
@@ -6,7 +6,7 @@
 from cloverwalk.jobs.item_time import ItemTimeEstimator
 from cloverwalk.jobs.records import JobItem
 from cloverwalk.jobs.run import ItemRun
-from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, summarise
+from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, group_items
 
 ITEMS = st.lists(
     st.tuples(
@@ -20,7 +20,7 @@
 def test_every_waiting_item_is_reported_earliest_due_first(
     items: list[tuple[float, bool, str, float]],
 ) -> None:
-    groups = summarise(WaitingItem(*item) for item in items)
+    groups = group_items(WaitingItem(*item) for item in items)
     assert sum(group.items for group in groups) == len(items)
     assert len(groups) <= MAX_GROUPS
     steps = [group.sort_key for group in groups]
