--- a/tests/serving/job_world.py
+++ b/tests/serving/job_world.py
@@ -24,7 +24,7 @@
 
 
 class ManualClock:
-    """A clock that advances a little with each reading, so that loops with a time limit end."""
+    """A clock that tests set; it advances by ``step_s`` with each reading, so that retries end."""
 
     def __init__(self, step_s: float = 0.01) -> None:
         self.now = 100.0
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -141,7 +141,7 @@
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         runner = world.nodes[0]._batch.runner
         assert (await world.hand_in("j")).status == 202
-        # As after a submission whose answer was lost: the record exists, and nobody runs the job.
+        # As after a submission whose answer was lost: the record exists, and no node runs the job.
         await runner.drop("j")
         await world.until_done("j", 3, node=1)
 
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("closed", [0, 1, 2, 3])
 def test_report_counts_an_order_completely_or_not_at_all(closed: int) -> None:
-    """However many of the preempted items have closed their connections."""
+    """This holds however many of the preempted items have closed their connections."""
 
     async def test(owner: OwnerWorld) -> None:
         owner.caller.max_immediate_closes = closed
