--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -155,7 +155,7 @@
 def test_refused_submission_is_never_stored(
     max_queued_tokens: int, course: Course, final_fault: CommitFault | None
 ) -> None:
-    """This holds whatever is lost, late, refused or changed between the attempts of a submission."""
+    """This holds whatever is lost, late, refused or changed between the attempts to submit."""
 
     async def main() -> None:
         store = InterferingStore()
