--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -304,13 +304,13 @@
         standbys = registry.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [node.node for node in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
-        assert assigner._heirs() == [
+        assert assigner._owner_candidates() == [
             heir_incarnation for heir_incarnation in heirs if not is_full(world, heir_incarnation)
         ]
         for node in world.nodes:
             node.link.utilization_percent = 99
         await world.run(1.5)
-        assert assigner._heirs() == heirs
+        assert assigner._owner_candidates() == heirs
 
     in_fleet(7, test)
 
--- a/tests/serving/test_replica_entries.py
+++ b/tests/serving/test_replica_entries.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock
+from job_world import ManualClock
 
 from cloverwalk.core import catalogue
 from cloverwalk.fleet.directory_sync import DirectorySync
@@ -70,7 +70,7 @@
     """The fleet state of a node, to which the test applies rows."""
 
     def __init__(self) -> None:
-        clock = HandClock(step_s=0.0)
+        clock = ManualClock(step_s=0.0)
         log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
         self.lines: list[int] = []
         log.write = lambda number, **_: self.lines.append(number)  # type: ignore[method-assign]
@@ -129,7 +129,7 @@
 def test_peers_remove_a_replica_whose_entry_becomes_invalid() -> None:
     """Updates from the coordinator remove the replica from the lists of peers and add it again."""
     state, peer = NodeState(), ReplicaDirectory()
-    clock = HandClock(step_s=0.0)
+    clock = ManualClock(step_s=0.0)
     log = ServingLog("n2", clock, os.open(os.devnull, os.O_WRONLY))
     sync = DirectorySync(peer, log, clock)
     state.read(2, [("r1", entry(), 1), ("r2", entry(), 2)])
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -10,7 +10,7 @@
 from cloverwalk.fleet.in_flight import InFlightTracker
 from cloverwalk.fleet.messages import NodeLoad, WaitingGroup
 from cloverwalk.gateway.configuration import ClientLimits, Configuration, Service
-from cloverwalk.jobs.waiting_items import pick
+from cloverwalk.jobs.waiting_items import pick_items
 from cloverwalk.scheduling.admission import MAX_QUEUE_WAIT_S, PlacementVerdict
 from cloverwalk.scheduling.features import Features
 from cloverwalk.scheduling.quotas import QuotaBounds
@@ -143,8 +143,8 @@
     assert grant_tokens == {"r1": 8_000, "r0": 500}
     sizes = [4_000, 3_000, 500]
     # The items due first do not fit into the memory of r0.
-    assert pick(["", "", ""], 1, {}, sizes, grant_tokens["r0"]) == [2]
-    assert pick(["", "", ""], 2, {}, sizes, grant_tokens["r1"]) == [0, 1]
+    assert pick_items(["", "", ""], 1, {}, sizes, grant_tokens["r0"]) == [2]
+    assert pick_items(["", "", ""], 2, {}, sizes, grant_tokens["r1"]) == [0, 1]
 
 
 def test_new_coordinator_counts_the_memory_use_of_the_previous_one() -> None:
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -6,7 +6,7 @@
 from fleet_world import FleetWorld, in_world
 from hypothesis import given
 from hypothesis import strategies as st
-from job_world import HandClock, OwnerNode, batch_route, exactly, submission
+from job_world import ManualClock, OwnerNode, batch_route, exactly, submission
 
 from cloverwalk.core.clock import Clock
 from cloverwalk.emulator.memory_store import MemoryStore
@@ -35,7 +35,7 @@
 
 def test_backoff_ends_when_the_store_recovers() -> None:
     async def test() -> None:
-        health = StoreHealth(Clock(HandClock()))
+        health = StoreHealth(Clock(ManualClock()))
         await health.record_failure()
         task = await curio.spawn(health.backoff, HOUR_MS)
         await curio.sleep(0)
@@ -80,8 +80,8 @@
 def test_each_store_answer_and_failure_updates_the_health() -> None:
     async def test() -> None:
         inner = MemoryStore()
-        health = StoreHealth(Clock(HandClock()))
-        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
+        health = StoreHealth(Clock(ManualClock()))
+        store = MonitoredStore(inner, health, StoreClock(Clock(ManualClock())))
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         for call in (
             lambda: store.commit(put, 1.0),
@@ -108,7 +108,7 @@
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
             time = StoreClock(Clock(lambda: 1.0))
-            store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
+            store = MonitoredStore(inner, StoreHealth(Clock(ManualClock())), time)
             assert time.now() is None
             arguments = {
                 "commit": (put, 1.0),
@@ -127,8 +127,8 @@
     async def test() -> None:
         inner = MemoryStore()
         inner.is_down = True
-        time = StoreClock(Clock(HandClock()))
-        store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
+        time = StoreClock(Clock(ManualClock()))
+        store = MonitoredStore(inner, StoreHealth(Clock(ManualClock())), time)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         await store.commit(put, 1.0)
         assert time.now() is None
@@ -137,7 +137,7 @@
 
 
 def test_an_answer_read_late_does_not_set_the_store_clock_back() -> None:
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 4.0
@@ -149,7 +149,7 @@
 
 def test_the_store_clock_recovers_after_a_machine_suspension() -> None:
     """The monotonic clock stopped during the suspension, so the answer contradicts the bounds."""
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
     now.now += 1.0
@@ -174,7 +174,7 @@
     zero_ms: float, calls: list[tuple[float, float, float, float]]
 ) -> None:
     """For any delay of answers, any delay in reading them, and any clock drift in between."""
-    now = HandClock(step_s=0.0)
+    now = ManualClock(step_s=0.0)
     time = StoreClock(Clock(now))
     store_ms = zero_ms
     for out_s, back_s, idle_s, drift in calls:
@@ -194,14 +194,14 @@
 
 def test_a_transaction_in_backoff_is_retried_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
-        monkeypatch.setattr(commit, "FIRST_PAUSE_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
+        monkeypatch.setattr(commit, "INITIAL_RETRY_DELAY_S", HOUR_MS / 1000)  # type: ignore[attr-defined]
         inner = MemoryStore()
         inner.is_down = True
-        health = StoreHealth(Clock(HandClock()))
-        store = MonitoredStore(inner, health, StoreClock(Clock(HandClock())))
+        health = StoreHealth(Clock(ManualClock()))
+        store = MonitoredStore(inner, health, StoreClock(Clock(ManualClock())))
         committer = commit.Committer(store, health, lambda: 0.0)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
-        task = await curio.spawn(committer.settle, put, 2 * HOUR_MS)
+        task = await curio.spawn(committer.commit_until_resolved, put, 2 * HOUR_MS)
         while not health.is_unavailable:
             await curio.sleep(0)
         inner.is_down = False
@@ -214,24 +214,24 @@
 
 def test_running_items_are_checkpointed_when_the_store_recovers(monkeypatch: object) -> None:
     async def test() -> None:
-        monkeypatch.setattr(checkpoint, "SAVE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(checkpoint, "SAVE_INTERVAL_MS", HOUR_MS)  # type: ignore[attr-defined]
         store = MemoryStore()
-        node = OwnerNode("n1", store, HandClock())
+        node = OwnerNode("n1", store, ManualClock())
         await node.submit(submission("j"), batch_route())
         job = node.jobs["j"]
         job.begin(job.items[0], "r1", 0.0)
-        assert job.take_event(job.items[0], 1, "word")
+        assert job.add_event(job.items[0], 1, "word")
 
         class OneJob:
             jobs = node.jobs
 
-            async def until_jobs(self) -> None:
+            async def wait_until_jobs(self) -> None:
                 return
 
         async def no_conflict(_job: JobRun) -> None:
             raise AssertionError("no other node has changed the job")
 
-        health = StoreHealth(Clock(HandClock()))
+        health = StoreHealth(Clock(ManualClock()))
         await health.record_failure()
         saver = Checkpointer(OneJob(), node.committer, health, no_conflict)  # type: ignore[arg-type]
         task = await curio.spawn(saver.run, daemon=True)
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, pick, summarise
+from cloverwalk.jobs.waiting_items import MAX_GROUPS, WaitingItem, group_items, pick_items
 from cloverwalk.scheduling.fair_shares import MAX_AHEAD_MS, STEP_MS, FairShares
 from cloverwalk.scheduling.overload_order import OrderKey, order_key, will_miss_deadline
 
@@ -207,7 +207,7 @@
 def test_owner_runs_items_of_the_granted_tenants_and_leaves_no_slot_free(
     tenants: list[str], count: int, granted: dict[str, int]
 ) -> None:
-    picked = pick(tenants, count, granted)
+    picked = pick_items(tenants, count, granted)
     assert len(picked) == len(set(picked)) == min(count, len(tenants))
     if sum(granted.values()) <= count:
         for tenant, slots in granted.items():
@@ -218,7 +218,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 60_000), st.sampled_from("abc")), max_size=60))
 def test_summarised_groups_do_not_mix_tenants(items: list[tuple[float, str]]) -> None:
-    groups = summarise(WaitingItem(due, True, "", 0.0, tenant=tenant) for due, tenant in items)
+    groups = group_items(WaitingItem(due, True, "", 0.0, tenant=tenant) for due, tenant in items)
     assert len(groups) <= MAX_GROUPS + 2
     for tenant in "abc":
         grouped_items = sum(group.items for group in groups if group.tenant == tenant)
