--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -14,13 +14,13 @@
 from cloverwalk.gateway.reply import Reply
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-FIRST_EVENT_SILENCE_S = 1.2
+FIRST_EVENT_TIMEOUT_S = 1.2
 """A stream of a route that may be resumed moves on after this time without an answer."""
 
 EVENT_TIMEOUT_S = 0.7
 """The same between events; noticed up to twice as late, since a timeout covers several events."""
 
-LAST_ATTEMPT_SILENCE_S = 3600.0
+LAST_ATTEMPT_TIMEOUT_S = 3600.0
 """The same where no other replica may be asked: the request's own time ends it much sooner."""
 
 MAX_BUFFERED_ANSWER_BYTES = 1_048_576
@@ -64,13 +64,13 @@
             parts.append(data)
             size += len(data)
             if size > MAX_BUFFERED_ANSWER_BYTES:
-                await self._relay_long(connection, head, parts, reply)
+                await self._relay_unbuffered(connection, head, parts, reply)
                 break
         else:
             headers = self._codec.headers_to_client(head.headers)
             await reply.respond(head.status, headers, b"".join(parts))
 
-    async def _relay_long(
+    async def _relay_unbuffered(
         self, connection: ReplicaConnection, head: AnswerHead, parts: list[bytes], reply: Reply
     ) -> None:
         headers = self._codec.headers_to_client(head.headers)
@@ -97,20 +97,20 @@
         order = EventOrder(progress.last_event_id)
         if not reply.has_begun:
             await reply.begin(head.status, self._codec.headers_to_client(head.headers), None)
-        heard_at = self._clock()
+        last_received_at = self._clock()
         is_open = True
         while is_open:
-            limit_s = self._silence_limit_s(progress)
+            timeout_s = self._event_timeout_s(progress)
             try:
-                async with curio.timeout_after(self._rest_s(limit_s, heard_at)):
+                async with curio.timeout_after(self._remaining_s(timeout_s, last_received_at)):
                     # One timeout covers many events: it only asks when the last of them came.
                     while (data := await connection.read_body()) is not None:
-                        heard_at = self._clock()
-                        if not self._pass_on(request, progress, splitter, order, data, reply):
+                        last_received_at = self._clock()
+                        if not self._relay_events(request, progress, splitter, order, data, reply):
                             break
                     is_open = data is not None
             except curio.TaskTimeout as error:
-                if self._clock() - heard_at >= self._silence_limit_s(progress):
+                if self._clock() - last_received_at >= self._event_timeout_s(progress):
                     self._directory.suspect(progress.last_replica, self._clock())
                     raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
                 continue
@@ -123,7 +123,7 @@
             raise ReplicaError("the stream ended within an event", True, "answer_cut")
         await reply.finish()
 
-    def _pass_on(
+    def _relay_events(
         self,
         request: ClientRequest,
         progress: RequestProgress,
@@ -137,25 +137,25 @@
             events = splitter.feed(data)
         except ValueError as error:
             raise ReplicaError(str(error), True, "invalid_stream") from error
-        fresh: list[bytes] = []
+        raw_events: list[bytes] = []
         try:
             for event in events:
                 self._check(progress, order, event)
-                fresh.append(event.raw)
+                raw_events.append(event.raw)
         except ValueError as error:
             raise ReplicaError(str(error), True, "invalid_stream") from error
         finally:
-            is_taken = not fresh or self._write_events(request, progress, fresh, reply)
+            was_read = not raw_events or self._write_events(request, progress, raw_events, reply)
             progress.last_event_id = order.last
-        progress.events += len(fresh)
-        progress.was_read_late |= not is_taken
-        return is_taken
+        progress.events += len(raw_events)
+        progress.was_client_slow |= not was_read
+        return was_read
 
     def _write_events(
         self,
         request: ClientRequest,
         progress: RequestProgress,
-        fresh: list[bytes],
+        raw_events: list[bytes],
         reply: Reply,
     ) -> bool:
         if progress.first_event_at is None:
@@ -163,18 +163,18 @@
             self._metrics.first_event(
                 progress.route.name, progress.first_event_at - request.received_at
             )
-        return reply.write_now(b"".join(fresh))
+        return reply.write_now(b"".join(raw_events))
 
-    def _silence_limit_s(self, progress: RequestProgress) -> float:
+    def _event_timeout_s(self, progress: RequestProgress) -> float:
         """Return after how long without an event the stream moves on."""
-        if not self._may_move(progress):
-            return LAST_ATTEMPT_SILENCE_S
-        return FIRST_EVENT_SILENCE_S if progress.first_event_at is None else EVENT_TIMEOUT_S
+        if not self._may_resume_elsewhere(progress):
+            return LAST_ATTEMPT_TIMEOUT_S
+        return FIRST_EVENT_TIMEOUT_S if progress.first_event_at is None else EVENT_TIMEOUT_S
 
-    def _rest_s(self, limit_s: float, heard_at: float) -> float:
-        return max(0.0, heard_at + limit_s - self._clock())
+    def _remaining_s(self, timeout_s: float, last_received_at: float) -> float:
+        return max(0.0, last_received_at + timeout_s - self._clock())
 
-    def _may_move(self, progress: RequestProgress) -> bool:
+    def _may_resume_elsewhere(self, progress: RequestProgress) -> bool:
         return progress.route.is_resumable and progress.has_attempt_left
 
     def _check(self, progress: RequestProgress, order: EventOrder, event: StreamEvent) -> None:
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -107,12 +107,14 @@
 
         A job keeps its route when a longer prefix is added for requests of another kind.
         """
-        batch = [one for one in self._routes_of(host, path) if one.kind is RouteKind.BATCH]
+        batch = [route for route in self._routes_of(host, path) if route.kind is RouteKind.BATCH]
         return max(batch, key=_prefix_length, default=None)
 
     def _routes_of(self, host: str, path: str) -> list[Route]:
         name = host.rsplit(":", 1)[0].lower()
-        return [one for one in self.routes if one.host == name and path.startswith(one.prefix)]
+        return [
+            route for route in self.routes if route.host == name and path.startswith(route.prefix)
+        ]
 
 
 def _prefix_length(route: Route) -> int:
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -24,23 +24,23 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-BROKEN_OFF = frozenset({"reset", "no_answer", "answer_cut", "not_http", "invalid_stream"})
+POSSIBLE_CRASH_CODES = frozenset({"reset", "no_answer", "answer_cut", "not_http", "invalid_stream"})
 """Codes of failures that a replica's end may look like."""
 
-LOOK_AFTER_S = (0.0, 0.03, 0.07)
+PROBE_DELAYS_S = (0.0, 0.03, 0.07)
 """Pauses before each look at the address: a process may close its connections a moment before the
 port. What breaks off later is looked after anew: it must not be taken for the cause of an end that
 comes just by chance. A replica's next instance comes seconds later (2 on the platform)."""
 
-DELIVERED_S = 0.02
+DELIVERY_THRESHOLD_S = 0.02
 """A kept connection whose replica has ended breaks one round trip after the next request is sent, 1
 to 2 ms between zones. One that breaks later than this had reached a living replica."""
 
-SETTLE_S = 0.05
+FIRST_PROBE_TIMEOUT_S = 0.05
 """How long the next attempt of a request waits for the first look. It takes one round trip, 1 to
 2 ms between zones; without this wait the next replica gets the request before the crash counts."""
 
-MOST_LOGGED = 32
+MAX_LOGGED_REQUESTS = 32
 """Requests that one line names; a replica runs 6 to 17 at once."""
 
 
@@ -56,14 +56,14 @@
 
 
 @attrs.define
-class _Look:
-    """Looks at one replica's address, for requests that broke off together."""
+class _Probe:
+    """Probes of one replica's address, for requests that broke off together."""
 
-    broken_at: float
-    requests: dict[str, str] = attrs.Factory(dict)
+    failed_at: float
+    content_by_request: dict[str, str] = attrs.Factory(dict)
     """Contents by the ids of the requests that were there."""
 
-    first: curio.Event = attrs.Factory(curio.Event)
+    first_result: curio.Event = attrs.Factory(curio.Event)
     """Set once the address was looked at."""
 
 
@@ -85,11 +85,11 @@
         self._log = log
         self._metrics = metrics
         self._clock = clock
-        self._looks: list[_Look] = []
-        self._beginning: dict[str, _Look] = {}
+        self._probes: list[_Probe] = []
+        self._pending_probes: dict[str, _Probe] = {}
         """Those that have not looked yet, by replica: others may break off at the same moment."""
 
-        self.on_crash: Callable[[], Awaitable[None]] = _nothing
+        self.on_crash: Callable[[], Awaitable[None]] = _do_nothing
         """Called when the ledger has news that the coordinator should hear at once."""
 
     # --- what happens to requests ---
@@ -104,27 +104,27 @@
     ) -> None:
         """An attempt that may have run failed at a replica."""
         if code == RESTARTED:
-            await self._note_restarted(request_id, content, replica, delivery)
+            await self._record_restart(request_id, content, replica, delivery)
             return
-        if code not in BROKEN_OFF or self._directory.find(replica.replica_id) is None:
+        if code not in POSSIBLE_CRASH_CODES or self._directory.find(replica.replica_id) is None:
             return
-        if delivery is None or not self._has_arrived(delivery):
+        if delivery is None or not self._was_delivered(delivery):
             return
-        look = self._beginning.get(replica.replica_id)
-        if look is None:
-            look = self._beginning[replica.replica_id] = _Look(self._clock())
-            self._looks.append(look)
-            await curio.spawn(self._look, replica, look, daemon=True)
-        look.requests[request_id] = content
-
-    async def _note_restarted(
+        probe = self._pending_probes.get(replica.replica_id)
+        if probe is None:
+            probe = self._pending_probes[replica.replica_id] = _Probe(self._clock())
+            self._probes.append(probe)
+            await curio.spawn(self._run_probe, replica, probe, daemon=True)
+        probe.content_by_request[request_id] = content
+
+    async def _record_restart(
         self, request_id: str, content: str, replica: Replica, delivery: Delivery | None
     ) -> None:
         """A request was at a start of a replica that has ended."""
         # Behind a cut link nothing tells that a request reached the far end of a kept connection.
         if delivery is None or not delivery.is_new_connection:
             return
-        if self._directory.has_left(replica):
+        if self._directory.was_draining(replica):
             return
         if self.ledger.was_answered_since(content, delivery.sent_at):
             return
@@ -141,10 +141,10 @@
             self.record_contained(content, "seen")
         await self.on_crash()
 
-    def _has_arrived(self, delivery: Delivery) -> bool:
+    def _was_delivered(self, delivery: Delivery) -> bool:
         """Whether a request whose connection just broke had reached a living replica."""
-        took_s = self._clock() - delivery.sent_at
-        return delivery.is_new_connection or took_s >= DELIVERED_S
+        elapsed_s = self._clock() - delivery.sent_at
+        return delivery.is_new_connection or elapsed_s >= DELIVERY_THRESHOLD_S
 
     def is_crash_suspect(self, content: str) -> bool:
         """Whether replicas have ended under a request: it is sent over a new connection."""
@@ -179,50 +179,50 @@
         """Whether a request must not be sent, not even as a trial."""
         return self.ledger.containment(content, self._clock()) is Containment.CONTAINED
 
-    async def settle(self, content: str) -> None:
+    async def wait_for_first_probe(self, content: str) -> None:
         """Wait a moment until it is known whether replicas that a request was at have ended."""
-        looks = [one for one in self._looks if content in one.requests.values()]
-        async with curio.ignore_after(SETTLE_S):
-            for look in looks:
-                await look.first.wait()
+        probes = [probe for probe in self._probes if content in probe.content_by_request.values()]
+        async with curio.ignore_after(FIRST_PROBE_TIMEOUT_S):
+            for probe in probes:
+                await probe.first_result.wait()
 
     # --- looks ---
 
-    async def _look(self, replica: Replica, look: _Look) -> None:
-        found = Reachability.SILENT
+    async def _run_probe(self, replica: Replica, probe: _Probe) -> None:
+        reachability = Reachability.SILENT
         try:
-            for pause_s in LOOK_AFTER_S:
-                await curio.sleep(pause_s)
-                if self._beginning.get(replica.replica_id) is look:
-                    del self._beginning[replica.replica_id]
-                found = await self._pool.probe((replica.host, replica.port))
-                if found is Reachability.REFUSES:
+            for delay_s in PROBE_DELAYS_S:
+                await curio.sleep(delay_s)
+                if self._pending_probes.get(replica.replica_id) is probe:
+                    del self._pending_probes[replica.replica_id]
+                reachability = await self._pool.probe((replica.host, replica.port))
+                if reachability is Reachability.REFUSES:
                     break
-                await look.first.set()
+                await probe.first_result.set()
         finally:
-            self._looks.remove(look)
-            self._note_found(replica, look, found)
-            await look.first.set()
-        if found is Reachability.REFUSES:
+            self._probes.remove(probe)
+            self._record_result(replica, probe, reachability)
+            await probe.first_result.set()
+        if reachability is Reachability.REFUSES:
             await self.on_crash()
 
-    def _note_found(self, replica: Replica, look: _Look, found: Reachability) -> None:
-        requests = list(look.requests)[:MOST_LOGGED]
-        self._metrics.replica_broke_off(found.value)
+    def _record_result(self, replica: Replica, probe: _Probe, reachability: Reachability) -> None:
+        request_ids = list(probe.content_by_request)[:MAX_LOGGED_REQUESTS]
+        self._metrics.replica_broke_off(reachability.value)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
-            found=found.value,
-            looked_ms=round((self._clock() - look.broken_at) * 1000, 1),
-            requests=requests,
-            contents=[look.requests[one] for one in requests],
+            found=reachability.value,
+            looked_ms=round((self._clock() - probe.failed_at) * 1000, 1),
+            requests=request_ids,
+            contents=[probe.content_by_request[request_id] for request_id in request_ids],
         )
-        if found is not Reachability.REFUSES:
+        if reachability is not Reachability.REFUSES:
             return
-        for content in sorted(set(look.requests.values())):
-            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):
+        for content in sorted(set(probe.content_by_request.values())):
+            if self.ledger.note_crash(content, replica.incarnation_id, probe.failed_at):
                 self.record_contained(content, "seen")
 
 
-async def _nothing() -> None:
+async def _do_nothing() -> None:
     return
--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -34,7 +34,7 @@
 REMEMBERED_S = 3600.0
 """A case is forgotten so long after its last crash: operators have a mended version in use then."""
 
-CLEARED_S = 60.0
+ANSWER_TTL_S = 60.0
 """Answers are known for so long, so that crashes before them count nowhere."""
 
 TOLD_S = 2.5
@@ -83,14 +83,14 @@
 
 
 @attrs.define
-class _Case:
+class _LedgerEntry:
     """A request under which a replica has ended since its last whole answer."""
 
     crashed_at: dict[str, float] = attrs.Factory(dict)
     """When replicas ended under it, by instance."""
 
-    trial_until: float = float("-inf")
-    seen_here_at: float = float("-inf")
+    trial_ends_at: float = float("-inf")
+    seen_locally_at: float = float("-inf")
     """When this node itself last saw a crash."""
 
     @property
@@ -105,16 +105,16 @@
     def is_contained(self) -> bool:
         return self.crashes >= CONTAINED_FROM
 
-    def trial_at(self) -> float:
-        step = min(self.crashes - CONTAINED_FROM, len(TRIAL_PAUSES_S) - 1)
-        return self.last_crash_at + TRIAL_PAUSES_S[step]
+    def trial_due_at(self) -> float:
+        index = min(self.crashes - CONTAINED_FROM, len(TRIAL_PAUSES_S) - 1)
+        return self.last_crash_at + TRIAL_PAUSES_S[index]
 
 
 class CrashLedger:
     """Cases by content. Times are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self._cases: dict[str, _Case] = {}
+        self._cases: dict[str, _LedgerEntry] = {}
         self._answered_at: dict[str, float] = {}
         """The last whole answers, by content; the oldest first."""
 
@@ -149,9 +149,9 @@
         ``replica_id`` names one start of a replica: its next one counts for itself.
         """
         is_contained = self._add_crashes(content, {replica_id: at})
-        case = self._cases.get(content)
-        if case is not None:
-            case.seen_here_at = max(case.seen_here_at, at)
+        entry = self._cases.get(content)
+        if entry is not None:
+            entry.seen_locally_at = max(entry.seen_locally_at, at)
         return is_contained
 
     def note_answer(self, content: str, at: float) -> bool:
@@ -173,39 +173,41 @@
 
     def _add_crashes(self, content: str, crashed_at: dict[str, float]) -> bool:
         answered_at = self._answered_at.get(content, float("-inf"))
-        fresh = {key: at for key, at in crashed_at.items() if at > answered_at}
-        if len(fresh) < len(crashed_at):
+        new_crashes = {key: at for key, at in crashed_at.items() if at > answered_at}
+        if len(new_crashes) < len(crashed_at):
             self._cleared_at[content] = answered_at
             self.stale_record_count += 1
-        if not fresh:
+        if not new_crashes:
             return False
-        case = self._cases.setdefault(content, _Case())
-        was_contained, before = case.is_contained, set(case.crashed_at)
-        for replica_id, at in fresh.items():
-            case.crashed_at[replica_id] = max(at, case.crashed_at.get(replica_id, at))
-        newest = sorted(case.crashed_at.items(), key=lambda entry: (entry[1], entry[0]))
-        case.crashed_at = dict(newest[-MOST_INSTANCES:])
-        if set(case.crashed_at) != before:
-            case.trial_until = float("-inf")
-            self._note_change(case.crashes)
-            self._evict(case.crashes)
-        return case.is_contained and not was_contained
+        entry = self._cases.setdefault(content, _LedgerEntry())
+        was_contained, previous = entry.is_contained, set(entry.crashed_at)
+        for replica_id, at in new_crashes.items():
+            entry.crashed_at[replica_id] = max(at, entry.crashed_at.get(replica_id, at))
+        newest = sorted(entry.crashed_at.items(), key=lambda item: (item[1], item[0]))
+        entry.crashed_at = dict(newest[-MOST_INSTANCES:])
+        if set(entry.crashed_at) != previous:
+            entry.trial_ends_at = float("-inf")
+            self._record_change(entry.crashes)
+            self._evict(entry.crashes)
+        return entry.is_contained and not was_contained
 
     def _clear(self, content: str, at: float) -> bool:
         """Drop the crashes before an answer; return whether that ends the containment."""
-        case = self._cases.get(content)
-        if case is None or min(case.crashed_at.values()) > at:
+        entry = self._cases.get(content)
+        if entry is None or min(entry.crashed_at.values()) > at:
             return False
-        was_contained = case.is_contained
-        self._note_change(case.crashes)
+        was_contained = entry.is_contained
+        self._record_change(entry.crashes)
         self._cleared_at[content] = at
-        case.crashed_at = {key: one for key, one in case.crashed_at.items() if one > at}
-        case.trial_until = float("-inf")
-        if not case.crashed_at:
+        entry.crashed_at = {
+            key: crashed_at for key, crashed_at in entry.crashed_at.items() if crashed_at > at
+        }
+        entry.trial_ends_at = float("-inf")
+        if not entry.crashed_at:
             del self._cases[content]
-        return was_contained and not case.is_contained
+        return was_contained and not entry.is_contained
 
-    def _note_change(self, crashes: int) -> None:
+    def _record_change(self, crashes: int) -> None:
         if crashes >= SHARED_FROM:
             self._digest = None
             self.revision += 1
@@ -214,8 +216,8 @@
 
     def crashes(self, content: str) -> int:
         """Return how many replicas ended under a request since its last answer."""
-        case = self._cases.get(content)
-        return 0 if case is None else case.crashes
+        entry = self._cases.get(content)
+        return 0 if entry is None else entry.crashes
 
     def containment(self, content: str, now: float) -> Containment:
         """Return whether a request may be sent.
@@ -228,10 +230,10 @@
         >>> ledger.note_answer("c", 8.5), ledger.containment("c", 8.6).value
         (True, 'free')
         """
-        case = self._cases.get(content)
-        if case is None or not case.is_contained:
+        entry = self._cases.get(content)
+        if entry is None or not entry.is_contained:
             return Containment.FREE
-        if now < max(case.trial_at(), case.trial_until):
+        if now < max(entry.trial_due_at(), entry.trial_ends_at):
             return Containment.CONTAINED
         return Containment.TRIAL_DUE
 
@@ -239,13 +241,13 @@
         """Whether a request goes to a replica now; a trial that is due begins with the answer."""
         containment = self.containment(content, now)
         if containment is Containment.TRIAL_DUE and self.grants_trials:
-            self._cases[content].trial_until = now + TRIAL_LIMIT_S
+            self._cases[content].trial_ends_at = now + TRIAL_LIMIT_S
             return True
         return containment is Containment.FREE
 
     def contained(self) -> dict[str, int]:
         """Return the contained requests with the number of replicas that ended, by content."""
-        return {key: one.crashes for key, one in self._cases.items() if one.is_contained}
+        return {key: entry.crashes for key, entry in self._cases.items() if entry.is_contained}
 
     # --- what nodes tell each other ---
 
@@ -254,67 +256,69 @@
         """What all nodes should know, in 48 bits; 0 where there is nothing."""
         if self._digest is None:
             shared = {key: sorted(self._cases[key].crashed_at) for key in self._shared()}
-            described = repr(sorted(shared.items())).encode()
-            self._digest = xxhash.xxh64_intdigest(described) >> 16 if shared else 0
+            text = repr(sorted(shared.items())).encode()
+            self._digest = xxhash.xxh64_intdigest(text) >> 16 if shared else 0
         return self._digest
 
     def _shared(self) -> list[str]:
-        return [key for key, one in self._cases.items() if one.crashes >= SHARED_FROM]
+        return [key for key, entry in self._cases.items() if entry.crashes >= SHARED_FROM]
 
     def shared_records(self, now: float) -> list[CrashRecord]:
         """Return what all nodes should know, and what was cleared lately."""
-        return self._copies({*self._shared(), *self._cleared_at}, now)
+        return self._records({*self._shared(), *self._cleared_at}, now)
 
     def local_records(self, now: float) -> list[CrashRecord]:
         """Return what this node itself has seen lately, and cases that it knows to be wrong."""
-        seen = {key for key, one in self._cases.items() if now - one.seen_here_at < TOLD_S}
-        seen |= {key for key, at in self._cleared_at.items() if now - at < TOLD_S}
-        return self._copies(seen, now)
+        contents = {
+            key for key, entry in self._cases.items() if now - entry.seen_locally_at < TOLD_S
+        }
+        contents |= {key for key, at in self._cleared_at.items() if now - at < TOLD_S}
+        return self._records(contents, now)
 
-    def _copies(self, contents: set[str], now: float) -> list[CrashRecord]:
+    def _records(self, contents: set[str], now: float) -> list[CrashRecord]:
         """Return cases as they are told: those with most crashes, and of these the newest."""
-        copies = [self.record_of(content, now) for content in sorted(contents)]
-        copies.sort(key=lambda one: (-len(one.crash_ages_ms), one.newest_age_ms))
-        return copies[:MAX_SHARED_RECORDS]
+        records = [self.record_of(content, now) for content in sorted(contents)]
+        records.sort(key=lambda record: (-len(record.crash_ages_ms), record.newest_age_ms))
+        return records[:MAX_SHARED_RECORDS]
 
     def record_of(self, content: str, now: float) -> CrashRecord:
         """Return a case as it is told; one without crashes where there is none."""
-        case = self._cases.get(content, _Case())
-        ages = {key: _age_ms(at, now) for key, at in case.crashed_at.items()}
+        entry = self._cases.get(content, _LedgerEntry())
+        ages = {key: _age_ms(at, now) for key, at in entry.crashed_at.items()}
         answered_at = self._answered_at.get(content)
         return CrashRecord(
             content, ages, None if answered_at is None else _age_ms(answered_at, now)
         )
 
-    def merge(self, copy: CrashRecord, now: float) -> bool:
+    def merge(self, record: CrashRecord, now: float) -> bool:
         """Take what another node or the store knows; return whether it contains the request now.
 
         Raises InvalidCrashRecordError for a copy that makes no sense; nothing is taken from it.
         """
-        _check(copy)
-        if copy.answered_age_ms is not None:
-            self.note_answer(copy.content_hash, now - copy.answered_age_ms / 1000)
+        _check_record(record)
+        if record.answered_age_ms is not None:
+            self.note_answer(record.content_hash, now - record.answered_age_ms / 1000)
         crashed_at = {
             replica_id: now - age_ms / 1000
-            for replica_id, age_ms in copy.crash_ages_ms.items()
+            for replica_id, age_ms in record.crash_ages_ms.items()
             if age_ms < REMEMBERED_S * 1000
         }
-        return self._add_crashes(copy.content_hash, crashed_at)
+        return self._add_crashes(record.content_hash, crashed_at)
 
     # --- bounds ---
 
     def expire(self, now: float) -> list[str]:
         """Forget what is old; return the requests that were contained."""
-        for known in (self._answered_at, self._cleared_at):
-            for content in [key for key, at in known.items() if now - at >= CLEARED_S]:
-                del known[content]
+        for times in (self._answered_at, self._cleared_at):
+            for content in [key for key, at in times.items() if now - at >= ANSWER_TTL_S]:
+                del times[content]
         ended: list[str] = []
-        for content, case in list(self._cases.items()):
-            if now < case.last_crash_at + REMEMBERED_S:
+        for content, entry in list(self._cases.items()):
+            if now < entry.last_crash_at + REMEMBERED_S:
                 continue
             del self._cases[content]
-            self._note_change(case.crashes)
-            if case.is_contained:
+            self._record_change(entry.crashes)
+            if entry.is_contained:
                 ended.append(content)
         return ended
 
@@ -322,28 +326,30 @@
         """Keep the bounds after a case got to so many crashes."""
         if len(self._cases) > MOST_CASES:
             # A part at once: to sort all of them takes milliseconds.
-            self._keep(MOST_CASES * 9 // 10, list(self._cases))
+            self._evict_down_to(MOST_CASES * 9 // 10, list(self._cases))
         if crashes >= SHARED_FROM:
-            self._keep(MAX_SHARED_RECORDS, self._shared())
+            self._evict_down_to(MAX_SHARED_RECORDS, self._shared())
 
-    def _keep(self, most: int, among: list[str]) -> None:
-        if len(among) <= most:
+    def _evict_down_to(self, max_count: int, contents: list[str]) -> None:
+        if len(contents) <= max_count:
             return
-        cases = self._cases
-        among.sort(key=lambda content: (cases[content].crashes, cases[content].last_crash_at))
-        for content in among[: len(among) - most]:
-            self._note_change(cases.pop(content).crashes)
+        entries = self._cases
+        contents.sort(
+            key=lambda content: (entries[content].crashes, entries[content].last_crash_at)
+        )
+        for content in contents[: len(contents) - max_count]:
+            self._record_change(entries.pop(content).crashes)
 
 
 def _age_ms(at: float, now: float) -> int:
     return max(0, round((now - at) * 1000))
 
 
-def _check(copy: CrashRecord) -> None:
-    if len(copy.content_hash) != CONTENT_CHARACTERS:
+def _check_record(record: CrashRecord) -> None:
+    if len(record.content_hash) != CONTENT_CHARACTERS:
         raise InvalidCrashRecordError("the content has another form")
-    if len(copy.crash_ages_ms) > MOST_INSTANCES:
-        raise InvalidCrashRecordError(f"{len(copy.crash_ages_ms)} replicas ended")
-    ages = [*copy.crash_ages_ms.values(), copy.answered_age_ms or 0]
+    if len(record.crash_ages_ms) > MOST_INSTANCES:
+        raise InvalidCrashRecordError(f"{len(record.crash_ages_ms)} replicas ended")
+    ages = [*record.crash_ages_ms.values(), record.answered_age_ms or 0]
     if min(ages) < 0:
         raise InvalidCrashRecordError("it is of the future")
--- a/src/cloverwalk/gateway/lateness_tracker.py
+++ b/src/cloverwalk/gateway/lateness_tracker.py
@@ -7,14 +7,14 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 
-class LateWatch:
+class LatenessTracker:
     """Counts late requests by cause, against what this node has seen of their routes."""
 
     def __init__(self, metrics: ServingMetrics) -> None:
         self._metrics = metrics
-        self._usual = ServiceTimes()
+        self._service_times = ServiceTimes()
 
-    def note(self, request: ClientRequest, progress: RequestProgress) -> str | None:
+    def record(self, request: ClientRequest, progress: RequestProgress) -> str | None:
         """Return why a request's first event was late; None for one in time or without any."""
         first_at, sent_at = progress.first_event_at, progress.sent_at
         if first_at is None or sent_at is None:
@@ -27,14 +27,14 @@
                 (first_at - request.received_at) * 1000,
                 (sent_at - request.received_at) * 1000,
                 progress.expected_wait_ms,
-                self._usual.first_event_ms(route.name),
+                self._service_times.first_event_ms(route.name),
                 progress.was_queued,
                 failures,
             )
         )
         if cause is None:
             if not failures and progress.expected_wait_ms == 0:
-                self._usual.record_start(route.name, (first_at - sent_at) * 1000)
+                self._service_times.record_start(route.name, (first_at - sent_at) * 1000)
             return None
         self._metrics.request_late(route.name, cause.value)
         return cause.value
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -12,7 +12,7 @@
 """Share of the machine's memory for what is held. Bodies stand there up to three times while they
 are decoded and sent on, beside a program of about 50 MB: of 160 MB, the rest."""
 
-HAND_IN_SHARE = 0.75
+JOB_SHARE = 0.75
 """Share of that for jobs and their hand-ins: online requests never wait behind batch."""
 
 BODY_COPIES = 2
@@ -32,25 +32,25 @@
         ...
 
     @property
-    def took_at(self) -> float:
+    def last_read_at(self) -> float:
         """When it last took anything."""
         ...
 
-    def give_up(self) -> None:
+    def drop(self) -> None:
         """Close its connection and drop what waits for it, at once."""
         ...
 
 
 @attrs.define
-class _Counted:
+class _CountedReader:
     """A reader, and what is counted for it."""
 
     reader: Reader
-    bytes: int = 0
+    counted_bytes: int = 0
 
 
 @attrs.define
-class GivenUp:
+class DroppedReaders:
     """Clients that were given up since they were last told."""
 
     count: int = 0
@@ -75,77 +75,75 @@
         """What was sent to clients since the start."""
 
         self.dropped_readers_total = 0
-        self._given_up = GivenUp()
-        self._readers: dict[int, _Counted] = {}
+        self._dropped = DroppedReaders()
+        self._readers: dict[int, _CountedReader] = {}
 
     @property
     def total_bytes(self) -> int:
         """All that is held."""
         return self.answers + self.job_bytes + self.bodies * BODY_COPIES
 
-    def has_room(self, size: int, now: float) -> bool:
+    def has_capacity_for_body(self, size: int, now: float) -> bool:
         """Whether a body may be read; slow readers make room for it."""
         needed = size * BODY_COPIES
-        if self.limit and self._counted - self.answers + needed > self.limit:
+        if self.limit and self._counted_bytes - self.answers + needed > self.limit:
             # It would not fit without any reader either.
             return False
-        self._make_room(needed, now)
+        self._drop_slow_readers(needed, now)
         return self._fits(needed)
 
     def has_capacity_for_job(self, size: int) -> bool:
         """Whether a job whose bodies have been read may be taken."""
-        return not self.limit or self.job_bytes + size <= HAND_IN_SHARE * self.limit
+        return not self.limit or self.job_bytes + size <= JOB_SHARE * self.limit
 
     def note_waiting(self, reader: Reader, now: float) -> None:
         """More waits for a client; slow ones are given up where it is too much."""
-        self._count(self._readers.setdefault(id(reader), _Counted(reader)))
-        self._make_room(0, now)
+        self._recount(self._readers.setdefault(id(reader), _CountedReader(reader)))
+        self._drop_slow_readers(0, now)
 
-    def note_taken(self, reader: Reader) -> None:
+    def record_read(self, reader: Reader) -> None:
         """A client has taken some of what waits for it."""
         if (counted := self._readers.get(id(reader))) is not None:
-            self._count(counted)
+            self._recount(counted)
 
-    def forget(self, reader: Reader) -> None:
+    def remove(self, reader: Reader) -> None:
         """Nothing waits for a client any more."""
         if (counted := self._readers.pop(id(reader), None)) is not None:
-            self.answers -= counted.bytes
+            self.answers -= counted.counted_bytes
 
-    def take_dropped_readers(self) -> GivenUp:
+    def take_dropped_readers(self) -> DroppedReaders:
         """Return the clients that were given up since the last call."""
-        taken, self._given_up = self._given_up, GivenUp()
-        return taken
+        dropped, self._dropped = self._dropped, DroppedReaders()
+        return dropped
 
-    def note_given_up(self, reader: Reader, now: float) -> None:
+    def record_dropped(self, reader: Reader, now: float) -> None:
         """A client was given up."""
         self.dropped_readers_total += 1
-        told = self._given_up
-        told.count += 1
-        told.max_bytes = max(told.max_bytes, reader.waiting_bytes)
-        told.max_stalled_s = max(told.max_stalled_s, now - reader.took_at)
+        dropped = self._dropped
+        dropped.count += 1
+        dropped.max_bytes = max(dropped.max_bytes, reader.waiting_bytes)
+        dropped.max_stalled_s = max(dropped.max_stalled_s, now - reader.last_read_at)
 
-    def _count(self, counted: _Counted) -> None:
+    def _recount(self, counted: _CountedReader) -> None:
         size = counted.reader.waiting_bytes
-        self.answers += size - counted.bytes
-        counted.bytes = size
+        self.answers += size - counted.counted_bytes
+        counted.counted_bytes = size
 
     def _fits(self, needed: int) -> bool:
-        return not self.limit or self._counted + needed <= self.limit
+        return not self.limit or self._counted_bytes + needed <= self.limit
 
     @property
-    def _counted(self) -> int:
+    def _counted_bytes(self) -> int:
         """What leaves no room: of jobs their share, beyond which taken over ones may grow."""
-        return (
-            self.total_bytes - self.job_bytes + min(self.job_bytes, int(HAND_IN_SHARE * self.limit))
-        )
+        return self.total_bytes - self.job_bytes + min(self.job_bytes, int(JOB_SHARE * self.limit))
 
-    def _make_room(self, needed: int, now: float) -> None:
+    def _drop_slow_readers(self, needed: int, now: float) -> None:
         while self._readers and not self._fits(needed):
-            slowest = min((one.reader for one in self._readers.values()), key=_took_at)
-            self.forget(slowest)
-            self.note_given_up(slowest, now)
-            slowest.give_up()
+            slowest = min((counted.reader for counted in self._readers.values()), key=_last_read_at)
+            self.remove(slowest)
+            self.record_dropped(slowest, now)
+            slowest.drop()
 
 
-def _took_at(reader: Reader) -> float:
-    return reader.took_at
+def _last_read_at(reader: Reader) -> float:
+    return reader.last_read_at
--- a/src/cloverwalk/gateway/overload_monitor.py
+++ b/src/cloverwalk/gateway/overload_monitor.py
@@ -9,53 +9,53 @@
 
 import attrs
 
-AVERAGE_S = 2.0
+AVERAGING_TIME_S = 2.0
 """Rates are averaged over about this time: the platform acts on two of its questions in a row, one
 a second, so a shorter peak is over before anything is done about it."""
 
 FULL_THRESHOLD = 0.85
 """A node this full takes no new connections; the rest is for the requests of the open ones."""
 
-FREE_AT = 0.65
+FULL_END_THRESHOLD = 0.65
 """A full node takes again below this: it can take its equal share of the clients back then."""
 
-OVER_AT = 1.0
-UNDER_AT = 0.9
+OVERLOADED_THRESHOLD = 1.0
+OVERLOADED_END_THRESHOLD = 0.9
 """A node over its machine is so no more below this."""
 
-USABLE_PROCESSOR = 0.95
+USABLE_PROCESSOR_SHARE = 0.95
 """Share of its processor time that a process gets at the most; the kernel has the rest."""
 
-MOST_THREADS = 1.5
+MAX_PROCESSOR_RATE = 1.5
 """A process with one busy thread can't spend more processor time than this many times what passes.
 A clock that says so measures something else, and the processor is left out from then on."""
 
 CLOCK_SLACK_S = 0.05
 """The two clocks are not read at the same moment."""
 
-LATE_S = 0.1
+LATE_LOOP_THRESHOLD_S = 0.1
 """A loop that is late by this delays both the start and the end of an answer by about a tenth of a
 second each. A busy processor whose loop is less late still serves in time."""
 
-MARGIN = 0.15
+PEER_MARGIN = 0.15
 """How much fuller than its peers a node is before it turns work away. Less than this is chance, and
 the peers would be as full with its work."""
 
-PEERS_FRESH_S = 5.0
+PEER_UTILIZATION_TTL_S = 5.0
 """What was told of the peers counts for so long; without it a node turns nothing away."""
 
-DWELL_S = 2.0
+MIN_STATE_DURATION_S = 2.0
 """A verdict holds for at least this long."""
 
-UNREADY_SHARE = 0.1
+MAX_UNREADY_SHARE = 0.1
 """Share of its time for which a node may be not ready. Operators take a machine that is not ready
 for more than an eighth of its time for one that fails its duty."""
 
-MOST_UNREADY_S = 6.0
-LEAST_UNREADY_S = 3.0
+MAX_UNREADY_S = 6.0
+MIN_UNREADY_S = 3.0
 """Being not ready for less has no effect: the platform waits for two answers in a row."""
 
-UNTOLD = 0
+UNKNOWN = 0
 """Stands for a limit, or for peers, that nobody has told."""
 
 
@@ -81,14 +81,14 @@
 
 @attrs.frozen
 class MachineCapacity:
-    """What a machine gives a node; ``UNTOLD`` where a limit is not known."""
+    """What a machine gives a node; ``UNKNOWN`` where a limit is not known."""
 
-    connections: int = UNTOLD
-    link_bytes_per_s: float = UNTOLD
-    processor: float = UNTOLD
+    connections: int = UNKNOWN
+    link_bytes_per_s: float = UNKNOWN
+    processor: float = UNKNOWN
     """Cores that the process can use; it has one busy thread, so one at the most."""
 
-    held_bytes: int = UNTOLD
+    held_bytes: int = UNKNOWN
     """What may be held for clients, replicas and jobs."""
 
 
@@ -109,18 +109,18 @@
         """Whether these can be figures of a process."""
         counts = (self.sent_bytes, self.connections, self.held_bytes, self.late_s)
         return math.isfinite(self.processor_s) and all(
-            math.isfinite(one) and one >= 0 for one in counts
+            math.isfinite(count) and count >= 0 for count in counts
         )
 
 
 @attrs.define
-class _Average:
-    """An average that forgets what is much older than ``AVERAGE_S``."""
+class _MovingAverage:
+    """An average that forgets what is much older than ``AVERAGING_TIME_S``."""
 
     value: float = 0.0
 
-    def add(self, value: float, over_s: float) -> None:
-        weight = 1.0 - math.exp(-over_s / AVERAGE_S)
+    def add(self, value: float, elapsed_s: float) -> None:
+        weight = 1.0 - math.exp(-elapsed_s / AVERAGING_TIME_S)
         self.value += weight * (value - self.value)
 
 
@@ -136,19 +136,19 @@
     (<OverloadState.FULL: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
     """
 
-    def __init__(self, size: MachineCapacity, now: float) -> None:
-        self._size = size
-        self._last: Usage | None = None
-        self._looked_at = now
-        self._sent = _Average()
-        self._processor = _Average()
-        self._late = _Average()
+    def __init__(self, capacity: MachineCapacity, now: float) -> None:
+        self._capacity = capacity
+        self._last_usage: Usage | None = None
+        self._updated_at = now
+        self._send_rate = _MovingAverage()
+        self._processor_rate = _MovingAverage()
+        self._lateness_s = _MovingAverage()
         self._has_processor_clock = True
-        self._peers = 0.0
-        self._peers_at = float("-inf")
+        self._peer_utilization = 0.0
+        self._peer_utilization_at = float("-inf")
         self._changed_at = now
-        self._over_since: float | None = None
-        self._unready_left_s = MOST_UNREADY_S
+        self._overloaded_since: float | None = None
+        self._unready_budget_s = MAX_UNREADY_S
         self.by_resource: dict[Resource, float] = dict.fromkeys(Resource, 0.0)
         self.state = OverloadState.NORMAL
         self.is_ready = True
@@ -157,7 +157,7 @@
     @property
     def scarcest(self) -> Resource:
         """What the machine has the least left of."""
-        return max(Resource, key=lambda one: self.by_resource[one])
+        return max(Resource, key=lambda resource: self.by_resource[resource])
 
     @property
     def utilization(self) -> float:
@@ -166,15 +166,15 @@
 
     def overloaded_for_s(self, now: float) -> float:
         """Return for how long the node has been over its machine; 0 while it is not."""
-        return 0.0 if self._over_since is None else now - self._over_since
+        return 0.0 if self._overloaded_since is None else now - self._overloaded_since
 
     def set_peer_utilization(self, percent: int, now: float) -> bool:
         """Take how full the nodes are that get the same clients; return whether it can be so."""
-        if percent == UNTOLD:
+        if percent == UNKNOWN:
             return True
         if percent < 0:
             return False
-        self._peers, self._peers_at = percent / 100, now
+        self._peer_utilization, self._peer_utilization_at = percent / 100, now
         return True
 
     def update(self, usage: Usage, now: float) -> bool:
@@ -182,80 +182,90 @@
 
         A process clock that can't be one is told once.
         """
-        passed_s = now - self._looked_at
-        if passed_s < 0 or not usage.is_valid:
+        elapsed_s = now - self._updated_at
+        if elapsed_s < 0 or not usage.is_valid:
             return False
-        before, self._last = self._last, usage
-        self._looked_at = now
+        previous, self._last_usage = self._last_usage, usage
+        self._updated_at = now
         is_credible = True
-        if before is not None and passed_s > 0:
-            is_credible = self._average(before, usage, passed_s)
-        self._measure(usage)
-        self._judge(now)
-        self._set_ready(passed_s)
+        if previous is not None and elapsed_s > 0:
+            is_credible = self._update_rates(previous, usage, elapsed_s)
+        self._update_utilization(usage)
+        self._update_state(now)
+        self._update_readiness(elapsed_s)
         return is_credible
 
-    def _average(self, before: Usage, usage: Usage, passed_s: float) -> bool:
+    def _update_rates(self, previous: Usage, usage: Usage, elapsed_s: float) -> bool:
         """Take rates; return False where the process clock turns out to be none."""
-        sent = max(0, usage.sent_bytes - before.sent_bytes)
-        self._sent.add(sent / passed_s, passed_s)
-        self._late.add(usage.late_s, passed_s)
+        sent_bytes = max(0, usage.sent_bytes - previous.sent_bytes)
+        self._send_rate.add(sent_bytes / elapsed_s, elapsed_s)
+        self._lateness_s.add(usage.late_s, elapsed_s)
         if not self._has_processor_clock:
             return True
-        spent_s = usage.processor_s - before.processor_s
-        if 0 <= spent_s <= MOST_THREADS * passed_s + CLOCK_SLACK_S:
-            self._processor.add(spent_s / passed_s, passed_s)
+        used_s = usage.processor_s - previous.processor_s
+        if 0 <= used_s <= MAX_PROCESSOR_RATE * elapsed_s + CLOCK_SLACK_S:
+            self._processor_rate.add(used_s / elapsed_s, elapsed_s)
             return True
         self._has_processor_clock = False
-        self._processor = _Average()
+        self._processor_rate = _MovingAverage()
         return False
 
-    def _measure(self, usage: Usage) -> None:
-        size = self._size
+    def _update_utilization(self, usage: Usage) -> None:
+        capacity = self._capacity
         self.by_resource = {
-            Resource.CONNECTIONS: _share(usage.connections, size.connections),
-            Resource.LINK: _share(self._sent.value, size.link_bytes_per_s),
-            Resource.PROCESSOR: _share(self._processor.value, USABLE_PROCESSOR * size.processor),
-            Resource.MEMORY: _share(usage.held_bytes, size.held_bytes),
+            Resource.CONNECTIONS: _ratio(usage.connections, capacity.connections),
+            Resource.LINK: _ratio(self._send_rate.value, capacity.link_bytes_per_s),
+            Resource.PROCESSOR: _ratio(
+                self._processor_rate.value, USABLE_PROCESSOR_SHARE * capacity.processor
+            ),
+            Resource.MEMORY: _ratio(usage.held_bytes, capacity.held_bytes),
         }
 
-    def _judge(self, now: float) -> None:
-        wanted = self._wanted(now)
-        if wanted is not self.state and now - self._changed_at >= DWELL_S:
-            self.state = wanted
+    def _update_state(self, now: float) -> None:
+        state = self._next_state(now)
+        if state is not self.state and now - self._changed_at >= MIN_STATE_DURATION_S:
+            self.state = state
             self._changed_at = now
-            self._over_since = now if wanted is OverloadState.OVERLOADED else None
+            self._overloaded_since = now if state is OverloadState.OVERLOADED else None
 
-    def _wanted(self, now: float) -> OverloadState:
-        if now - self._peers_at > PEERS_FRESH_S:
+    def _next_state(self, now: float) -> OverloadState:
+        if now - self._peer_utilization_at > PEER_UTILIZATION_TTL_S:
             return OverloadState.NORMAL
         was_full = self.state is not OverloadState.NORMAL
-        ahead = self.utilization - self._peers
-        if ahead < (MARGIN / 2 if was_full else MARGIN):
+        excess = self.utilization - self._peer_utilization
+        if excess < (PEER_MARGIN / 2 if was_full else PEER_MARGIN):
             return OverloadState.NORMAL
-        over_at = UNDER_AT if self.state is OverloadState.OVERLOADED else OVER_AT
-        if self._load() >= over_at:
+        overloaded_threshold = (
+            OVERLOADED_END_THRESHOLD
+            if self.state is OverloadState.OVERLOADED
+            else OVERLOADED_THRESHOLD
+        )
+        if self._critical_utilization() >= overloaded_threshold:
             return OverloadState.OVERLOADED
-        if self.utilization >= (FREE_AT if was_full else FULL_THRESHOLD):
+        if self.utilization >= (FULL_END_THRESHOLD if was_full else FULL_THRESHOLD):
             return OverloadState.FULL
         return OverloadState.NORMAL
 
-    def _load(self) -> float:
+    def _critical_utilization(self) -> float:
         """Return the fullness beyond which work comes late; a busy processor alone is no harm."""
-        if self._late.value >= LATE_S:
+        if self._lateness_s.value >= LATE_LOOP_THRESHOLD_S:
             return self.utilization
-        return max(self.by_resource[one] for one in Resource if one is not Resource.PROCESSOR)
+        return max(
+            self.by_resource[resource]
+            for resource in Resource
+            if resource is not Resource.PROCESSOR
+        )
 
-    def _set_ready(self, passed_s: float) -> None:
+    def _update_readiness(self, elapsed_s: float) -> None:
         if self.is_ready:
-            earned_s = self._unready_left_s + UNREADY_SHARE * passed_s
-            self._unready_left_s = min(MOST_UNREADY_S, earned_s)
+            earned_s = self._unready_budget_s + MAX_UNREADY_SHARE * elapsed_s
+            self._unready_budget_s = min(MAX_UNREADY_S, earned_s)
         else:
-            self._unready_left_s = max(0.0, self._unready_left_s - passed_s)
-        least_s = LEAST_UNREADY_S if self.is_ready else 0.0
+            self._unready_budget_s = max(0.0, self._unready_budget_s - elapsed_s)
+        min_budget_s = MIN_UNREADY_S if self.is_ready else 0.0
         is_full = self.state is not OverloadState.NORMAL
-        self.is_ready = not (is_full and self._unready_left_s > least_s)
+        self.is_ready = not (is_full and self._unready_budget_s > min_budget_s)
 
 
-def _share(used: float, limit: float) -> float:
+def _ratio(used: float, limit: float) -> float:
     return used / limit if limit > 0 else 0.0
--- a/src/cloverwalk/gateway/progress.py
+++ b/src/cloverwalk/gateway/progress.py
@@ -56,7 +56,7 @@
     events: int = 0
     """Events of the answer that were passed on."""
 
-    was_read_late: bool = False
+    was_client_slow: bool = False
     """Whether the client did not take some of them at once."""
 
     last_replica: str = ""
@@ -64,18 +64,18 @@
 
     # --- attempts ---
 
-    def note_sending(self) -> None:
+    def mark_sending(self) -> None:
         """The next byte goes to a replica."""
         self.is_sent = True
 
-    def note_proved_not_run(self) -> None:
+    def mark_not_run(self) -> None:
         """The replica's answer proves that it has not run the present attempt."""
         self.is_sent = False
 
-    def note_failed(self, replica_id: str, code: str) -> None:
+    def record_failed_attempt(self, replica_id: str, code: str) -> None:
         """The present attempt failed: whether it can have run follows from what was sent."""
-        known = self.tried if self.is_sent else self.refused
-        known.append(replica_id)
+        replica_ids = self.tried if self.is_sent else self.refused
+        replica_ids.append(replica_id)
         self.is_sent = False
         self.last_failure = code
 
--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -25,13 +25,13 @@
     return GatewayError(Reason.UNAVAILABLE, "attempts_used", last_failure)
 
 
-def crowded(retry_after_s: float) -> GatewayError:
+def overloaded(retry_after_s: float) -> GatewayError:
     """Return the refusal of a request that has to come back."""
     message = "all slots are taken by online requests"
     return GatewayError(Reason.UNAVAILABLE, "crowded", message, retry_after_s)
 
 
-def too_little_room(placement: Placement) -> GatewayError:
+def no_free_slot(placement: Placement) -> GatewayError:
     """Return the refusal of a request that found too little room, and why it was this one."""
     if placement.retry_after_s <= 0:
         message = "all slots are taken for longer than the caller waits"
@@ -39,7 +39,7 @@
     if placement.ahead_ms > 0:
         message = f"the tenant has had {placement.ahead_ms} ms of slot time more than others"
         return GatewayError(Reason.UNAVAILABLE, OVER_SHARE, message, placement.retry_after_s)
-    return crowded(placement.retry_after_s)
+    return overloaded(placement.retry_after_s)
 
 
 def no_replica(code: str, last_failure: str) -> GatewayError:
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -15,13 +15,13 @@
 from cloverwalk.fleet.messages import PlacementRequest, QuotaTokenUse
 from cloverwalk.fleet.placement_client import PlacementResult
 from cloverwalk.gateway import refusals
-from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_SILENCE_S, AnswerRelay
+from cloverwalk.gateway.answer_relay import EVENT_TIMEOUT_S, FIRST_EVENT_TIMEOUT_S, AnswerRelay
 from cloverwalk.gateway.configuration import Route, RouteKind
 from cloverwalk.gateway.containment import ContainmentGate
 from cloverwalk.gateway.content_hash import hash_request
 from cloverwalk.gateway.crash_detector import Delivery
 from cloverwalk.gateway.errors import TIMED_OUT, ClientGoneError, GatewayError, ReplicaError
-from cloverwalk.gateway.lateness_tracker import LateWatch
+from cloverwalk.gateway.lateness_tracker import LatenessTracker
 from cloverwalk.gateway.messages import ClientRequest, GatewayCodec
 from cloverwalk.gateway.progress import RequestProgress
 from cloverwalk.gateway.replica_connection import AnswerHead, ReplicaConnection, ReplicaPool
@@ -39,8 +39,8 @@
 """Replicas that may be unreachable or say 'not run' before the request is refused. Each costs some
 milliseconds; with three, requests were refused while seven of 45 replicas were down."""
 
-LEAST_USEFUL_S = 0.01
-LEAST_FAILURE_STATUS = 400
+MIN_ATTEMPT_TIME_S = 0.01
+MIN_FAILURE_STATUS = 400
 
 
 class OnlineRelay:
@@ -55,8 +55,8 @@
         log: ServingLog,
         metrics: ServingMetrics,
         clock: Callable[[], float],
-        link: CoordinatorClient,
-        refusals: QuotaRefusalCache,
+        coordinator_client: CoordinatorClient,
+        quota_refusals: QuotaRefusalCache,
         containment: ContainmentGate,
     ) -> None:
         self._codec = codec
@@ -66,39 +66,41 @@
         self._log = log
         self._metrics = metrics
         self._clock = clock
-        self._link = link
-        self._refusals = refusals
+        self._coordinator_client = coordinator_client
+        self._quota_refusals = quota_refusals
         self._containment = containment
         self._rotation = WeightedRotation()
         self._answers = AnswerRelay(codec, directory, metrics, clock)
-        self._lateness = LateWatch(metrics)
+        self._lateness_tracker = LatenessTracker(metrics)
 
     async def handle(self, request: ClientRequest, route: Route, reply: Reply) -> None:
         """Serve a request of an online route."""
-        progress = self._begin(request, route)
+        progress = self._start_progress(request, route)
         try:
             async with curio.timeout_after(max(0.0, progress.deadline - self._clock())):
                 await self._serve(request, progress, reply)
         except curio.TaskTimeout:
-            await self._give_up(request, progress, reply, refusals.out_of_time())
+            await self._respond_with_error(request, progress, reply, refusals.out_of_time())
         except GatewayError as error:
-            await self._give_up(request, progress, reply, error)
+            await self._respond_with_error(request, progress, reply, error)
         except ClientGoneError as error:
-            self._note_end(request, progress, error.code, reply.status)
+            self._record_end(request, progress, error.code, reply.status)
             raise
         except curio.TaskCancelled:
-            self._note_end(request, progress, reply.lost_code, reply.status)
+            self._record_end(request, progress, reply.disconnect_code, reply.status)
             raise
 
-    def _begin(self, request: ClientRequest, route: Route) -> RequestProgress:
+    def _start_progress(self, request: ClientRequest, route: Route) -> RequestProgress:
         allowed_s = route.timeout_s
         if request.fields.deadline_s is not None:
             allowed_s = min(allowed_s, request.fields.deadline_s)
         parts = [(part.service, part.weight) for part in route.parts]
         service = self._rotation.next(route.name, parts)
         if not self._directory.usable(service):
-            others = [one for one in route.services if self._directory.usable(one)]
-            service = others[0] if others else service
+            usable_services = [
+                candidate for candidate in route.services if self._directory.usable(candidate)
+            ]
+            service = usable_services[0] if usable_services else service
         return RequestProgress(
             route,
             service,
@@ -110,14 +112,14 @@
 
     async def _serve(self, request: ClientRequest, progress: RequestProgress, reply: Reply) -> None:
         while True:
-            replica = await self._find_place(request, progress)
+            replica = await self._choose_replica(request, progress)
             try:
                 await self._attempt(request, progress, replica, reply)
                 return
             except ReplicaError as error:
-                await self._note_failure(request, progress, replica, error, reply)
+                await self._record_failure(request, progress, replica, error, reply)
 
-    async def _find_place(self, request: ClientRequest, progress: RequestProgress) -> Replica:
+    async def _choose_replica(self, request: ClientRequest, progress: RequestProgress) -> Replica:
         """Return the replica to send to, once there is a place; see ``scheduling.scheduler``."""
         while True:
             if progress.tried and not self._may_try_again(progress):
@@ -125,31 +127,33 @@
             if len(progress.refused) >= MAX_REFUSALS:
                 raise refusals.no_replica("replicas_full", progress.last_failure)
             suspected = await self._containment.check(request, progress)
-            ask = self._ask(request, progress, suspected)
-            self._check_remembered(ask)
-            place = await self._link.request_placement(ask, request.received_at + MAX_QUEUE_WAIT_S)
-            self._check_verdict(request, progress, place)
-            replica = self._directory.find(place.replica_id)
+            placement_request = self._build_placement_request(request, progress, suspected)
+            self._check_quota_refusal(placement_request)
+            result = await self._coordinator_client.request_placement(
+                placement_request, request.received_at + MAX_QUEUE_WAIT_S
+            )
+            self._check_verdict(request, progress, result)
+            replica = self._directory.find(result.replica_id)
             if replica is not None:
-                self._note_choice(request, progress, place)
+                self._record_choice(request, progress, result)
                 return replica
             # The coordinator knows a replica that this node does not know yet, or not any more.
             progress.has_token = True
-            progress.refused.append(place.replica_id)
-            await self._end_work(place)
+            progress.refused.append(result.replica_id)
+            await self._end_in_flight(result)
 
     def _check_verdict(
-        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
+        self, request: ClientRequest, progress: RequestProgress, result: PlacementResult
     ) -> None:
         """Raise the refusal of a request that got no place."""
-        match place.verdict:
+        match result.verdict:
             case PlacementVerdict.RETRY_LATER:
-                raise refusals.too_little_room(place.placement)
+                raise refusals.no_free_slot(result.placement)
             case PlacementVerdict.NO_REPLICA:
                 raise refusals.no_replica("no_replica", progress.last_failure)
             case PlacementVerdict.OVER_QUOTA:
-                self._refusals.record(request.tenant, place.placement.retry_after_s)
-                raise refusals.over_quota(place.placement.retry_after_s)
+                self._quota_refusals.record(request.tenant, result.placement.retry_after_s)
+                raise refusals.over_quota(result.placement.retry_after_s)
             case PlacementVerdict.QUOTA_UNKNOWN:
                 raise refusals.quota_unknown()
             case PlacementVerdict.TOO_LARGE:
@@ -159,36 +163,36 @@
             case PlacementVerdict.SEND | PlacementVerdict.QUEUE:
                 return
 
-    def _check_remembered(self, ask: PlacementRequest) -> None:
+    def _check_quota_refusal(self, placement_request: PlacementRequest) -> None:
         """Raise the refusal of a tenant that the coordinator has refused just now."""
-        if ask.quota_token is not QuotaTokenUse.NEW:
+        if placement_request.quota_token is not QuotaTokenUse.NEW:
             return
-        rest_s = self._refusals.remaining_s(ask.tenant)
-        if rest_s > 0:
-            raise refusals.over_quota(rest_s)
+        remaining_s = self._quota_refusals.remaining_s(placement_request.tenant)
+        if remaining_s > 0:
+            raise refusals.over_quota(remaining_s)
 
-    async def _end_work(self, place: PlacementResult) -> None:
-        if place.work is not None:
-            self._loads.end(place.work)
-            await self._link.trigger_report()
+    async def _end_in_flight(self, result: PlacementResult) -> None:
+        if result.work is not None:
+            self._loads.end(result.work)
+            await self._coordinator_client.trigger_report()
 
-    def _ask(
+    def _build_placement_request(
         self, request: ClientRequest, progress: RequestProgress, suspected: str
     ) -> PlacementRequest:
         now = self._clock()
         fields, route = request.fields, progress.route
         elapsed_s = now - request.received_at
-        own_tokens = fields.prompt[-1].tokens if fields.prompt else 0
-        shared = max(fields.prompt[:-1], key=lambda part: part.tokens, default=None)
+        unshared_tokens = fields.prompt[-1].tokens if fields.prompt else 0
+        shared_part = max(fields.prompt[:-1], key=lambda part: part.tokens, default=None)
         deadline_s = fields.deadline_s
         return PlacementRequest(
             0,
             route.name,
             progress.service,
             len(request.body),
-            own_tokens,
-            "" if shared is None else shared.part_id,
-            0 if shared is None else shared.tokens,
+            unshared_tokens,
+            "" if shared_part is None else shared_part.part_id,
+            0 if shared_part is None else shared_part.tokens,
             int((route.target_latency_s - elapsed_s) * 1000),
             None if deadline_s is None else int(deadline_s * 1000),
             int((progress.deadline - now) * 1000),
@@ -205,22 +209,22 @@
         has_begun = progress.may_have_run or bool(progress.refused)
         return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
-    def _note_choice(
-        self, request: ClientRequest, progress: RequestProgress, place: PlacementResult
+    def _record_choice(
+        self, request: ClientRequest, progress: RequestProgress, result: PlacementResult
     ) -> None:
         now = self._clock()
-        progress.work = place.work
-        progress.expected_wait_ms = float(place.placement.wait_ms)
-        progress.was_queued = place.was_queued
+        progress.work = result.work
+        progress.expected_wait_ms = float(result.placement.wait_ms)
+        progress.was_queued = result.was_queued
         self._log.write(
             catalogue.REPLICA_CHOSEN,
             request=request.fields.request_id,
-            replica=place.replica_id,
+            replica=result.replica_id,
             tenant=request.tenant,
-            online=place.placement.online,
-            batch=place.placement.batch,
-            reading_ms=place.placement.prefill_ms,
-            expected_wait_ms=place.placement.wait_ms,
+            online=result.placement.online,
+            batch=result.placement.batch,
+            reading_ms=result.placement.prefill_ms,
+            expected_wait_ms=result.placement.wait_ms,
             waited_ms=round((now - request.received_at) * 1000, 1),
             list_age_s=round(now - self._directory.confirmed_at, 3),
             after_event=progress.last_event_id,
@@ -229,7 +233,7 @@
     def _may_try_again(self, progress: RequestProgress) -> bool:
         return progress.route.is_retryable and len(progress.tried) < progress.route.max_attempts
 
-    async def _note_failure(
+    async def _record_failure(
         self,
         request: ClientRequest,
         progress: RequestProgress,
@@ -238,7 +242,7 @@
         reply: Reply,
     ) -> None:
         may_have_run = progress.is_sent
-        progress.note_failed(replica.replica_id, error.code)
+        progress.record_failed_attempt(replica.replica_id, error.code)
         self._metrics.attempt_failed(error.code)
         self._log.write(
             catalogue.REPLICA_FAILED,
@@ -250,7 +254,7 @@
             after_event=progress.last_event_id,
         )
         if may_have_run:
-            await self._containment.note_failure(request, progress, replica, error.code)
+            await self._containment.record_failure(request, progress, replica, error.code)
         if reply.has_begun and not progress.route.is_resumable:
             raise ClientGoneError("the answer broke off at the replica", "answer_cut")
 
@@ -261,18 +265,18 @@
     ) -> None:
         try:
             now = self._clock()
-            if progress.deadline - now < LEAST_USEFUL_S:
+            if progress.deadline - now < MIN_ATTEMPT_TIME_S:
                 raise refusals.out_of_time()
             progress.sent_at = now
             progress.has_token = True
-            await self._attempt_counted(request, progress, replica, reply)
+            await self._attempt_over_connection(request, progress, replica, reply)
         finally:
             if progress.work is not None:
                 self._loads.end(progress.work)
                 progress.work = None
-            await self._link.trigger_report()
+            await self._coordinator_client.trigger_report()
 
-    async def _attempt_counted(
+    async def _attempt_over_connection(
         self, request: ClientRequest, progress: RequestProgress, replica: Replica, reply: Reply
     ) -> None:
         try:
@@ -287,18 +291,18 @@
         if self._directory.find(replica.replica_id) is None:
             await self._pool.release_unused(connection)
             raise ReplicaError("the replica began to leave", False, "draining")
-        is_kept = False
+        is_released = False
         try:
             progress.last_replica = replica.replica_id
             head = await self._exchange(request, progress, replica, connection, reply)
-            is_kept = True
+            is_released = True
             await self._pool.release(connection, head.fields.keep_alive_s)
         except ReplicaError as error:
             if error.code == TIMED_OUT:
                 await self._pool.close_timed_out(connection)
             raise
         finally:
-            if not is_kept:
+            if not is_released:
                 await connection.close()
 
     async def _exchange(
@@ -313,7 +317,7 @@
         if head.fields.load is not None:
             self._metrics.replica_load(replica.replica_id, head.fields.load)
         if _proves_not_run(head):
-            progress.note_proved_not_run()
+            progress.mark_not_run()
             await self._drain_refusal(connection)
             if head.status == 421:
                 self._directory.suspect(replica.replica_id, self._clock())
@@ -326,11 +330,11 @@
         else:
             await self._answers.relay_plain(request, progress, connection, head, reply)
         load = head.fields.load
-        served = request_timing(progress, load, request.tenant, self._clock())
-        if served is not None:
-            self._link.record_request_timing(served)
-        self._containment.note_answer(request)
-        self._note_end(request, progress, "answered", head.status)
+        timing = request_timing(progress, load, request.tenant, self._clock())
+        if timing is not None:
+            self._coordinator_client.record_request_timing(timing)
+        self._containment.record_answer(request)
+        self._record_end(request, progress, "answered", head.status)
         return head
 
     async def _send_and_read_head(
@@ -345,8 +349,8 @@
             request, replica.replica_id, remaining_s, progress.last_event_id
         )
         try:
-            async with curio.timeout_after(self._first_answer_limit_s(progress, remaining_s)):
-                progress.note_sending()
+            async with curio.timeout_after(self._first_answer_timeout_s(progress, remaining_s)):
+                progress.mark_sending()
                 progress.delivery = Delivery(connection.is_new, self._clock())
                 await connection.send(request.method, request.target, headers, request.body)
                 return await connection.read_head(request.fields.request_id)
@@ -361,12 +365,12 @@
                 self._directory.suspect(replica.replica_id, self._clock())
             raise
 
-    def _first_answer_limit_s(self, progress: RequestProgress, remaining_s: float) -> float:
+    def _first_answer_timeout_s(self, progress: RequestProgress, remaining_s: float) -> float:
         if not progress.route.is_retryable or not progress.has_attempt_left:
             return remaining_s + 1.0
         if progress.route.kind is RouteKind.STREAM:
-            return min(remaining_s + 1.0, FIRST_EVENT_SILENCE_S)
-        return max(FIRST_EVENT_SILENCE_S, remaining_s / 2)
+            return min(remaining_s + 1.0, FIRST_EVENT_TIMEOUT_S)
+        return max(FIRST_EVENT_TIMEOUT_S, remaining_s / 2)
 
     async def _drain_refusal(self, connection: ReplicaConnection) -> None:
         async with curio.ignore_after(EVENT_TIMEOUT_S):
@@ -375,30 +379,30 @@
 
     # --- the end ---
 
-    async def _give_up(
+    async def _respond_with_error(
         self, request: ClientRequest, progress: RequestProgress, reply: Reply, error: GatewayError
     ) -> None:
         answer = error_response(error, progress)
-        self._note_end(request, progress, answer.code, answer.status)
+        self._record_end(request, progress, answer.code, answer.status)
         if reply.has_begun:
             raise ClientGoneError(f"the answer is broken off: {answer.code}")
         headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
-    def _note_end(
+    def _record_end(
         self, request: ClientRequest, progress: RequestProgress, outcome: str, status: int
     ) -> None:
-        took_s = self._clock() - request.received_at
-        first = progress.first_event_at
-        self._metrics.request_ended(progress.route.name, outcome, took_s)
+        duration_s = self._clock() - request.received_at
+        first_event_at = progress.first_event_at
+        self._metrics.request_ended(progress.route.name, outcome, duration_s)
         self._metrics.tenants.request_ended(request.tenant, _tenant_outcome(outcome))
-        number = catalogue.REQUEST_ANSWERED if outcome == "answered" else catalogue.REQUEST_ENDED
+        event = catalogue.REQUEST_ANSWERED if outcome == "answered" else catalogue.REQUEST_ENDED
         self._log.write(
-            number,
+            event,
             request=request.fields.request_id,
             route=progress.route.name,
             tenant=request.tenant,
-            configuration=self._link.configuration_version,
+            configuration=self._coordinator_client.configuration_version,
             outcome=outcome,
             status=status,
             work=None if outcome == "answered" else progress.state.value,
@@ -406,9 +410,11 @@
             replica=progress.last_replica,
             tried=len(progress.tried),
             refused=len(progress.refused),
-            took_ms=round(took_s * 1000, 1),
-            first_ms=None if first is None else round((first - request.received_at) * 1000, 1),
-            late=self._lateness.note(request, progress),
+            took_ms=round(duration_s * 1000, 1),
+            first_ms=None
+            if first_event_at is None
+            else round((first_event_at - request.received_at) * 1000, 1),
+            late=self._lateness_tracker.record(request, progress),
             last_event=progress.last_event_id,
         )
 
@@ -421,7 +427,7 @@
 
 def _proves_not_run(head: AnswerHead) -> bool:
     """Whether an answer says that its replica did not run the request; no success says so."""
-    return head.fields.was_not_run and head.status >= LEAST_FAILURE_STATUS
+    return head.fields.was_not_run and head.status >= MIN_FAILURE_STATUS
 
 
 def _token_use(progress: RequestProgress) -> QuotaTokenUse:
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -21,11 +21,11 @@
 
 READ_BYTES = 65536
 CONNECT_TIMEOUT_S = 0.4
-SEND_IN_LINE_BYTES = 32768
-IDLE_LIMIT_S = 8.0
+MAX_INLINE_SEND_BYTES = 32768
+MAX_IDLE_S = 8.0
 KEEP_ALIVE_MARGIN_S = 1.0
 MAX_IDLE_PER_REPLICA = 24
-REFUSAL_REMEMBERED_S = 30.0
+REFUSAL_TTL_S = 30.0
 """How long it is known that an address refused: a replica that is back is in the list within some
 seconds, and later news of a start has another cause."""
 
@@ -34,7 +34,7 @@
 FRAMING_METHODS = (b"HEAD", b"CONNECT")
 """Methods whose answers end elsewhere than the same answers to other requests."""
 
-REMEMBERED_IDS = 64
+MAX_REMEMBERED_IDS = 64
 """Requests that a connection remembers. An answer in excess comes in the place of the next one or
 soon after: the replica serves the requests of a connection in order."""
 
@@ -76,19 +76,19 @@
         self._codec = codec
         self._http = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
-        self._remembered_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
+        self._remembered_ids: deque[str] = deque(maxlen=MAX_REMEMBERED_IDS)
         self._sender: Any = None
         self._has_sending_failed = False
         self._answer_closes = False
         self._is_drained = False
         """Whether the last read got all that was there: another would find nothing yet."""
 
-        self._exchanges = 0
-        self._has_ended = False
+        self._exchange_count = 0
+        self._has_body_ended = False
         """Whether the body of the present answer was read to its end."""
 
         self._is_closed = False
-        self._is_broken_off = False
+        self._is_aborted = False
         self.opened_at = clock()
         self.quiet_since = self.opened_at
         """When bytes came last, or the present request was sent if that was later."""
@@ -103,29 +103,29 @@
     @property
     def is_new(self) -> bool:
         """Whether nothing was sent over it yet."""
-        return self._exchanges == 0
+        return self._exchange_count == 0
 
     @property
-    def was_kept(self) -> bool:
+    def is_reused(self) -> bool:
         """Whether an earlier exchange went over it."""
-        return self._exchanges > 1
+        return self._exchange_count > 1
 
     async def send(self, method: str, target: str, headers: RawHeaders, body: bytes) -> None:
         """Send a whole request; a long body is sent beside the reading of the answer."""
         length = (b"Content-Length", str(len(body)).encode())
-        if self._is_broken_off:
+        if self._is_aborted:
             raise ReplicaError("the replica has started again", False, RESTARTED)
         self._request = h11.Request(method=method, target=target, headers=[*headers, length])
         data = self._feed_request(body)
-        if self._exchanges == 0 and self._has_bytes():
+        if self._exchange_count == 0 and self._has_bytes():
             raise ReplicaError("bytes came before the first request", False, "unasked_answer")
-        self._exchanges += 1
-        self._has_ended = False
+        self._exchange_count += 1
+        self._has_body_ended = False
         self.quiet_since = self._clock()
-        if len(data) <= SEND_IN_LINE_BYTES:
+        if len(data) <= MAX_INLINE_SEND_BYTES:
             await self._sock.sendall(data)
             return
-        self._sender = await curio.spawn(self._send_beside, data)
+        self._sender = await curio.spawn(self._send_in_background, data)
 
     def _feed_request(self, body: bytes) -> bytes:
         assert self._request is not None
@@ -134,7 +134,7 @@
             data += self._http.send(h11.Data(data=body)) or b""
         return data + (self._http.send(h11.EndOfMessage()) or b"")
 
-    async def _send_beside(self, data: bytes) -> bool:
+    async def _send_in_background(self, data: bytes) -> bool:
         try:
             await self._sock.sendall(data)
         except OSError:
@@ -152,7 +152,7 @@
         for _ in range(MAX_SKIPPED_ANSWERS + 1):
             head = await self._read_any_head()
             answered = head.fields.request_id
-            if answered == request_id or (answered is None and self._exchanges == 1):
+            if answered == request_id or (answered is None and self._exchange_count == 1):
                 return head
             if self._frames_answers:
                 break
@@ -183,7 +183,7 @@
                 self._answer_closes = True
         if is_chunked and length is not None:
             raise ReplicaError("not an answer: it has two lengths", True, "not_http")
-        if self.was_kept and _holds_status_line(event):
+        if self.is_reused and _holds_status_line(event):
             raise ReplicaError("not an answer: a part of another comes first", True, "not_http")
         fields = self._codec.answer_fields(headers)
         return AnswerHead(event.status_code, event.reason, headers, fields, length)
@@ -193,7 +193,7 @@
             pass
         if not isinstance(event, h11.EndOfMessage):
             raise ReplicaError("an answer to another request broke off", True, "answer_cut")
-        rest, is_closed = self._http.trailing_data
+        trailing, is_closed = self._http.trailing_data
         if is_closed or self._answer_closes:
             raise ReplicaError("the connection ended before an answer", True, "no_answer")
         assert self._request is not None
@@ -204,13 +204,13 @@
             size = next(int(v) for n, v in self._request.headers if n == b"content-length")
             self._http.send(h11.Data(data=bytes(size)))
         self._http.send(h11.EndOfMessage())
-        if rest:
+        if trailing:
             # Empty data would mean the end of the connection.
-            self._http.receive_data(rest)
+            self._http.receive_data(trailing)
 
     async def read_body(self) -> bytes | None:
         """Return the next bytes of the body, all that have come, or None at its proper end."""
-        if self._has_ended:
+        if self._has_body_ended:
             return None
         event = await self._next_event()
         parts: list[bytes] = []
@@ -222,7 +222,7 @@
                 # What came before is good; the next call meets the error again.
                 return b"".join(parts)
         if isinstance(event, h11.EndOfMessage):
-            self._has_ended = True
+            self._has_body_ended = True
             return b"".join(parts) if parts else None
         if event is not h11.NEED_DATA:
             raise ReplicaError("the answer broke off", True, "answer_cut")
@@ -251,7 +251,7 @@
         if self._is_drained:
             await _read_wait(self._sock._fileno)
         data: bytes = await self._sock.recv(READ_BYTES)
-        if not data and self._is_broken_off:
+        if not data and self._is_aborted:
             raise ReplicaError("the replica has started again", True, RESTARTED)
         self.quiet_since = self._clock()
         if not data and self._has_sending_failed:
@@ -274,12 +274,12 @@
         if self._frames_answers:
             # A second answer to it would be read with another end by the next request.
             return False
-        rest, is_closed = self._http.trailing_data
-        if self._http.our_state is not h11.DONE or rest or is_closed:
+        trailing, is_closed = self._http.trailing_data
+        if self._http.our_state is not h11.DONE or trailing or is_closed:
             return False
         self._http.start_next_cycle()
-        limit_s = IDLE_LIMIT_S if keep_alive_s is None else keep_alive_s - KEEP_ALIVE_MARGIN_S
-        self.usable_until = now + min(IDLE_LIMIT_S, limit_s)
+        limit_s = MAX_IDLE_S if keep_alive_s is None else keep_alive_s - KEEP_ALIVE_MARGIN_S
+        self.usable_until = now + min(MAX_IDLE_S, limit_s)
         return limit_s > 0
 
     def has_unread(self) -> bool:
@@ -299,19 +299,19 @@
         except OSError:
             return False
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the present exchange: its replica is gone. What came before can still be read."""
-        if self._is_closed or self._is_broken_off:
+        if self._is_closed or self._is_aborted:
             return
-        self._is_broken_off = True
+        self._is_aborted = True
         # One that is reset already tells so itself.
         with contextlib.suppress(OSError):
             self._sock._socket.shutdown(socket.SHUT_RDWR)
 
     @property
-    def can_be_broken_off(self) -> bool:
+    def is_abortable(self) -> bool:
         """Whether it is open, and nobody has ended it yet."""
-        return not self._is_closed and not self._is_broken_off
+        return not self._is_closed and not self._is_aborted
 
     async def close(self) -> None:
         """Close at once; a replica stops the work of a closed connection."""
@@ -335,7 +335,7 @@
         self._codec = codec
         self._clock = clock
         self._idle: dict[tuple[str, int], list[ReplicaConnection]] = {}
-        self._all: WeakSet[ReplicaConnection] = WeakSet()
+        self._connections: WeakSet[ReplicaConnection] = WeakSet()
         """Those that may be in use, too: closed ones among them do no harm."""
 
         self._refused_at: dict[tuple[str, int], float] = {}
@@ -367,21 +367,21 @@
         """
         if force_new:
             return await self._open(address)
-        while (connection := self._take_idle(address, request_id)) is not None:
+        while (connection := self._pop_idle(address, request_id)) is not None:
             if self._clock() < connection.usable_until and not connection.has_unread():
                 connection.acquired_at = self._clock()
                 return connection
             await connection.close()
         return await self._open(address)
 
-    def _take_idle(self, address: tuple[str, int], request_id: str) -> ReplicaConnection | None:
+    def _pop_idle(self, address: tuple[str, int], request_id: str) -> ReplicaConnection | None:
         """Take the idle connection that was used last and has not carried ``request_id``."""
         idle = self._idle.get(address, [])
-        fresh = [one for one in idle if not one.has_carried(request_id)]
-        if not fresh:
+        candidates = [connection for connection in idle if not connection.has_carried(request_id)]
+        if not candidates:
             return None
-        idle.remove(fresh[-1])
-        return fresh[-1]
+        idle.remove(candidates[-1])
+        return candidates[-1]
 
     async def _open(self, address: tuple[str, int]) -> ReplicaConnection:
         try:
@@ -395,7 +395,7 @@
         watch_silence(sock)
         self.opened += 1
         connection = ReplicaConnection(sock, address, self._codec, self._clock)
-        self._all.add(connection)
+        self._connections.add(connection)
         return connection
 
     async def release(self, connection: ReplicaConnection, keep_alive_s: float | None) -> None:
@@ -419,29 +419,31 @@
             connection.usable_until = float("-inf")
         return len(idle)
 
-    def take_refusal(self, address: tuple[str, int]) -> float:
+    def pop_refused_at(self, address: tuple[str, int]) -> float:
         """Return when an address refused a connection lately, and forget it; inf: it did not."""
         return self._refused_at.pop(address, float("inf"))
 
-    def break_off(self, address: tuple[str, int], opened_before: float, quiet_before: float) -> int:
+    def abort_exchanges(
+        self, address: tuple[str, int], opened_before: float, quiet_before: float
+    ) -> int:
         """Break off exchanges at an address; return how many. Times are of the steady clock.
 
         Concerned are those over connections opened before one time, on which nothing has moved
         since another.
         """
         idle = self._idle.get(address, [])
-        found = [
-            one
-            for one in self._all
-            if one.address == address
-            and one.can_be_broken_off
-            and one.opened_at < opened_before
-            and one.quiet_since < quiet_before
-            and one not in idle
+        matching = [
+            connection
+            for connection in self._connections
+            if connection.address == address
+            and connection.is_abortable
+            and connection.opened_at < opened_before
+            and connection.quiet_since < quiet_before
+            and connection not in idle
         ]
-        for connection in found:
-            connection.break_off()
-        return len(found)
+        for connection in matching:
+            connection.abort()
+        return len(matching)
 
     async def close_timed_out(self, connection: ReplicaConnection) -> None:
         """Close a connection without an answer, and those that may be as dead.
@@ -451,24 +453,34 @@
         request of a node is late by them, not one a connection.
         """
         await connection.close()
-        if not connection.was_kept:
+        if not connection.is_reused:
             return
         for address, idle in list(self._idle.items()):
-            doubtful = [one for one in idle if one.released_at < connection.acquired_at]
-            self._idle[address] = [one for one in idle if one not in doubtful]
-            for one in doubtful:
-                await one.close()
+            stale = [
+                idle_connection
+                for idle_connection in idle
+                if idle_connection.released_at < connection.acquired_at
+            ]
+            self._idle[address] = [
+                idle_connection for idle_connection in idle if idle_connection not in stale
+            ]
+            for idle_connection in stale:
+                await idle_connection.close()
 
     async def close_expired(self) -> None:
         """Close connections that were idle for too long."""
         now = self._clock()
         for address, refused_at in list(self._refused_at.items()):
-            if now - refused_at >= REFUSAL_REMEMBERED_S:
+            if now - refused_at >= REFUSAL_TTL_S:
                 del self._refused_at[address]
         for address, idle in list(self._idle.items()):
-            kept = [one for one in idle if now < one.usable_until and not one.has_unread()]
-            expired = [one for one in idle if one not in kept]
-            self._idle[address] = kept
+            usable = [
+                connection
+                for connection in idle
+                if now < connection.usable_until and not connection.has_unread()
+            ]
+            expired = [connection for connection in idle if connection not in usable]
+            self._idle[address] = usable
             for connection in expired:
                 await connection.close()
             if not self._idle[address]:
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -11,13 +11,13 @@
 import xxhash
 from msgspec import Struct
 
-FIRST_SUSPICION_S = 0.5
-LONGEST_SUSPICION_S = 3.0
-HEARD_SUSPICION_S = 1.2
+MIN_SUSPICION_S = 0.5
+MAX_SUSPICION_S = 3.0
+PEER_SUSPICION_TTL_S = 1.2
 """How long another node's word counts: its reports, at least one a second, renew it."""
 
 
-LATE_ENTRIES = 2
+MAX_LATE_ENTRIES = 2
 """So many entries in a row with an earlier start than the one known are taken for writes that the
 store did after the replica which sent them had ended: it has one under way, and one that it sent
 again. A replica that runs writes on, so after these its clock was set back."""
@@ -48,28 +48,28 @@
             else self.replica_id
         )
 
-    def may_be_incarnation(self, born_ms: int) -> bool:
+    def may_be_incarnation(self, started_ms: int) -> bool:
         """Whether this may be the start that began at a time; 0 there or here: not told."""
-        return self.started_ms == born_ms or 0 in (self.started_ms, born_ms)
+        return self.started_ms == started_ms or 0 in (self.started_ms, started_ms)
 
 
 class _Suspicion(Struct):
-    until: float
-    pause_s: float
+    expires_at: float
+    duration_s: float
 
 
 @attrs.define
-class _Start:
+class _Incarnation:
     """The last start of a replica that was told; known also while its entry is gone."""
 
     replica: Replica
     late_version: int = 0
     late_entries: int = 0
-    left_born_ms: int = 0
+    drained_started_ms: int = 0
     """The last start before it that told that it leaves; 0: none did."""
 
 
-OnNewStart = Callable[[Replica, Replica], None]
+RestartListener = Callable[[Replica, Replica], None]
 """Called with the start before and the new one."""
 
 
@@ -78,11 +78,11 @@
 
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
-        self._removed: dict[str, int] = {}
+        self._removed_versions: dict[str, int] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._heard: dict[str, float] = {}
-        self._starts: dict[str, _Start] = {}
-        self.restart_listeners: list[OnNewStart] = []
+        self._peer_suspected_until: dict[str, float] = {}
+        self._incarnations: dict[str, _Incarnation] = {}
+        self.restart_listeners: list[RestartListener] = []
         """Told when a replica has started again under its id, before its list is confirmed."""
 
         self.version = 0
@@ -116,13 +116,17 @@
 
     def usable(self, service: str) -> list[Replica]:
         """Return the replicas of a service that take new work."""
-        known = self._usable.get(service)
-        if known is None:
-            known = [one for one in self.all() if one.service == service and not one.is_draining]
-            self._usable[service] = known
-        return known
-
-    def _note_change(self) -> None:
+        replicas = self._usable.get(service)
+        if replicas is None:
+            replicas = [
+                replica
+                for replica in self.all()
+                if replica.service == service and not replica.is_draining
+            ]
+            self._usable[service] = replicas
+        return replicas
+
+    def _reset_caches(self) -> None:
         self._fingerprint = None
         self._usable = {}
 
@@ -133,81 +137,81 @@
         Replicas renew their entries all the time; versions alone make no difference.
         """
         if self._fingerprint is None:
-            described = "\n".join(_described(one) for one in self.all())
-            self._fingerprint = xxhash.xxh64_intdigest(described.encode()) >> 16
+            text = "\n".join(_fingerprint_text(replica) for replica in self.all())
+            self._fingerprint = xxhash.xxh64_intdigest(text.encode()) >> 16
         return self._fingerprint
 
     def put(self, replica: Replica) -> bool:
         """Take a newer entry; return whether what may be sent there changed."""
-        known = self._replicas.get(replica.replica_id)
-        if known is not None and known.version >= replica.version:
+        current = self._replicas.get(replica.replica_id)
+        if current is not None and current.version >= replica.version:
             return False
-        if self._removed.get(replica.replica_id, -1) >= replica.version:
+        if self._removed_versions.get(replica.replica_id, -1) >= replica.version:
             return False
         if self._is_late(replica):
             return False
         self._replicas[replica.replica_id] = replica
-        differs = known is None or _differs(known, replica)
+        differs = current is None or _differs(current, replica)
         if differs:
-            self._note_change()
-        self._note_start(replica)
+            self._reset_caches()
+        self._record_incarnation(replica)
         return differs
 
-    def has_left(self, replica: Replica) -> bool:
+    def was_draining(self, replica: Replica) -> bool:
         """Whether a start of a replica, which another one has followed, told that it leaves."""
-        known = self._starts.get(replica.replica_id)
-        return known is not None and 0 < replica.started_ms == known.left_born_ms
+        incarnation = self._incarnations.get(replica.replica_id)
+        return incarnation is not None and 0 < replica.started_ms == incarnation.drained_started_ms
 
     def _is_late(self, replica: Replica) -> bool:
         """Whether an entry is of a start that has ended, though the store took it just now."""
-        start = self._starts.get(replica.replica_id)
-        if start is None or not 0 < replica.started_ms < start.replica.started_ms:
+        incarnation = self._incarnations.get(replica.replica_id)
+        if incarnation is None or not 0 < replica.started_ms < incarnation.replica.started_ms:
             return False
-        if replica.version > start.late_version:
-            start.late_version = replica.version
-            start.late_entries += 1
-        return start.late_entries <= LATE_ENTRIES
+        if replica.version > incarnation.late_version:
+            incarnation.late_version = replica.version
+            incarnation.late_entries += 1
+        return incarnation.late_entries <= MAX_LATE_ENTRIES
 
-    def _note_start(self, replica: Replica) -> None:
+    def _record_incarnation(self, replica: Replica) -> None:
         if not replica.started_ms:
             return
-        before = self._starts.get(replica.replica_id)
-        known = self._starts[replica.replica_id] = _Start(replica)
-        if before is None:
+        previous = self._incarnations.get(replica.replica_id)
+        current = self._incarnations[replica.replica_id] = _Incarnation(replica)
+        if previous is None:
             return
-        known.left_born_ms = before.left_born_ms
-        if before.replica.started_ms == replica.started_ms:
+        current.drained_started_ms = previous.drained_started_ms
+        if previous.replica.started_ms == replica.started_ms:
             return
-        if before.replica.is_draining:
-            known.left_born_ms = before.replica.started_ms
+        if previous.replica.is_draining:
+            current.drained_started_ms = previous.replica.started_ms
         self.clear_suspicion(replica.replica_id)
-        for tell in self.restart_listeners:
-            tell(before.replica, replica)
+        for listener in self.restart_listeners:
+            listener(previous.replica, replica)
 
     def remove(self, replica_id: str, version: int) -> bool:
         """Forget a replica unless a newer entry of it is known; return whether it was there."""
-        known = self._replicas.get(replica_id)
-        if known is not None and known.version > version:
+        current = self._replicas.get(replica_id)
+        if current is not None and current.version > version:
             return False
-        self._removed[replica_id] = max(version, self._removed.get(replica_id, 0))
+        self._removed_versions[replica_id] = max(version, self._removed_versions.get(replica_id, 0))
         self._suspicions.pop(replica_id, None)
-        self._heard.pop(replica_id, None)
+        self._peer_suspected_until.pop(replica_id, None)
         if self._replicas.pop(replica_id, None) is None:
             return False
-        self._note_change()
+        self._reset_caches()
         return True
 
     def replace(self, replicas: list[Replica], version: int) -> list[str]:
         """Take a whole list as of ``version``; return the ids that it removed.
 
         >>> directory = ReplicaDirectory()
-        >>> one = Replica("r1", "s", "127.0.0.1", 80, "z", 8, False, version=5)
-        >>> directory.replace([one], version=6)
+        >>> replica = Replica("r1", "s", "127.0.0.1", 80, "z", 8, False, version=5)
+        >>> directory.replace([replica], version=6)
         []
         >>> directory.replace([], version=4), directory.replace([], version=7)
         ([], ['r1'])
         """
-        listed = {one.replica_id for one in replicas}
+        listed = {replica.replica_id for replica in replicas}
         for replica in replicas:
             self.put(replica)
         missing = [key for key in sorted(self._replicas) if key not in listed]
@@ -217,44 +221,48 @@
 
     def suspect(self, replica_id: str, now: float) -> None:
         """Avoid a replica for a while, longer each time it fails again."""
-        known = self._suspicions.get(replica_id)
-        pause_s = FIRST_SUSPICION_S
-        if known is not None:
-            if now < known.until:
+        suspicion = self._suspicions.get(replica_id)
+        duration_s = MIN_SUSPICION_S
+        if suspicion is not None:
+            if now < suspicion.expires_at:
                 return
-            pause_s = min(LONGEST_SUSPICION_S, 2 * known.pause_s)
-        self._suspicions[replica_id] = _Suspicion(now + pause_s, pause_s)
+            duration_s = min(MAX_SUSPICION_S, 2 * suspicion.duration_s)
+        self._suspicions[replica_id] = _Suspicion(now + duration_s, duration_s)
 
     def suspects(self, now: float) -> list[str]:
         """Return the replicas that failed at this node and are avoided, sorted."""
-        return sorted(key for key, one in self._suspicions.items() if now < one.until)
+        return sorted(
+            replica_id
+            for replica_id, suspicion in self._suspicions.items()
+            if now < suspicion.expires_at
+        )
 
     def add_peer_suspects(self, replica_ids: list[str], now: float) -> None:
         """Replicas failed at another node just now; this is not told on."""
         for replica_id in replica_ids:
-            self._heard[replica_id] = now + HEARD_SUSPICION_S
+            self._peer_suspected_until[replica_id] = now + PEER_SUSPICION_TTL_S
 
     def clear_suspicion(self, replica_id: str) -> None:
         """A replica answered: it is as good as any other again."""
         self._suspicions.pop(replica_id, None)
-        self._heard.pop(replica_id, None)
+        self._peer_suspected_until.pop(replica_id, None)
 
     def is_suspect(self, replica_id: str, now: float) -> bool:
         """Whether a replica failed here lately."""
-        known = self._suspicions.get(replica_id)
-        return known is not None and now < known.until
+        suspicion = self._suspicions.get(replica_id)
+        return suspicion is not None and now < suspicion.expires_at
 
     def is_peer_suspect(self, replica_id: str, now: float) -> bool:
         """Whether a replica failed at another node lately: it may be that node's own fault."""
-        return now < self._heard.get(replica_id, now)
+        return now < self._peer_suspected_until.get(replica_id, now)
 
 
-def _differs(known: Replica, replica: Replica) -> bool:
+def _differs(current: Replica, replica: Replica) -> bool:
     """Whether more than the version of an entry has changed."""
-    return msgspec.structs.replace(known, version=replica.version) != replica
+    return msgspec.structs.replace(current, version=replica.version) != replica
 
 
-def _described(replica: Replica) -> str:
+def _fingerprint_text(replica: Replica) -> str:
     """Return what an entry says but its version; as before where no start is told."""
     fields = msgspec.structs.astuple(msgspec.structs.replace(replica, version=0))
     return repr(fields if replica.started_ms else fields[:-1])
--- a/src/cloverwalk/gateway/reply.py
+++ b/src/cloverwalk/gateway/reply.py
@@ -18,21 +18,25 @@
     """
 
     def __init__(
-        self, sock: Any, http: h11.Connection, closes_after: bool, outbox: SendBuffer | None = None
+        self,
+        sock: Any,
+        http: h11.Connection,
+        closes_after: bool,
+        send_buffer: SendBuffer | None = None,
     ) -> None:
         self._sock = sock
         self._http = http
         self._closes_after = closes_after
-        self._outbox = outbox
+        self._send_buffer = send_buffer
         self.has_begun = False
         self.is_finished = False
         self.status = 0
         self._unsent = b""
 
     @property
-    def lost_code(self) -> str:
+    def disconnect_code(self) -> str:
         """Why the answer's client is lost, once it is."""
-        is_slow = self._outbox is not None and self._outbox.is_given_up
+        is_slow = self._send_buffer is not None and self._send_buffer.is_dropped
         return "client_stalled" if is_slow else "client_gone"
 
     def close_after(self) -> None:
@@ -61,15 +65,15 @@
     def write_now(self, data: bytes) -> bool:
         """Send a piece of the body without waiting; False: ``flush`` has to be awaited next."""
         unsent = self._try_send(self._http.send(h11.Data(data=data)) or b"")
-        if self._outbox is not None:
-            return not unsent or self._outbox.put(unsent)
+        if self._send_buffer is not None:
+            return not unsent or self._send_buffer.put(unsent)
         self._unsent = unsent
         return not unsent
 
     async def flush(self) -> None:
         """See to it that what ``write_now`` could not send is sent; waits where that is much."""
-        if self._outbox is not None:
-            await self._outbox.settle()
+        if self._send_buffer is not None:
+            await self._send_buffer.wait_for_space()
             return
         unsent, self._unsent = self._unsent, b""
         await self._send(unsent)
@@ -89,10 +93,10 @@
 
     async def drain(self) -> None:
         """Return once the client has taken the whole answer."""
-        if self._outbox is None:
+        if self._send_buffer is None:
             return
         try:
-            await self._outbox.drain()
+            await self._send_buffer.drain()
         except (ClientGoneError, curio.CancelledError):
             # Some of it is not out: nothing more may follow it.
             self.is_finished = False
@@ -100,13 +104,13 @@
 
     async def close(self) -> None:
         """Drop what was not sent; an answer of which a part is dropped is not finished."""
-        if self._outbox is not None:
-            self.is_finished = self.is_finished and not self._outbox.waiting_bytes
-            await self._outbox.close()
+        if self._send_buffer is not None:
+            self.is_finished = self.is_finished and not self._send_buffer.waiting_bytes
+            await self._send_buffer.close()
 
     def _try_send(self, data: bytes) -> bytes:
         """Send what the socket takes at once; return the rest."""
-        if self._outbox is not None and self._outbox.waiting_bytes:
+        if self._send_buffer is not None and self._send_buffer.waiting_bytes:
             return data
         try:
             size = self._sock._socket.send(data)
@@ -114,17 +118,17 @@
             return data
         except OSError as error:
             raise ClientGoneError(repr(error)) from error
-        if self._outbox is not None:
-            self._outbox.note_sent(size)
+        if self._send_buffer is not None:
+            self._send_buffer.record_sent(size)
         return data[size:]
 
     async def _send(self, data: bytes) -> None:
         data = self._try_send(data)
         if not data:
             return
-        if self._outbox is not None:
-            self._outbox.put(data)
-            await self._outbox.settle()
+        if self._send_buffer is not None:
+            self._send_buffer.put(data)
+            await self._send_buffer.wait_for_space()
             return
         try:
             async with curio.timeout_after(SEND_STALL_S):
@@ -141,9 +145,9 @@
     async def _send_last(self, data: bytes) -> None:
         """Send the end of the answer; with an outbox the replica is free from here on."""
         self.is_finished = True
-        if self._outbox is None:
+        if self._send_buffer is None:
             if data:
                 await self._send(data)
         elif unsent := self._try_send(data):
-            self._outbox.put(unsent)
-            await self._outbox.start()
+            self._send_buffer.put(unsent)
+            await self._send_buffer.start()
--- a/src/cloverwalk/gateway/request_timing.py
+++ b/src/cloverwalk/gateway/request_timing.py
@@ -14,15 +14,15 @@
     """
     if progress.sent_at is None or progress.tried or progress.refused:
         return None
-    began_at = progress.first_event_at or now
-    holds_since = progress.first_event_at or progress.sent_at
+    answer_began_at = progress.first_event_at or now
+    slot_taken_at = progress.first_event_at or progress.sent_at
     return RequestTiming(
         progress.route.name,
         progress.last_replica,
-        round((began_at - progress.sent_at) * 1000),
-        round((now - holds_since) * 1000),
+        round((answer_began_at - progress.sent_at) * 1000),
+        round((now - slot_taken_at) * 1000),
         round(progress.expected_wait_ms),
-        0 if progress.was_read_late else progress.events,
+        0 if progress.was_client_slow else progress.events,
         slowdown_percent(load),
         tenant,
     )
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -22,7 +22,7 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-QUIET_S = 0.25
+QUIET_TIME_S = 0.25
 """A replica that runs has put something out within this time, mostly: prompts are read in some 10
 to 100 ms, and events come some ms apart."""
 
@@ -33,7 +33,7 @@
 
     address: tuple[str, int]
     opened_before: float
-    learnt_at: float
+    detected_at: float
 
 
 class RestartHandler:
@@ -43,52 +43,54 @@
         self,
         directory: ReplicaDirectory,
         pool: ReplicaPool,
-        witness: CrashDetector,
+        crash_detector: CrashDetector,
         log: ServingLog,
         metrics: ServingMetrics,
         clock: Callable[[], float],
     ) -> None:
         self._directory = directory
         self._pool = pool
-        self._witness = witness
+        self._crash_detector = crash_detector
         self._log = log
         self._metrics = metrics
         self._clock = clock
-        self._open: list[_Restart] = []
-        directory.restart_listeners.append(self._note)
+        self._pending: list[_Restart] = []
+        directory.restart_listeners.append(self._on_restart)
 
-    def _note(self, before: Replica, replica: Replica) -> None:
+    def _on_restart(self, previous: Replica, replica: Replica) -> None:
         now = self._clock()
-        address = (before.host, before.port)
-        discarded = broken_off = 0
-        if not self._is_reused(before):
-            opened_before = min(self._directory.confirmed_at, self._pool.take_refusal(address))
+        address = (previous.host, previous.port)
+        discarded = aborted = 0
+        if not self._is_reused(previous):
+            opened_before = min(self._directory.confirmed_at, self._pool.pop_refused_at(address))
             restart = _Restart(address, opened_before, now)
             discarded = self._pool.discard_idle(address)
-            broken_off = self._pool.break_off(address, restart.opened_before, now - QUIET_S)
-            self._open.append(restart)
+            aborted = self._pool.abort_exchanges(address, restart.opened_before, now - QUIET_TIME_S)
+            self._pending.append(restart)
         self._metrics.replica_restarted()
         self._log.write(
             catalogue.REPLICA_RESTARTED,
             replica=replica.replica_id,
             version=replica.version,
             born_ms=replica.started_ms,
-            before_ms=before.started_ms,
-            broken_off=broken_off,
+            before_ms=previous.started_ms,
+            broken_off=aborted,
             connections=discarded,
         )
 
-    def _is_reused(self, before: Replica) -> bool:
+    def _is_reused(self, previous: Replica) -> bool:
         """Whether an address belongs to another replica by now."""
         return any(
-            (one.host, one.port) == (before.host, before.port)
-            and one.replica_id != before.replica_id
-            for one in self._directory.all()
+            (replica.host, replica.port) == (previous.host, previous.port)
+            and replica.replica_id != previous.replica_id
+            for replica in self._directory.all()
         )
 
     def abort_stale(self) -> None:
         """Break off what had moved just before a new start was learnt, and not since."""
         now = self._clock()
-        for restart in [one for one in self._open if now - one.learnt_at >= QUIET_S]:
-            self._open.remove(restart)
-            self._pool.break_off(restart.address, restart.opened_before, restart.learnt_at)
+        for restart in [
+            pending for pending in self._pending if now - pending.detected_at >= QUIET_TIME_S
+        ]:
+            self._pending.remove(restart)
+            self._pool.abort_exchanges(restart.address, restart.opened_before, restart.detected_at)
--- a/src/cloverwalk/gateway/rotation.py
+++ b/src/cloverwalk/gateway/rotation.py
@@ -20,10 +20,10 @@
         for service, weight in parts:
             weights[service] = weights.get(service, 0.0) + weight
         credits = self._credits.setdefault(route, {})
-        for service in [one for one in credits if one not in weights]:
+        for service in [name for name in credits if name not in weights]:
             del credits[service]
         for service, weight in weights.items():
             credits[service] = credits.get(service, 0.0) + weight
-        chosen = max(weights, key=lambda one: (credits[one], one))
+        chosen = max(weights, key=lambda name: (credits[name], name))
         credits[chosen] -= sum(weights.values())
         return chosen
--- a/src/cloverwalk/gateway/send_buffer.py
+++ b/src/cloverwalk/gateway/send_buffer.py
@@ -19,7 +19,7 @@
 SEND_STALL_S = 5.0
 """A client that takes nothing for so long is given up, and the work for it with it."""
 
-UNREAD_S = 2.0
+MAX_UNREAD_S = 2.0
 """A replica stays unread for a full outbox for this long at most: it cuts answers off after some
 seconds."""
 
@@ -27,16 +27,16 @@
 class SendBuffer:
     """Sends to one client beside the task that serves it."""
 
-    def __init__(self, sock: Any, held: MemoryBudget, clock: Callable[[], float]) -> None:
+    def __init__(self, sock: Any, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._sock = sock
-        self._held = held
+        self._budget = budget
         self._clock = clock
         self._waiting = bytearray()
         self._sender: Any = None
         self._is_sending = False
-        self._moved = curio.Event()
+        self._progressed = curio.Event()
         self._error: ClientGoneError | None = None
-        self._took_at = clock()
+        self._last_read_at = clock()
 
     @property
     def waiting_bytes(self) -> int:
@@ -44,29 +44,29 @@
         return len(self._waiting)
 
     @property
-    def took_at(self) -> float:
+    def last_read_at(self) -> float:
         """When the client last took anything, or something began to wait for it."""
-        return self._took_at
+        return self._last_read_at
 
     @property
-    def is_given_up(self) -> bool:
+    def is_dropped(self) -> bool:
         """Whether the client was given up because it does not read."""
         return self._error is not None and self._error.code == "client_stalled"
 
     def put(self, data: bytes) -> bool:
-        """Add bytes behind those that wait; False: ``settle`` has to be awaited next."""
+        """Add bytes behind those that wait; False: ``wait_for_space`` has to be awaited next."""
         self._raise_error()
         now = self._clock()
         if not self._waiting:
-            self._took_at = now
+            self._last_read_at = now
         self._waiting += data
-        self._held.note_waiting(self, now)
+        self._budget.note_waiting(self, now)
         self._raise_error()
         return self._is_sending and len(self._waiting) <= MAX_WAITING_BYTES
 
-    def note_sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """So much was sent past the outbox, since nothing waited in it."""
-        self._held.sent_bytes += size
+        self._budget.sent_bytes += size
 
     async def start(self) -> None:
         """Send what waits beside the caller."""
@@ -74,23 +74,23 @@
             self._is_sending = True
             self._sender = await curio.spawn(self._send_waiting, daemon=True)
 
-    async def settle(self) -> None:
+    async def wait_for_space(self) -> None:
         """Send what waits beside the caller; returns once little enough waits."""
         await self.start()
         if len(self._waiting) <= MAX_WAITING_BYTES:
             self._raise_error()
             return
         try:
-            async with curio.timeout_after(UNREAD_S):
-                await self._until_at_most(MAX_WAITING_BYTES)
+            async with curio.timeout_after(MAX_UNREAD_S):
+                await self._wait_until_at_most(MAX_WAITING_BYTES)
         except curio.TaskTimeout as error:
-            self._lose()
+            self._drop_and_record()
             raise ClientGoneError("the client reads too slowly", "client_stalled") from error
 
     async def drain(self) -> None:
         """Return once the client has taken all; no replica stays unread meanwhile."""
         await self.start()
-        await self._until_at_most(0)
+        await self._wait_until_at_most(0)
 
     async def close(self) -> None:
         """Drop what waits; the connection is closed by its owner."""
@@ -98,9 +98,9 @@
         if sender is not None:
             await sender.cancel()
         self._waiting.clear()
-        self._held.forget(self)
+        self._budget.remove(self)
 
-    def give_up(self) -> None:
+    def drop(self) -> None:
         """Close the connection and drop what waits: the client reads too slowly."""
         self._error = ClientGoneError("the client does not read", "client_stalled")
         self._waiting.clear()
@@ -109,23 +109,23 @@
             # The client may be gone already, which is as good.
             self._sock._socket.shutdown(socket.SHUT_RDWR)
 
-    def _lose(self) -> None:
+    def _drop_and_record(self) -> None:
         """Give this client up, whatever others hold."""
-        self._held.forget(self)
-        self._held.note_given_up(self, self._clock())
-        self.give_up()
+        self._budget.remove(self)
+        self._budget.record_dropped(self, self._clock())
+        self.drop()
 
     def _raise_error(self) -> None:
         if self._error is not None:
             raise self._error
 
-    async def _until_at_most(self, size: int) -> None:
+    async def _wait_until_at_most(self, size: int) -> None:
         while True:
             self._raise_error()
             if len(self._waiting) <= size:
                 return
-            self._moved.clear()
-            await self._moved.wait()
+            self._progressed.clear()
+            await self._progressed.wait()
 
     async def _send_waiting(self) -> None:
         try:
@@ -135,17 +135,17 @@
             self._error = self._error or ClientGoneError(repr(error))
             self._waiting.clear()
         except curio.TaskTimeout:
-            self._lose()
+            self._drop_and_record()
         self._is_sending = False
-        self._held.forget(self)
-        await self._moved.set()
+        self._budget.remove(self)
+        await self._progressed.set()
 
     async def _send_chunk(self) -> None:
         chunk = bytes(self._waiting[:CHUNK_BYTES])
         async with curio.timeout_after(SEND_STALL_S):
             size = await self._sock.send(chunk)
         del self._waiting[:size]
-        self.note_sent(size)
-        self._held.note_taken(self)
-        self._took_at = self._clock()
-        await self._moved.set()
+        self.record_sent(size)
+        self._budget.record_read(self)
+        self._last_read_at = self._clock()
+        await self._progressed.set()
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -21,7 +21,7 @@
 
 READ_BYTES = 65536
 BACKLOG = 1024
-LINGER_S = 0.5
+LINGER_TIMEOUT_S = 0.5
 BODY_TIMEOUT_S = 10.0
 MAX_PIPELINED_BYTES = 262_144
 NODE_FULL = "node_full"
@@ -47,7 +47,7 @@
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=1 << 20)
         self.is_serving = False
         self.is_idle = True
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         """What is held of the bodies of the present request and of those that came behind it."""
 
     # --- reading ---
@@ -59,8 +59,8 @@
     async def _next_event(self) -> Any:
         while (event := self._http.next_event()) is h11.NEED_DATA:
             if self._http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                await self._sock.sendall(self._http.send(go_on))
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                await self._sock.sendall(self._http.send(continue_response))
             await self._receive()
         return event
 
@@ -88,7 +88,7 @@
             if name == b"content-length" and int(value) > limit:
                 raise too_large
             if name == b"content-length":
-                self._check_room(int(value))
+                self._check_memory_for(int(value))
         parts: list[bytes] = []
         size = 0
         async with curio.timeout_after(BODY_TIMEOUT_S):
@@ -98,31 +98,31 @@
                 size += len(event.data)
                 if size > limit:
                     raise too_large
-                self._check_room(len(event.data))
-                self._hold(len(event.data))
+                self._check_memory_for(len(event.data))
+                self._count_buffered(len(event.data))
                 parts.append(bytes(event.data))
         return b"".join(parts)
 
-    def _fits(self, size: int) -> bool:
+    def _has_memory_for(self, size: int) -> bool:
         """Whether the process has memory for so much more of what this client sends."""
-        held = self._server.memory_budget
-        return held is None or held.has_room(size, self._server.clock())
+        budget = self._server.memory_budget
+        return budget is None or budget.has_capacity_for_body(size, self._server.clock())
 
-    def _check_room(self, size: int) -> None:
+    def _check_memory_for(self, size: int) -> None:
         """Raise GatewayError where the process has no memory for so much of a body."""
-        if not self._fits(size):
+        if not self._has_memory_for(size):
             message = "this node has no room for the body"
             raise GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
 
-    def _hold(self, size: int) -> None:
+    def _count_buffered(self, size: int) -> None:
         if self._server.memory_budget is not None:
             self._server.memory_budget.bodies += size
-            self._held_bytes += size
+            self._buffered_bytes += size
 
-    def _let_go(self) -> None:
+    def _release_buffered(self) -> None:
         if self._server.memory_budget is not None:
-            self._server.memory_budget.bodies -= self._held_bytes
-            self._held_bytes = 0
+            self._server.memory_budget.bodies -= self._buffered_bytes
+            self._buffered_bytes = 0
 
     async def _read_request(self) -> ClientRequest:
         head = await self._read_head()
@@ -145,20 +145,20 @@
     async def serve(self) -> None:
         """Serve requests until the connection ends."""
         try:
-            while await self._serve_and_let_go():
+            while await self._serve_and_release():
                 self._http.start_next_cycle()
         except (_ConnectionEnded, ClientGoneError, OSError):
             pass
         finally:
             await self._sock.close()
 
-    async def _serve_and_let_go(self) -> bool:
+    async def _serve_and_release(self) -> bool:
         try:
-            return await self._serve_one()
+            return await self._serve_request()
         finally:
-            self._let_go()
+            self._release_buffered()
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         try:
             request = await self._read_request()
         except curio.TaskTimeout:
@@ -173,14 +173,14 @@
         except GatewayError as error:
             await self._refuse(error)
             return False
-        outbox = None
+        send_buffer = None
         if self._server.memory_budget is not None:
-            outbox = SendBuffer(self._sock, self._server.memory_budget, self._server.clock)
-        reply = Reply(self._sock, self._http, self._server.is_stopping, outbox)
+            send_buffer = SendBuffer(self._sock, self._server.memory_budget, self._server.clock)
+        reply = Reply(self._sock, self._http, self._server.is_stopping, send_buffer)
         self.is_serving = True
         self._server.serving_count += 1
         try:
-            await self._serve_watched(request, reply)
+            await self._serve_while_connected(request, reply)
         finally:
             self.is_serving = False
             self._server.serving_count -= 1
@@ -189,9 +189,9 @@
             return False
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
-    async def _serve_watched(self, request: ClientRequest, reply: Reply) -> None:
+    async def _serve_while_connected(self, request: ClientRequest, reply: Reply) -> None:
         task = await curio.spawn(self._handle, request, reply)
-        watcher = await curio.spawn(self._watch, task)
+        watcher = await curio.spawn(self._watch_client, task)
         try:
             await task.wait()
         finally:
@@ -215,10 +215,10 @@
             return error
         return None
 
-    async def _watch(self, task: Any) -> None:
+    async def _watch_client(self, task: Any) -> None:
         """Cancel the serving task when the client goes away."""
-        pipelined = 0
-        while pipelined < MAX_PIPELINED_BYTES:
+        pipelined_bytes = 0
+        while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = await self._sock.recv(READ_BYTES)
             except OSError:
@@ -226,9 +226,9 @@
             if not data:
                 await task.cancel(blocking=False)
                 return
-            pipelined += len(data)
-            self._hold(len(data))
-            if not self._fits(0):
+            pipelined_bytes += len(data)
+            self._count_buffered(len(data))
+            if not self._has_memory_for(0):
                 # No more is read of what it sends ahead of its answer.
                 return
             self._http.receive_data(data)
@@ -237,13 +237,13 @@
         """Answer a request that could not be read, then close. Nobody has heard of it yet."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        answer = error_response(error, NOTHING_SENT)
-        self._server.on_refused(answer)
+        response = error_response(error, NOTHING_SENT)
+        self._server.on_refused(response)
         reply = Reply(self._sock, self._http, closes_after=True)
-        headers = self._server.codec.local_reply_headers("", answer.retry_after_s)
+        headers = self._server.codec.local_reply_headers("", response.retry_after_s)
         try:
-            async with curio.timeout_after(LINGER_S):
-                await reply.respond(answer.status, headers, answer.message.encode())
+            async with curio.timeout_after(LINGER_TIMEOUT_S):
+                await reply.respond(response.status, headers, response.message.encode())
                 await self._linger()
         except (ClientGoneError, OSError, curio.TaskTimeout, h11.LocalProtocolError):
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -341,8 +341,8 @@
     Mutant(
         "serving: the id of an answer is not checked",
         "gateway/replica_connection.py",
-        "            if answered == request_id or (answered is None and self._exchanges == 1):",
-        "            if True:",
+        "if answered == request_id or (answered is None and self._exchange_count == 1):",
+        "if True:",
         ONLINE + "test_answers_to_others_are_never_passed_on",
     ),
     Mutant(
@@ -446,8 +446,8 @@
     Mutant(
         "serving: a draining replica is used",
         "gateway/replicas.py",
-        "one.service == service and not one.is_draining]",
-        "one.service == service]",
+        "replica.service == service and not replica.is_draining",
+        "replica.service == service",
         ONLINE + "test_a_draining_or_removed_replica_gets_nothing_new",
         (
             (
@@ -538,7 +538,7 @@
     Mutant(
         "serving: a node as full as its zone turns work away",
         "gateway/overload_monitor.py",
-        "        if ahead < (MARGIN / 2 if was_full else MARGIN):",
+        "        if excess < (PEER_MARGIN / 2 if was_full else PEER_MARGIN):",
         "        if False:",
         ROOM + "test_a_node_whose_peers_are_as_full_or_unknown_turns_nothing_away",
     ),
@@ -895,8 +895,8 @@
     Mutant(
         "serving: connections that rest outlive a silent one",
         "gateway/replica_connection.py",
-        "            doubtful = [one for one in idle if one.released_at < connection.acquired_at]",
-        "            doubtful: list[ReplicaConnection] = []",
+        "                if idle_connection.released_at < connection.acquired_at",
+        "                if False",
         "tests/serving/test_silent_connections.py::"
         "test_one_request_is_late_by_all_silent_connections_to_replicas",
     ),
@@ -917,8 +917,8 @@
     Mutant(
         "serving: refusals: the progress forgets failed attempts",
         "gateway/progress.py",
-        "        known = self.tried if self.is_sent else self.refused",
-        "        known = self.refused",
+        "        replica_ids = self.tried if self.is_sent else self.refused",
+        "        replica_ids = self.refused",
         PROMISED,
     ),
     Mutant(
@@ -931,14 +931,14 @@
     Mutant(
         "serving: refusals: any refusing status of a replica is a proof",
         "gateway/relay.py",
-        "    return head.fields.was_not_run and head.status >= LEAST_FAILURE_STATUS",
+        "    return head.fields.was_not_run and head.status >= MIN_FAILURE_STATUS",
         "    return head.status in (408, 421, 429, 503)",
         PROMISED,
     ),
     Mutant(
         "serving: refusals: a success proves that nothing was run",
         "gateway/relay.py",
-        "    return head.fields.was_not_run and head.status >= LEAST_FAILURE_STATUS",
+        "    return head.fields.was_not_run and head.status >= MIN_FAILURE_STATUS",
         "    return head.fields.was_not_run",
         REFUSALS + "test_a_success_proves_no_refusal",
     ),
@@ -959,7 +959,7 @@
     Mutant(
         "serving: refusals: a refusal that breaks off is no proof",
         "gateway/relay.py",
-        "            progress.note_proved_not_run()\n",
+        "            progress.mark_not_run()\n",
         "",
         REFUSALS + "test_a_refusal_that_breaks_off_is_still_a_proof",
     ),
@@ -1001,8 +1001,8 @@
     Mutant(
         "answers: runs of one item share a connection",
         "gateway/replica_connection.py",
-        "        fresh = [one for one in idle if not one.has_carried(request_id)]",
-        "        fresh = idle",
+        "if not connection.has_carried(request_id)]",
+        "]",
         ANSWERS
         + "test_a_second_answer_to_an_earlier_run_of_an_item_is_not_taken_for_the_present_one",
     ),
@@ -1016,15 +1016,15 @@
     Mutant(
         "answers: bytes read behind an answer are not looked at",
         "gateway/replica_connection.py",
-        "is not h11.DONE or rest or is_closed:",
+        "is not h11.DONE or trailing or is_closed:",
         "is not h11.DONE or is_closed:",
         ANSWERS + "test_no_bytes_of_one_request_reach_another_and_nothing_cut_looks_whole",
     ),
     Mutant(
         "answers: a connection that ended rests",
         "gateway/replica_connection.py",
-        "is not h11.DONE or rest or is_closed:",
-        "is not h11.DONE or rest:",
+        "is not h11.DONE or trailing or is_closed:",
+        "is not h11.DONE or trailing:",
         ANSWERS + "test_a_connection_that_ended_with_its_answer_does_not_rest",
     ),
     Mutant(
@@ -1058,14 +1058,14 @@
     Mutant(
         "answers: a head may hold a part of another",
         "gateway/replica_connection.py",
-        "        if self.was_kept and _holds_status_line(event):",
+        "        if self.is_reused and _holds_status_line(event):",
         "        if False:",
         ANSWERS + "test_a_head_that_begins_with_a_part_of_another_is_none",
     ),
     Mutant(
         "answers: bytes before the first request are an answer to it",
         "gateway/replica_connection.py",
-        "        if self._exchanges == 0 and self._has_bytes():",
+        "        if self._exchange_count == 0 and self._has_bytes():",
         "        if False:",
         ANSWERS + "test_what_came_before_the_first_request_is_no_answer_to_it",
     ),
@@ -1171,22 +1171,22 @@
     Mutant(
         "crashes: an ended replica is no evidence",
         "gateway/crash_detector.py",
-        "        if found is not Reachability.REFUSES:",
-        "        if found is not None:",
+        "        if reachability is not Reachability.REFUSES:",
+        "        if reachability is not None:",
         CRASHING + "test_a_request_that_comes_again_elsewhere_is_known_again",
     ),
     Mutant(
         "crashes: a reset connection is evidence",
         "gateway/crash_detector.py",
-        "        if found is not Reachability.REFUSES:",
-        "        if found is Reachability.SILENT:",
+        "        if reachability is not Reachability.REFUSES:",
+        "        if reachability is Reachability.SILENT:",
         CRASHING + "test_a_reset_connection_is_no_evidence",
     ),
     Mutant(
         "crashes: a request that was sent to an ended replica is a suspect",
         "gateway/crash_detector.py",
-        "        return delivery.is_new_connection or took_s >= DELIVERED_S",
-        "        return took_s >= 0",
+        "        return delivery.is_new_connection or elapsed_s >= DELIVERY_THRESHOLD_S",
+        "        return elapsed_s >= 0",
         "tests/serving/test_crash_detector.py::test_a_request_that_came_after_the_end_is_no_suspect",
     ),
     Mutant(
@@ -1206,8 +1206,8 @@
     Mutant(
         "crashes: a node forgets what it answered before it heard of a case",
         "gateway/crash_ledger.py",
-        "        fresh = {key: at for key, at in crashed_at.items() if at > answered_at}",
-        "        fresh = crashed_at",
+        "        new_crashes = {key: at for key, at in crashed_at.items() if at > answered_at}",
+        "        new_crashes = crashed_at",
         CASES + "test_the_order_in_which_cases_are_told_makes_no_difference",
     ),
     Mutant(
@@ -1241,8 +1241,8 @@
     Mutant(
         "refusals: a reset after the request counts as not run",
         "gateway/progress.py",
-        "        known = self.tried if self.is_sent else self.refused",
-        '        known = self.tried if self.is_sent and code != "reset" else self.refused',
+        "        replica_ids = self.tried if self.is_sent else self.refused",
+        '        replica_ids = self.tried if self.is_sent and code != "reset" else self.refused',
         REFUSALS + "test_a_connection_that_is_reset_after_the_request_promises_nothing",
     ),
     Mutant(
@@ -1277,10 +1277,10 @@
     Mutant(
         "restarts: exchanges at the start before are left to silence",
         "gateway/restarts.py",
-        "self._pool.break_off(address, restart.opened_before, now - QUIET_S)",
+        "self._pool.abort_exchanges(address, restart.opened_before, now - QUIET_TIME_S)",
         "0",
         RESTARTED + "test_a_request_that_may_not_be_repeated_gets_its_failure_at_once",
-        (("gateway/restarts.py", "            self._open.append(restart)", "            pass"),),
+        (("gateway/restarts.py", "            self._pending.append(restart)", "            pass"),),
     ),
     Mutant(
         "restarts: what may be at the new start is broken off too",
@@ -1292,7 +1292,7 @@
     Mutant(
         "restarts: an address that refused tells nothing",
         "gateway/restarts.py",
-        "min(self._directory.confirmed_at, self._pool.take_refusal(address))",
+        "min(self._directory.confirmed_at, self._pool.pop_refused_at(address))",
         "self._directory.confirmed_at",
         RESTARTED + "test_what_was_sent_after_its_address_had_refused_is_left_alone",
     ),
@@ -1320,8 +1320,8 @@
     Mutant(
         "restarts: two starts of a replica count once against a request",
         "gateway/crash_detector.py",
-        "            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):",
-        "            if self.ledger.note_crash(content, replica.replica_id, look.broken_at):",
+        "            if self.ledger.note_crash(content, replica.incarnation_id, probe.failed_at):",
+        "            if self.ledger.note_crash(content, replica.replica_id, probe.failed_at):",
         RESTARTED + "test_a_start_that_refuses_counts_for_itself",
     ),
     Mutant(
--- a/tests/serving/scripted_replica.py
+++ b/tests/serving/scripted_replica.py
@@ -122,9 +122,14 @@
                 http.receive_data(await client.recv(READ_BYTES))
             elif isinstance(event, h11.Request):
                 headers = {name.decode(): value.decode() for name, value in event.headers}
-                last = headers.get(names.LAST_EVENT_ID.decode().lower())
+                last_event_id = headers.get(names.LAST_EVENT_ID.decode().lower())
                 request_id = headers.get(names.REQUEST_ID.decode().lower(), "")
-                call = Call(connection, turn, request_id, None if last is None else int(last))
+                call = Call(
+                    connection,
+                    turn,
+                    request_id,
+                    None if last_event_id is None else int(last_event_id),
+                )
                 if not self._reads_bodies:
                     return call
             elif isinstance(event, h11.EndOfMessage):
@@ -145,13 +150,13 @@
     body: bytes,
     framing: Framing = Framing.LENGTH,
     status: int = 200,
-    more: tuple[tuple[bytes, bytes], ...] = (),
+    headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> bytes:
     """Return the bytes of a signed answer."""
     lines = [b"HTTP/1.1 %d Some-Reason" % status, names.SIGNATURE + b": signature"]
     if request_id is not None:
         lines.append(names.REQUEST_ID + b": " + request_id.encode())
-    lines += [name + b": " + value for name, value in more]
+    lines += [name + b": " + value for name, value in headers]
     if framing is Framing.LENGTH:
         lines.append(b"Content-Length: %d" % len(body))
     elif framing is Framing.CHUNKED:
@@ -187,7 +192,7 @@
         self._sent += data
         return b""
 
-    def seen(self) -> tuple[bytes, bool]:
+    def received(self) -> tuple[bytes, bool]:
         """Return the body as far as the client got it, and whether it looks whole."""
         if not self._sent:
             return b"", False
@@ -302,11 +307,11 @@
             raise
         await self.pool.release(connection, head.fields.keep_alive_s)
 
-    async def run_item(self, job: JobRun, one: ItemRun) -> str:
+    async def run_item(self, job: JobRun, item: ItemRun) -> str:
         """Run an item once; return how that ended."""
-        job.begin(one, self.replica.replica_id, time.monotonic())
+        job.begin(item, self.replica.replica_id, time.monotonic())
         try:
-            await self.items.run(job, one, self.replica, lambda: None)
+            await self.items.run(job, item, self.replica, lambda: None)
         except ItemImpossibleError:
             return "impossible"
         except ItemFailedError:
@@ -315,13 +320,13 @@
             return error.code
         return "succeeded"
 
-    def resting(self) -> list[ReplicaConnection]:
+    def idle_connections(self) -> list[ReplicaConnection]:
         """Return the connections that rest."""
         return list(self.pool._idle.get(self.address, []))
 
     async def close(self) -> None:
         """Close all connections that rest."""
-        for connection in self.resting():
+        for connection in self.idle_connections():
             await connection.close()
 
 
@@ -344,7 +349,7 @@
     await _read_wait(connection._sock._fileno)
 
 
-def against(
+def run_against(
     script: Script,
     test: Callable[[ScriptedReplica, Callers], Awaitable[None]],
     reads_bodies: bool = True,
--- a/tests/serving/test_crash_detector.py
+++ b/tests/serving/test_crash_detector.py
@@ -11,9 +11,9 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.gateway.crash_detector import (
-    BROKEN_OFF,
-    DELIVERED_S,
-    LOOK_AFTER_S,
+    DELIVERY_THRESHOLD_S,
+    POSSIBLE_CRASH_CODES,
+    PROBE_DELAYS_S,
     CrashDetector,
     Delivery,
 )
@@ -29,11 +29,11 @@
 REPLICA = Replica("r1", "model", "127.0.0.1", 1, "z1", 8, False, version=1)
 
 
-class Looks:
+class ScriptedProbes:
     """What each look at the address finds; the last one for all further looks."""
 
-    def __init__(self, *found: Reachability) -> None:
-        self.found = list(found)
+    def __init__(self, *results: Reachability) -> None:
+        self.found = list(results)
         self.count = 0
 
     async def probe(self, address: tuple[str, int]) -> Reachability:
@@ -42,10 +42,10 @@
 
 
 def crashes_after(
-    looks: Looks,
+    probes: ScriptedProbes,
     code: str = "reset",
     is_new: bool = True,
-    took_s: float = 0.0,
+    elapsed_s: float = 0.0,
     replica: Replica | None = REPLICA,
 ) -> int:
     """Return how many crashes are counted after a failure at a replica."""
@@ -53,15 +53,15 @@
     directory, ledger = ReplicaDirectory(), CrashLedger()
     if replica is not None:
         directory.put(replica)
-    pool: Any = looks
+    pool: Any = probes
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         delivery = Delivery(is_new, clock.now)
-        clock.now += took_s
-        await witness.record_failure("q1", CONTENT, REPLICA, code, delivery)
-        while witness._looks:
+        clock.now += elapsed_s
+        await detector.record_failure("q1", CONTENT, REPLICA, code, delivery)
+        while detector._probes:
             await curio.sleep(0.01)
 
     curio.run(main)
@@ -71,33 +71,33 @@
 REFUSES, LISTENS, SILENCE = Reachability.REFUSES, Reachability.LISTENS, Reachability.SILENT
 
 
-@pytest.mark.parametrize("code", sorted(BROKEN_OFF))
+@pytest.mark.parametrize("code", sorted(POSSIBLE_CRASH_CODES))
 def test_a_replica_that_broke_off_and_refuses_has_ended(code: str) -> None:
-    assert crashes_after(Looks(REFUSES), code) == 1
+    assert crashes_after(ScriptedProbes(REFUSES), code) == 1
 
 
 def test_a_port_that_closes_after_the_connections_is_noticed() -> None:
-    assert crashes_after(Looks(LISTENS, LISTENS, REFUSES)) == 1
+    assert crashes_after(ScriptedProbes(LISTENS, LISTENS, REFUSES)) == 1
 
 
 def test_what_breaks_off_later_is_looked_after_anew() -> None:
     """A reset that is looked after, and then the replica ends under another request."""
     clock, ledger, directory = HandClock(step_s=0.0), CrashLedger(), ReplicaDirectory()
     directory.put(REPLICA)
-    looks = Looks(LISTENS)
-    pool: Any = looks
+    probes = ScriptedProbes(LISTENS)
+    pool: Any = probes
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         delivery = Delivery(True, clock.now)
-        await witness.record_failure("q1", "d" * 20, REPLICA, "reset", delivery)
-        while looks.count < len(LOOK_AFTER_S) - 1:
+        await detector.record_failure("q1", "d" * 20, REPLICA, "reset", delivery)
+        while probes.count < len(PROBE_DELAYS_S) - 1:
             await curio.sleep(0.001)
         # The last look for the first one comes before the last one for the second.
-        looks.found = [LISTENS] * len(LOOK_AFTER_S) + [REFUSES]
-        await witness.record_failure("q2", CONTENT, REPLICA, "reset", delivery)
-        while witness._looks:
+        probes.found = [LISTENS] * len(PROBE_DELAYS_S) + [REFUSES]
+        await detector.record_failure("q2", CONTENT, REPLICA, "reset", delivery)
+        while detector._probes:
             await curio.sleep(0.01)
 
     curio.run(main)
@@ -106,25 +106,31 @@
 
 
 def test_a_replica_that_listens_or_says_nothing_may_live() -> None:
-    assert crashes_after(Looks(LISTENS)) == 0
-    assert crashes_after(Looks(SILENCE)) == 0
+    assert crashes_after(ScriptedProbes(LISTENS)) == 0
+    assert crashes_after(ScriptedProbes(SILENCE)) == 0
 
 
 @pytest.mark.parametrize("code", [TIMED_OUT, "not_run", "unsigned", "replica_error", "unreachable"])
 def test_other_failures_are_not_looked_after(code: str) -> None:
-    looks = Looks(REFUSES)
-    assert crashes_after(looks, code) == 0
-    assert looks.count == 0
+    probes = ScriptedProbes(REFUSES)
+    assert crashes_after(probes, code) == 0
+    assert probes.count == 0
 
 
 def test_a_replica_that_leaves_as_planned_is_no_evidence() -> None:
-    assert crashes_after(Looks(REFUSES), replica=None) == 0
+    assert crashes_after(ScriptedProbes(REFUSES), replica=None) == 0
 
 
 def test_a_request_that_came_after_the_end_is_no_suspect() -> None:
     """It was sent over a kept connection whose end the node had not seen yet."""
-    assert crashes_after(Looks(REFUSES), is_new=False, took_s=DELIVERED_S / 2) == 0
-    assert crashes_after(Looks(REFUSES), is_new=False, took_s=2 * DELIVERED_S) == 1
+    assert (
+        crashes_after(ScriptedProbes(REFUSES), is_new=False, elapsed_s=DELIVERY_THRESHOLD_S / 2)
+        == 0
+    )
+    assert (
+        crashes_after(ScriptedProbes(REFUSES), is_new=False, elapsed_s=2 * DELIVERY_THRESHOLD_S)
+        == 1
+    )
 
 
 def with_replica(test: Callable[[ReplicaPool, tuple[str, int]], Awaitable[None]]) -> None:
@@ -139,11 +145,11 @@
 
 def test_a_suspect_can_have_a_connection_of_its_own() -> None:
     async def test(pool: ReplicaPool, address: tuple[str, int]) -> None:
-        kept = await pool.acquire(address, "q1")
-        await pool.release_unused(kept)
-        own = await pool.acquire(address, "q2", force_new=True)
-        assert own is not kept and own.is_new
-        assert await pool.acquire(address, "q3") is kept
+        reused = await pool.acquire(address, "q1")
+        await pool.release_unused(reused)
+        separate = await pool.acquire(address, "q2", force_new=True)
+        assert separate is not reused and separate.is_new
+        assert await pool.acquire(address, "q3") is reused
 
     with_replica(test)
 
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -20,16 +20,16 @@
 from cloverwalk.jobs import runner
 from cloverwalk.platform import names
 
-GUILTY = b"ends whoever runs it"
-GUILTY_ITEM = b"item 1"
-INNOCENT = b"popular"
+CRASHING = b"ends whoever runs it"
+CRASHING_ITEM = b"item 1"
+HARMLESS = b"popular"
 NEIGHBOUR = b"runs long"
 CUT_OFF = b"its connection is reset"
-MOST_ENDED = 6
+MAX_CRASHES = 6
 """Three replicas, and three retries more (users' rules)."""
 
-RETURN_S = 0.1
-LOOK_S = 0.002
+RESTART_DELAY_S = 0.1
+POLL_INTERVAL_S = 0.002
 
 
 @pytest.fixture(autouse=True)
@@ -49,7 +49,7 @@
         self.neighbour_hangs = False
         """Whether neighbours run for long; until the guilty request comes."""
 
-        self._dying: list[PlatformReplica] = []
+        self._crashing: list[PlatformReplica] = []
         self._tasks: dict[str, Any] = {}
         self._count = 0
 
@@ -57,42 +57,42 @@
         await self.world.start(replicas=0, nodes=0)
         for _ in range(replicas):
             await self._add(None)
-        await self.world.spawn(self._bury)
+        await self.world.spawn(self._end_crashing)
         await self.add_nodes(nodes)
 
     async def add_nodes(self, count: int) -> None:
         for _ in range(count):
             await self.world.add_node()
-        await self.world.until(lambda: all(one.is_ready for one in self.world.nodes[-count:]))
+        await self.world.until(lambda: all(node.is_ready for node in self.world.nodes[-count:]))
 
     async def _add(self, address: tuple[str, int] | None) -> None:
         self._count += 1
         name = f"i-{self._count}"
         replica = PlatformReplica(name, address or ("127.0.0.1", free_port()))
-        replica.choose_misdeed = lambda arrival: self._choose(replica, arrival)
+        replica.choose_misdeed = lambda arrival: self._choose_misdeed(replica, arrival)
         self.world.replicas.append(replica)
         task = await curio.spawn(replica.run, daemon=True)
         self.world.tasks.append(task)
         self._tasks[name] = task
         self.world.store.put(names.REPLICA_TABLE, name, replica.document("model", "z1"))
 
-    def _choose(self, replica: PlatformReplica, arrival: Arrival) -> Misdeed | None:
+    def _choose_misdeed(self, replica: PlatformReplica, arrival: Arrival) -> Misdeed | None:
         if arrival.body.startswith(NEIGHBOUR) and self.neighbour_hangs:
             return Misdeed.RUN_SILENTLY
         if arrival.body == CUT_OFF:
             return Misdeed.RESET
-        if arrival.body not in (GUILTY, GUILTY_ITEM):
+        if arrival.body not in (CRASHING, CRASHING_ITEM):
             return None
         self.reached.append(replica.replica_id)
         self.neighbour_hangs = False
-        self._dying.append(replica)
+        self._crashing.append(replica)
         return Misdeed.RUN_SILENTLY
 
-    async def _bury(self) -> None:
+    async def _end_crashing(self) -> None:
         while True:
-            await curio.sleep(LOOK_S)
-            while self._dying:
-                await self.end(self._dying.pop(0))
+            await curio.sleep(POLL_INTERVAL_S)
+            while self._crashing:
+                await self.end(self._crashing.pop(0))
 
     async def end(self, replica: PlatformReplica) -> None:
         """End a replica as a crash does; it comes back as another instance."""
@@ -101,34 +101,34 @@
             return
         await task.cancel()
         await replica.crash()
-        await self.world.spawn(self._come_back, replica)
+        await self.world.spawn(self._restart_later, replica)
 
-    async def _come_back(self, replica: PlatformReplica) -> None:
-        await curio.sleep(RETURN_S)
+    async def _restart_later(self, replica: PlatformReplica) -> None:
+        await curio.sleep(RESTART_DELAY_S)
         self.world.store.remove(names.REPLICA_TABLE, replica.replica_id)
         await self._add(replica.address)
 
-    async def ask(self, body: bytes, node: int = 0, path: str = "/chat/a") -> Answer:
+    async def send(self, body: bytes, node: int = 0, path: str = "/chat/a") -> Answer:
         headers = [
             (names.REQUEST_ID.decode(), self.world.new_id()),
             (names.DEADLINE_MS.decode(), "3000"),
         ]
         return await self.world.call("POST", path, body, headers, node)
 
-    async def until_back(self, replicas: int = 5) -> None:
+    async def wait_until_back(self, replicas: int = 5) -> None:
         """Wait until all replicas are back and every node knows them."""
 
-        def are_known() -> bool:
+        def are_all_listed() -> bool:
             ids = sorted(self._tasks)
             return len(ids) == replicas and all(
-                [one.replica_id for one in node._directory.usable("model")] == ids
+                [replica.replica_id for replica in node._directory.usable("model")] == ids
                 for node in self.live_nodes()
             )
 
-        await self.world.until(are_known)
+        await self.world.until(are_all_listed)
 
     def content(self, body: bytes, path: str = "/chat/a") -> str:
-        """Return the name of what ``ask`` sends."""
+        """Return the name of what ``send`` sends."""
         return hash_content("", HOST, "POST", path, body=body)
 
     def stored(self) -> dict[str, bytes]:
@@ -152,14 +152,14 @@
         await crashing.start()
         answers = []
         for turn in range(6):
-            answers.append(await crashing.ask(GUILTY, node=turn % 3))
-            await crashing.until_back()
-        assert len(crashing.reached) <= MOST_ENDED
+            answers.append(await crashing.send(CRASHING, node=turn % 3))
+            await crashing.wait_until_back()
+        assert len(crashing.reached) <= MAX_CRASHES
         # Nothing was sent, and nobody is told to come back with it.
         assert answers[-1].status == 503
         assert "retry-after" not in answers[-1].headers
         for node in range(3):
-            assert (await crashing.ask(INNOCENT, node=node)).status == 200
+            assert (await crashing.send(HARMLESS, node=node)).status == 200
 
     in_crashing_world(test)
 
@@ -167,8 +167,8 @@
 def test_a_restarted_fleet_knows_it_from_the_store() -> None:
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
-        await crashing.ask(GUILTY)
-        await crashing.until_back()
+        await crashing.send(CRASHING)
+        await crashing.wait_until_back()
         await crashing.world.until(lambda: bool(crashing.stored()))
         before = len(crashing.reached)
         for index in range(len(crashing.world.nodes)):
@@ -178,9 +178,9 @@
         await crashing.add_nodes(1)
         await crashing.world.until(lambda: crashing.world.nodes[0]._case_keeper.is_read)
         for _ in range(4):
-            await crashing.ask(GUILTY)
-            await crashing.until_back()
-        assert len(crashing.reached) == before <= MOST_ENDED
+            await crashing.send(CRASHING)
+            await crashing.wait_until_back()
+        assert len(crashing.reached) == before <= MAX_CRASHES
 
     in_crashing_world(test)
 
@@ -189,13 +189,13 @@
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         for _ in range(4):
-            answer = await crashing.ask(CUT_OFF)
+            answer = await crashing.send(CUT_OFF)
             # Each attempt may have run, so nothing is promised.
             assert answer.status == 502
         node = crashing.world.nodes[0]
-        await crashing.world.until(lambda: not node._witness._looks)
+        await crashing.world.until(lambda: not node._witness._probes)
         assert node._knowledge.crash_ledger.is_empty
-        assert sum(one.runs(f"req{4:04d}") for one in crashing.world.replicas) == 3
+        assert sum(replica.runs(f"req{4:04d}") for replica in crashing.world.replicas) == 3
 
     in_crashing_world(test)
 
@@ -209,15 +209,15 @@
         ledger = world.nodes[0]._knowledge.crash_ledger
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
-        neighbours = [await curio.spawn(crashing.ask, body) for body in bodies]
-        await world.until(lambda: sum(one.running for one in world.replicas) == len(bodies))
-        await crashing.ask(GUILTY)
-        for one in neighbours:
-            await one.join()
-        await crashing.until_back()
+        neighbours = [await curio.spawn(crashing.send, body) for body in bodies]
+        await world.until(lambda: sum(replica.running for replica in world.replicas) == len(bodies))
+        await crashing.send(CRASHING)
+        for replica in neighbours:
+            await replica.join()
+        await crashing.wait_until_back()
         for body in bodies:
-            assert (await crashing.ask(body)).status == 200
-        assert list(ledger.contained()) == [crashing.content(GUILTY)]
+            assert (await crashing.send(body)).status == 200
+        assert list(ledger.contained()) == [crashing.content(CRASHING)]
 
     in_crashing_world(test)
 
@@ -230,15 +230,15 @@
         world = crashing.world
         for number in range(20):
             # Each replica has a kept connection.
-            await crashing.ask(b"warm %d" % number)
+            await crashing.send(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
         ledger = world.nodes[0]._knowledge.crash_ledger
-        answers = [await crashing.ask(b"sent late %d" % number) for number in range(8)]
-        assert {one.status for one in answers} <= {200, 502, 503}
+        answers = [await crashing.send(b"sent late %d" % number) for number in range(8)]
+        assert {answer.status for answer in answers} <= {200, 502, 503}
         assert ledger.is_empty
-        await crashing.until_back()
-        assert (await crashing.ask(b"sent late 0")).status == 200
+        await crashing.wait_until_back()
+        assert (await crashing.send(b"sent late 0")).status == 200
 
     in_crashing_world(test)
 
@@ -253,9 +253,11 @@
         await crashing.start(nodes=2)
         assert (await crashing.world.hand_in("j1", count=6)).status == 202
         results = await crashing.world.until_done("j1", 5)
-        assert sorted(one["id"] for one in results) == [f"j1-{one}" for one in (0, 2, 3, 4, 5)]
+        assert sorted(result["id"] for result in results) == [
+            f"j1-{number}" for number in (0, 2, 3, 4, 5)
+        ]
         await crashing.world.until(lambda: bool(crashing.stored()))
-        await crashing.until_back()
+        await crashing.wait_until_back()
         # The second job has the same item once more.
         assert (await crashing.world.hand_in("j2", count=30)).status == 202
         await crashing.world.until_done("j2", 29)
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -95,7 +95,7 @@
         self._loads = loads
         self._turn = 0
 
-    async def place(self, ask: PlacementRequest, until: float) -> PlacementResult:
+    async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
         """Return the next answer of the script; then one replica after the other."""
         await curio.sleep(0)
         self._turn += 1
@@ -109,10 +109,10 @@
             Placement(0, PlacementVerdict.SEND, step), self._loads.begin(step, is_batch=False)
         )
 
-    async def note_change(self) -> None:
+    async def trigger_report(self) -> None:
         """Nobody is told."""
 
-    def note_served(self, served: RequestTiming) -> None:
+    def record_request_timing(self, served: RequestTiming) -> None:
         """Nobody is told."""
 
 
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -18,18 +18,18 @@
     RecordedReply,
     ScriptedReplica,
     Step,
-    against,
     answer,
     end,
     event,
     item_job,
     readable,
+    run_against,
 )
 
 from cloverwalk.gateway import answer_relay, replica_connection
 from cloverwalk.gateway.answer_relay import MAX_BUFFERED_ANSWER_BYTES
 from cloverwalk.gateway.errors import ReplicaError
-from cloverwalk.gateway.replica_connection import SEND_IN_LINE_BYTES, ReplicaConnection
+from cloverwalk.gateway.replica_connection import MAX_INLINE_SEND_BYTES, ReplicaConnection
 from cloverwalk.jobs import item_call
 from cloverwalk.platform import names
 
@@ -42,7 +42,7 @@
         for module, name in (
             (item_call, "ANSWER_SILENCE_S"),
             (item_call, "EVENT_SILENCE_S"),
-            (answer_relay, "FIRST_EVENT_SILENCE_S"),
+            (answer_relay, "FIRST_EVENT_TIMEOUT_S"),
             (answer_relay, "EVENT_TIMEOUT_S"),
         ):
             patch.setattr(module, name, TEST_LIMIT_S)
@@ -71,7 +71,7 @@
             await connection.read_body()
         await connection.close()
 
-    against(script, test, reads_bodies=False)
+    run_against(script, test, reads_bodies=False)
 
 
 def test_an_item_does_not_fail_by_an_answer_that_was_cut() -> None:
@@ -85,7 +85,7 @@
         for _ in cases:
             assert await callers.run_item(*item_job()) in ("not_http", "reset")
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_second_answer_to_an_earlier_run_of_an_item_is_not_taken_for_the_present_one() -> None:
@@ -108,7 +108,7 @@
         assert await callers.run_item(job, one) == "succeeded"
         assert one.texts == ["own", "own"]
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_an_answer_is_not_skipped_where_its_end_is_told_by_its_request() -> None:
@@ -123,7 +123,7 @@
         outcome = await callers.exchange("b", method="HEAD")
         assert (outcome.body, outcome.code) == (None, "foreign_answer")
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_the_skipping_of_an_answer_ends_whatever_the_method_is() -> None:
@@ -134,7 +134,7 @@
         await callers.exchange("a")
         assert (await callers.exchange("b", method="CONNECT")).code == "foreign_answer"
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_connection_is_not_kept_after_a_request_that_frames_its_answer() -> None:
@@ -146,11 +146,11 @@
             assert (await callers.exchange(request_id, method="HEAD")).body == b""
         assert [call.connection for call in replica.calls] == [0, 1]
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_an_answer_with_two_lengths_is_none() -> None:
-    two = answer("a", b"whole", Framing.CHUNKED, more=((b"Content-Length", b"3"),))
+    two = answer("a", b"whole", Framing.CHUNKED, headers=((b"Content-Length", b"3"),))
 
     def script(call: Call) -> list[Step]:
         return [two]
@@ -159,7 +159,7 @@
         outcome = await callers.exchange("a")
         assert (outcome.body, outcome.code) == (None, "not_http")
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_long_answer_that_was_cut_is_not_continued_by_another_one() -> None:
@@ -172,9 +172,9 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         assert await callers.relay("a", reply) == "broken_off"
-        assert reply.seen() == (body, False)
+        assert reply.received() == (body, False)
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_run_that_does_not_go_on_where_it_was_asked_to_is_not_joined() -> None:
@@ -189,13 +189,13 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         assert await callers.relay("a", reply) == "answered"
-        assert reply.seen() == (first + rest, True)
+        assert reply.received() == (first + rest, True)
         job, one = item_job()
         outcomes = [await callers.run_item(job, one) for _ in range(3)]
         assert outcomes == ["not_http", "invalid_stream", "succeeded"]
         assert one.texts == ["own"] * 3
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_an_event_whose_id_is_garbled_is_not_passed_on_twice() -> None:
@@ -209,9 +209,9 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         assert await callers.relay("a", reply) == "answered"
-        assert reply.seen() == (whole, True)
+        assert reply.received() == (whole, True)
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_events_that_came_with_one_out_of_order_are_not_lost() -> None:
@@ -225,21 +225,24 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         outcome = await callers.relay("a", reply)
-        body, is_whole = reply.seen()
+        body, is_whole = reply.received()
         assert whole.startswith(body)
         assert is_whole == (outcome == "answered")
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_an_answer_with_two_ids_or_signatures_is_that_of_no_request() -> None:
     fields = {"a": (names.REQUEST_ID, b"other"), "b": (names.SIGNATURE, b"other")}
-    item = answer("item-1", b"", status=422, more=((names.REQUEST_ID, b"a"),))
+    item = answer("item-1", b"", status=422, headers=((names.REQUEST_ID, b"a"),))
 
     def script(call: Call) -> list[Step]:
         if call.request_id == "item-1":
             return [item, End.FIN]
-        return [answer(call.request_id, b"x", status=422, more=(fields[call.request_id],)), End.FIN]
+        return [
+            answer(call.request_id, b"x", status=422, headers=(fields[call.request_id],)),
+            End.FIN,
+        ]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         assert (await callers.exchange("a")).body is None
@@ -249,7 +252,7 @@
         await connection.close()
         assert await callers.run_item(*item_job()) == "not_http"
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_head_that_begins_with_a_part_of_another_is_none() -> None:
@@ -264,7 +267,7 @@
             assert (await callers.exchange(f"first-{number}")).body == b"own"
             assert (await callers.exchange(f"second-{number}")).code == "not_http"
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_what_came_before_the_first_request_is_no_answer_to_it() -> None:
@@ -281,7 +284,7 @@
         await connection.close()
         assert replica.calls == []
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_stream_whose_ids_fall_is_not_whole() -> None:
@@ -293,10 +296,10 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         assert await callers.relay("a", reply) == "invalid_stream"
-        assert not reply.seen()[1]
+        assert not reply.received()[1]
         assert await callers.run_item(*item_job()) == "invalid_stream"
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_an_item_has_no_text_of_bytes_that_are_none() -> None:
@@ -312,7 +315,7 @@
         assert await callers.run_item(job, one) == "succeeded"
         assert one.texts == ["caf\u00e9 \ufffd"]
 
-    against(script, test)
+    run_against(script, test)
 
 
 def test_a_connection_that_ended_with_its_answer_does_not_rest() -> None:
@@ -321,9 +324,9 @@
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         assert (await callers.exchange("a")).body == b"own"
-        assert callers.resting() == []
+        assert callers.idle_connections() == []
 
-    against(script, test)
+    run_against(script, test)
 
 
 # --- any bytes, any cut, any order ---
@@ -332,7 +335,7 @@
 EVENTS = 4
 MOST_RUNS = 3
 EXAMPLES = 300
-SIZES = [0, 1, 2 * SEND_IN_LINE_BYTES]
+SIZES = [0, 1, 2 * MAX_INLINE_SEND_BYTES]
 """Bytes of a request's body; the longest are sent beside the reading of the answer."""
 
 
@@ -449,7 +452,7 @@
         outcome = await callers.exchange("a", size=size)
         is_clean = not is_spoilt("a", first) and first.way is End.FIN
         check_outcome("a", first, outcome, is_clean)
-        idle = callers.resting()
+        idle = callers.idle_connections()
         if excess and when is When.WITH_THE_FIRST:
             assert not idle
         if excess and idle and when is When.AT_REST:
@@ -468,7 +471,7 @@
         is_clean = not is_spoilt("b", second) and second.way is End.FIN and is_untouched
         check_outcome("b", second, outcome, is_clean)
 
-    against(script, test)
+    run_against(script, test)
 
 
 class Run(Struct, frozen=True):
@@ -544,7 +547,7 @@
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         outcome = await callers.relay("a", reply)
-        body, is_whole = reply.seen()
+        body, is_whole = reply.received()
         assert is_whole == (outcome == "answered")
         *events, rest = body.split(b"\n\n")
         assert rest == b""
@@ -552,7 +555,7 @@
         if is_whole and not may_end_early(replica.calls, runs):
             assert len(events) == EVENTS
 
-    against(script, test)
+    run_against(script, test)
 
 
 @settings(max_examples=EXAMPLES)
@@ -575,7 +578,7 @@
                 assert len(one.texts) == EVENTS or may_end_early(replica.calls, runs)
                 return
 
-    against(script, test)
+    run_against(script, test)
 
 
 @given(st.sampled_from([422, 500]), st.sampled_from(Framing), st.integers(0, 200), st.booleans())
@@ -597,4 +600,4 @@
         said = "impossible" if status == 422 else "failed"
         assert outcome == said if is_whole and not is_reset else outcome != said or is_whole
 
-    against(script, test)
+    run_against(script, test)
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -22,7 +22,7 @@
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.errors import RESTARTED, ReplicaError
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
-from cloverwalk.gateway.replicas import LATE_ENTRIES, Replica, ReplicaDirectory
+from cloverwalk.gateway.replicas import MAX_LATE_ENTRIES, Replica, ReplicaDirectory
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.platform import names
 from cloverwalk.telemetry.log import ServingLog
@@ -32,72 +32,72 @@
 CONTENT = "c" * 20
 
 
-def start(version: int, born_ms: int, **more: Any) -> Replica:
-    one = Replica("r1", "model", "10.0.0.1", 80, "z1", 8, False, version, born_ms)
-    return msgspec.structs.replace(one, **more)
+def start(version: int, started_ms: int, **more: Any) -> Replica:
+    replica = Replica("r1", "model", "10.0.0.1", 80, "z1", 8, False, version, started_ms)
+    return msgspec.structs.replace(replica, **more)
 
 
-class Starts:
+class RestartRecorder:
     """A directory, and the new starts that it told."""
 
     def __init__(self, *entries: Replica) -> None:
         self.directory = ReplicaDirectory()
-        self.told: list[tuple[int, int]] = []
+        self.restarts: list[tuple[int, int]] = []
         self.directory.restart_listeners.append(
-            lambda before, after: self.told.append((before.started_ms, after.started_ms))
+            lambda before, after: self.restarts.append((before.started_ms, after.started_ms))
         )
-        for one in entries:
-            self.directory.put(one)
+        for entry in entries:
+            self.directory.put(entry)
 
 
 # --- which start is known ---
 
 
 def test_another_time_of_start_is_told_once() -> None:
-    starts = Starts(start(1, 0), start(2, 5), start(3, 5), start(4, 9), start(5, 9))
-    assert starts.told == [(5, 9)]
+    recorder = RestartRecorder(start(1, 0), start(2, 5), start(3, 5), start(4, 9), start(5, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
 def test_a_start_is_new_also_after_its_entry_was_gone() -> None:
-    starts = Starts(start(1, 5))
-    starts.directory.remove("r1", 2)
-    starts.directory.put(start(3, 9))
-    assert starts.told == [(5, 9)]
+    recorder = RestartRecorder(start(1, 5))
+    recorder.directory.remove("r1", 2)
+    recorder.directory.put(start(3, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
 def test_an_entry_without_a_time_of_start_tells_of_none() -> None:
-    assert Starts(start(1, 5), start(2, 0), start(3, 5)).told == []
+    assert RestartRecorder(start(1, 5), start(2, 0), start(3, 5)).restarts == []
 
 
 def test_late_news_does_not_bring_the_earlier_start_back() -> None:
     """By a peer with an older version, or by a write that the store did late."""
-    starts = Starts(start(1, 5), start(3, 9))
-    assert not starts.directory.put(start(2, 5))
-    assert not starts.directory.put(start(4, 5))
-    starts.directory.replace([start(4, 5)], 4)
-    assert [one.started_ms for one in starts.directory.all()] == [9]
-    starts.directory.put(start(5, 9))
-    assert starts.told == [(5, 9)]
+    recorder = RestartRecorder(start(1, 5), start(3, 9))
+    assert not recorder.directory.put(start(2, 5))
+    assert not recorder.directory.put(start(4, 5))
+    recorder.directory.replace([start(4, 5)], 4)
+    assert [replica.started_ms for replica in recorder.directory.all()] == [9]
+    recorder.directory.put(start(5, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
 def test_a_replica_whose_clock_was_set_back_is_used() -> None:
     """A process that has ended does not write on and on."""
-    starts = Starts(start(1, 9))
-    for number in range(LATE_ENTRIES + 1):
-        starts.directory.put(start(2 + number, 5))
-    assert [one.started_ms for one in starts.directory.all()] == [5]
-    assert starts.told == [(9, 5)]
+    recorder = RestartRecorder(start(1, 9))
+    for number in range(MAX_LATE_ENTRIES + 1):
+        recorder.directory.put(start(2 + number, 5))
+    assert [replica.started_ms for replica in recorder.directory.all()] == [5]
+    assert recorder.restarts == [(9, 5)]
 
 
 @given(st.permutations([start(1, 5), start(2, 5), start(3, 9), start(4, 9), start(5, 12)]))
 def test_starts_are_never_told_back_and_forth(entries: list[Replica]) -> None:
-    starts = Starts(*entries)
-    assert [one.started_ms for one in starts.directory.all()] == [12]
-    assert all(before < after for before, after in starts.told)
+    recorder = RestartRecorder(*entries)
+    assert [replica.started_ms for replica in recorder.directory.all()] == [12]
+    assert all(before < after for before, after in recorder.restarts)
 
 
 def test_a_new_start_is_under_no_suspicion() -> None:
-    directory = Starts(start(1, 5)).directory
+    directory = RestartRecorder(start(1, 5)).directory
     directory.suspect("r1", 10.0)
     directory.add_peer_suspects(["r1"], 10.0)
     directory.put(start(2, 9))
@@ -110,7 +110,9 @@
     assert decode_datagram(encode_datagram(update)) == update
     short = msgspec.json.encode(msgspec.structs.astuple(start(2, 9))[:-1])
     assert msgspec.json.decode(short, type=Replica) == start(2, 0)
-    prints = {Starts(start(1, born)).directory.fingerprint for born in (0, 5, 9)}
+    prints = {
+        RestartRecorder(start(1, started_ms)).directory.fingerprint for started_ms in (0, 5, 9)
+    }
     assert len(prints) == 3
 
 
@@ -134,7 +136,7 @@
 
 @pytest.fixture
 def no_quiet_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(restarts, "QUIET_S", 0.0)
+    monkeypatch.setattr(restarts, "QUIET_TIME_S", 0.0)
 
 
 async def begin(world: FleetWorld, replicas: int) -> None:
@@ -192,11 +194,11 @@
         for replica in world.replicas:
             replica.always = Misdeed.RUN_SILENTLY
         asking = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
-        await world.until(lambda: any(one.running for one in world.replicas))
+        await world.until(lambda: any(replica.running for replica in world.replicas))
         await restart(world, 0 if world.replicas[0].running else 1)
         answer = await asking.join()
         assert answer.status == 502
-        assert sum(one.runs("q1") for one in world.replicas) == 1
+        assert sum(replica.runs("q1") for replica in world.replicas) == 1
 
     in_world(test)
 
@@ -205,14 +207,14 @@
 def test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    kept_at: list[str] = []
-    waiting_item = BatchRunner._waiting_item
+    reported_replica_ids: list[str] = []
+    original_waiting_item = BatchRunner._waiting_item
 
-    def note(runner: BatchRunner, job: Any, one: Any) -> Any:
-        told = waiting_item(runner, job, one)
-        if one.replica_id == "i-0":
-            kept_at.append(told.replica_id)
-        return told
+    def record_waiting_item(runner: BatchRunner, job: Any, item: Any) -> Any:
+        waiting_item = original_waiting_item(runner, job, item)
+        if item.replica_id == "i-0":
+            reported_replica_ids.append(waiting_item.replica_id)
+        return waiting_item
 
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
@@ -220,11 +222,11 @@
         first.always = Misdeed.RUN_SILENTLY
         await world.hand_in("j", 1)
         await world.until(lambda: first.running == 1)
-        monkeypatch.setattr(BatchRunner, "_waiting_item", note)
+        monkeypatch.setattr(BatchRunner, "_waiting_item", record_waiting_item)
         await restart(world, 0)
         results = await world.until_done("j", 1)
         assert results[0]["state"] == "succeeded"
-        assert kept_at and set(kept_at) == {""}
+        assert reported_replica_ids and set(reported_replica_ids) == {""}
 
     in_world(test)
 
@@ -249,49 +251,56 @@
 class Connection:
     """A connection to a replica, and whether it was broken off."""
 
-    can_be_broken_off = True
+    is_abortable = True
     address = ("10.0.0.1", 80)
 
     def __init__(self, opened_at: float, quiet_since: float) -> None:
         self.opened_at, self.quiet_since = opened_at, quiet_since
-        self.is_broken_off = False
+        self.is_aborted = False
 
-    def break_off(self) -> None:
-        self.is_broken_off = True
+    def abort(self) -> None:
+        self.is_aborted = True
 
 
-def broken_off(*connections: Connection, refused_at: float | None = None) -> list[bool]:
+def aborted_connections(*connections: Connection, refused_at: float | None = None) -> list[bool]:
     """Return which are broken off at 100.0, when a list that was confirmed at 99.0 is outdated."""
     clock = HandClock(step_s=0.0)
     none: Any = None
     pool, directory = ReplicaPool(none, clock), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    watch = restarts.RestartHandler(directory, pool, none, log, ServingMetrics(), clock)
-    known: Any = pool._all
-    known.update(connections)
+    handler = restarts.RestartHandler(directory, pool, none, log, ServingMetrics(), clock)
+    pool_connections: Any = pool._connections
+    pool_connections.update(connections)
     if refused_at is not None:
         pool._refused_at[Connection.address] = refused_at
     directory.put(start(1, 5))
     directory.confirmed_at = 99.0
     directory.put(start(2, 9))
-    found = [one.is_broken_off for one in connections]
-    clock.now += restarts.QUIET_S
-    watch.abort_stale()
-    assert all(one.is_broken_off for one, before in zip(connections, found, strict=True) if before)
-    return found + [one.is_broken_off for one in connections]
+    aborted = [connection.is_aborted for connection in connections]
+    clock.now += restarts.QUIET_TIME_S
+    handler.abort_stale()
+    assert all(
+        connection.is_aborted
+        for connection, before in zip(connections, aborted, strict=True)
+        if before
+    )
+    return aborted + [connection.is_aborted for connection in connections]
 
 
 def test_what_was_sent_since_the_list_was_confirmed_is_left_alone() -> None:
     """It may be at the new start already: nothing tells which one it reached."""
     old, moving, young = Connection(90, 91), Connection(90, 99.9), Connection(99.5, 99.5)
-    assert broken_off(old, moving, young) == [True, False, False, True, True, False]
+    assert aborted_connections(old, moving, young) == [True, False, False, True, True, False]
 
 
 def test_what_was_sent_after_its_address_had_refused_is_left_alone() -> None:
     """It is at the new start, whose entry came late."""
     old, new = Connection(90, 91), Connection(97, 98)
-    assert broken_off(old, new) == [True, True] * 2
-    assert broken_off(Connection(90, 91), Connection(97, 98), refused_at=95.0) == [True, False] * 2
+    assert aborted_connections(old, new) == [True, True] * 2
+    assert (
+        aborted_connections(Connection(90, 91), Connection(97, 98), refused_at=95.0)
+        == [True, False] * 2
+    )
 
 
 def test_an_address_that_refuses_is_remembered_until_the_next_start() -> None:
@@ -299,19 +308,19 @@
         codec: Any = None
         pool, address = ReplicaPool(codec, HandClock()), ("127.0.0.1", free_port())
         assert await pool.probe(address) is Reachability.REFUSES
-        probed_at = pool.take_refusal(address)
-        assert probed_at < float("inf") == pool.take_refusal(address)
+        probed_at = pool.pop_refused_at(address)
+        assert probed_at < float("inf") == pool.pop_refused_at(address)
         with pytest.raises(ReplicaError):
             await pool.acquire(address, "q1")
-        assert probed_at < pool.take_refusal(address) < float("inf")
+        assert probed_at < pool.pop_refused_at(address) < float("inf")
 
     curio.run(main)
 
 
 def test_a_list_in_which_no_start_is_told_says_what_it_said_before() -> None:
-    told = ("r1", "model", "10.0.0.1", 80, "z1", 8, False, 0)
-    expected = xxhash.xxh64_intdigest(repr(told).encode()) >> 16
-    assert Starts(start(3, 0)).directory.fingerprint == expected
+    fields = ("r1", "model", "10.0.0.1", 80, "z1", 8, False, 0)
+    expected = xxhash.xxh64_intdigest(repr(fields).encode()) >> 16
+    assert RestartRecorder(start(3, 0)).directory.fingerprint == expected
 
 
 # --- evidence against requests ---
@@ -327,15 +336,15 @@
     ledger = CrashLedger()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
-    directory = Starts(*entries).directory
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    directory = RestartRecorder(*entries).directory
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         if answered_at is not None:
             ledger.note_answer(CONTENT, answered_at)
         for replica, is_new in failures:
             delivery = Delivery(is_new, clock.now - 1.0)
-            await witness.record_failure("q1", CONTENT, replica, RESTARTED, delivery)
+            await detector.record_failure("q1", CONTENT, replica, RESTARTED, delivery)
 
     curio.run(main)
     return ledger.crashes(CONTENT)
@@ -354,14 +363,14 @@
     ledger, directory = CrashLedger(), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = Refusing()
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         for replica in (start(1, 5), start(2, 9)):
             directory.put(replica)
             delivery = Delivery(True, clock.now)
-            await witness.record_failure("q1", CONTENT, replica, "reset", delivery)
-            while witness._looks:
+            await detector.record_failure("q1", CONTENT, replica, "reset", delivery)
+            while detector._probes:
                 await curio.sleep(0)
 
     curio.run(main)
--- a/tests/serving/test_silent_connections.py
+++ b/tests/serving/test_silent_connections.py
@@ -5,13 +5,13 @@
 from fleet_world import FleetWorld, free_port, in_world
 
 from cloverwalk.emulator.silent_proxy import Silence, SilentProxy
-from cloverwalk.gateway.answer_relay import FIRST_EVENT_SILENCE_S
+from cloverwalk.gateway.answer_relay import FIRST_EVENT_TIMEOUT_S
 from cloverwalk.platform import names
 
-LITTLE_S = 0.6
+NORMAL_LATENCY_S = 0.6
 """More than a request takes here, less than one that meets a silent connection."""
 
-WAYS = pytest.mark.parametrize("way", list(Silence))
+EACH_KIND = pytest.mark.parametrize("way", list(Silence))
 
 
 async def replica_behind_proxy(world: FleetWorld) -> SilentProxy:
@@ -22,18 +22,18 @@
     document["address"] = f"127.0.0.1:{proxy.address[1]}"
     world.store.put(names.REPLICA_TABLE, replica.replica_id, document)
     directory = world.nodes[0]._directory
-    await world.until(lambda: [one.port for one in directory.all()] == [proxy.address[1]])
+    await world.until(lambda: [replica.port for replica in directory.all()] == [proxy.address[1]])
     return proxy
 
 
-async def took_s(world: FleetWorld, path: str) -> float:
+async def request_duration_s(world: FleetWorld, path: str) -> float:
     began_at = await curio.clock()
     answer = await world.ask(path)
     assert (answer.status, answer.is_whole) == (200, True)
     return float(await curio.clock() - began_at)
 
 
-@WAYS
+@EACH_KIND
 def test_one_request_is_late_by_all_silent_connections_to_replicas(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
@@ -44,15 +44,15 @@
             await task.join()
         assert proxy.open_count >= 3
         proxy.silence(way)
-        times = [await took_s(world, "/chat/a") for _ in range(6)]
-        late = [one for one in times if one > LITTLE_S]
+        times = [await request_duration_s(world, "/chat/a") for _ in range(6)]
+        late = [duration_s for duration_s in times if duration_s > NORMAL_LATENCY_S]
         assert len(late) == 1
-        assert late[0] < FIRST_EVENT_SILENCE_S + LITTLE_S
+        assert late[0] < FIRST_EVENT_TIMEOUT_S + NORMAL_LATENCY_S
 
     in_world(test)
 
 
-@WAYS
+@EACH_KIND
 def test_items_go_on_elsewhere_when_their_connections_fall_silent(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.02)
@@ -61,12 +61,12 @@
         await world.until(lambda: proxy.open_count >= 3)
         proxy.silence(way)
         results = await world.until_done("j", 3)
-        assert {one["state"] for one in results} == {"succeeded"}
+        assert {result["state"] for result in results} == {"succeeded"}
 
     in_world(test)
 
 
-@WAYS
+@EACH_KIND
 def test_the_store_is_reached_anew_when_its_connections_fall_silent(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         store_port = world.store_port
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -438,7 +438,7 @@
     fleet.nodes[0].suspects = []
     fleet.tell(0)
     fleet.scheduler._replicas._directory.clear_suspicion("r1")
-    fleet.scheduler._replicas._directory._heard.clear()
+    fleet.scheduler._replicas._directory._peer_suspected_until.clear()
     holder = fleet.scheduler._online._configuration
     before = holder.current
     assert before is not None
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -43,9 +43,9 @@
     assert _load("3, 1, 8, 250") == ReplicaLoad(3, 1, 8, slowdown=2.5)
 
 
-@pytest.mark.parametrize("odd", ["0", "-5", "nan", "1e3", "99999", "", "\u0665", "1" * 5000])
-def test_an_odd_pace_is_dropped_and_its_counts_are_kept(odd: str) -> None:
-    header = (b"X-Cloverwalk-Server-Load", f"3,0,8,{odd}".encode())
+@pytest.mark.parametrize("value", ["0", "-5", "nan", "1e3", "99999", "", "\u0665", "1" * 5000])
+def test_an_odd_pace_is_dropped_and_its_counts_are_kept(value: str) -> None:
+    header = (b"X-Cloverwalk-Server-Load", f"3,0,8,{value}".encode())
     load = PlatformCodec().answer_fields([header]).load
     assert load == ReplicaLoad(3, 0, 8, has_invalid_slowdown=True)
 
@@ -58,13 +58,13 @@
 def test_a_request_tells_its_length() -> None:
     headers = [(b"X-Cloverwalk-Token-Usage", b"1460,80"), (b"X-Cloverwalk-Length-Hint", b"35")]
     fields = PlatformCodec().request_fields(headers)
-    told = (fields.prompt_tokens, fields.max_output_tokens, fields.hinted_output_tokens)
-    assert told == (1460, 80, 35)
+    lengths = (fields.prompt_tokens, fields.max_output_tokens, fields.hinted_output_tokens)
+    assert lengths == (1460, 80, 35)
 
 
-@pytest.mark.parametrize("odd", ["", "1460", "a,b", "1,-2", "1,2,3", "9" * 4000 + ",1"])
-def test_an_odd_length_counts_as_not_told(odd: str) -> None:
-    headers = [(b"X-Cloverwalk-Token-Usage", odd.encode())]
+@pytest.mark.parametrize("value", ["", "1460", "a,b", "1,-2", "1,2,3", "9" * 4000 + ",1"])
+def test_an_odd_length_counts_as_not_told(value: str) -> None:
+    headers = [(b"X-Cloverwalk-Token-Usage", value.encode())]
     headers.append((b"X-Cloverwalk-Length-Hint", b"-1"))
     fields = PlatformCodec().request_fields(headers)
     assert (fields.prompt_tokens, fields.max_output_tokens) == (0, 0)
@@ -94,8 +94,8 @@
     assert load_settings(path).tolerance == Tolerance()
     path.write_text(SETTINGS + "[tolerate]\nzones = 1\nmachines = 80\n")
     assert load_settings(path).tolerance == Tolerance(1, 0, 80)
-    for odd in ("-1", "1.5", '"many"'):
-        path.write_text(SETTINGS + f"[tolerate]\nzones = {odd}\n")
+    for value in ("-1", "1.5", '"many"'):
+        path.write_text(SETTINGS + f"[tolerate]\nzones = {value}\n")
         with pytest.raises(PlatformSettingsError):
             load_settings(path)
 
@@ -103,17 +103,17 @@
 def test_each_part_is_told_once_and_again_when_it_changes() -> None:
     holder = ConfigurationHolder()
     features = Features(holder, is_memory_scarce=True)
-    told: list[FeatureState] = []
-    features.on_change = told.append
+    reported: list[FeatureState] = []
+    features.on_change = reported.append
     features.notify_changes()
     features.notify_changes()
-    assert [one.feature for one in told] == list(Feature)
-    assert [one.feature for one in told if one.is_on] == [Feature.NODE_CAPACITY]
-    told.clear()
+    assert [state.feature for state in reported] == list(Feature)
+    assert [state.feature for state in reported if state.is_on] == [Feature.NODE_CAPACITY]
+    reported.clear()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
     holder.update_if_newer(Configuration(1, (), services, ClientLimits(), tenants=()))
     features.notify_changes()
-    assert {one.feature for one in told if one.is_on} == {
+    assert {state.feature for state in reported if state.is_on} == {
         Feature.FAIR_SHARES,
         Feature.REPLICA_MEMORY,
         Feature.OVERLOAD_ORDER,
@@ -134,4 +134,4 @@
     holder = ConfigurationHolder()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
     holder.update_if_newer(Configuration(1, (), services, ClientLimits()))
-    assert not any(one.is_on for one in Features(holder).states())
+    assert not any(state.is_on for state in Features(holder).states())
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -23,17 +23,17 @@
 
 @given(st.lists(st.text("ab:\n 1", max_size=9), max_size=8), st.lists(st.integers(1, 7)))
 def test_events_do_not_depend_on_how_bytes_are_cut(texts: list[str], cuts: list[int]) -> None:
-    blocks = [one.replace("\n", " ") for one in texts]
-    data = "".join(f"id: {n}\ndata: {one}\n\n" for n, one in enumerate(blocks)).encode()
+    blocks = [text.replace("\n", " ") for text in texts]
+    data = "".join(f"id: {n}\ndata: {text}\n\n" for n, text in enumerate(blocks)).encode()
     splitter = EventSplitter()
     events = []
-    rest = data
+    remaining = data
     for size in [*cuts, len(data) + 1]:
-        piece, rest = rest[:size], rest[size:]
+        piece, remaining = remaining[:size], remaining[size:]
         events += splitter.feed(piece)
-    assert b"".join(one.raw for one in events) == data
-    assert [one.event_id for one in events] == list(range(len(blocks)))
-    assert [one.data for one in events] == blocks
+    assert b"".join(event.raw for event in events) == data
+    assert [event.event_id for event in events] == list(range(len(blocks)))
+    assert [event.data for event in events] == blocks
     assert splitter.rest == b""
 
 
@@ -74,10 +74,10 @@
 @given(st.floats(0.0, 30_000.0))
 def test_slots_are_kept_for_online_work_only(arrivals_per_s: float) -> None:
     assert reserved_slots(0.0, 24.0) == 0
-    kept = reserved_slots(arrivals_per_s, 24.0)
-    assert 0 <= kept <= reserved_slots(arrivals_per_s + 10.0, 24.0)
+    reserved = reserved_slots(arrivals_per_s, 24.0)
+    assert 0 <= reserved <= reserved_slots(arrivals_per_s + 10.0, 24.0)
     # Shorter prompts pay their start sooner, and never at once.
-    assert reserved_slots(arrivals_per_s, 0.0) <= reserved_slots(arrivals_per_s, 5.0) <= kept
+    assert reserved_slots(arrivals_per_s, 0.0) <= reserved_slots(arrivals_per_s, 5.0) <= reserved
     assert reserved_slots(100.0, 0.0) > 0
 
 
@@ -85,11 +85,11 @@
 def test_no_item_stands_before_online_work_that_has_a_slot(
     slots: int, online: int, batch: int
 ) -> None:
-    yielding = items_to_preempt(slots, InFlight(online, batch))
-    assert 0 <= yielding <= batch
-    left = batch - yielding
-    assert left == 0 or online + left <= slots
-    assert yielding == 0 or online + left >= slots
+    preempted = items_to_preempt(slots, InFlight(online, batch))
+    assert 0 <= preempted <= batch
+    remaining = batch - preempted
+    assert remaining == 0 or online + remaining <= slots
+    assert preempted == 0 or online + remaining >= slots
 
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=4), st.integers(1, 120))
@@ -103,12 +103,12 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["r", "s"]), st.booleans()), max_size=12))
 def test_work_that_has_ended_leaves_nothing_behind(sends: list[tuple[str, bool]]) -> None:
-    book = InFlightTracker()
-    begun = [book.begin(replica_id, is_batch) for replica_id, is_batch in sends]
-    assert sum(one.total for one in book.by_replica.values()) == len(sends)
+    tracker = InFlightTracker()
+    begun = [tracker.begin(replica_id, is_batch) for replica_id, is_batch in sends]
+    assert sum(entry.total for entry in tracker.by_replica.values()) == len(sends)
     for work in begun:
-        book.end(work)
-    assert book.by_replica == {}
+        tracker.end(work)
+    assert tracker.by_replica == {}
 
 
 def test_headers_set_on_the_way_replace_the_clients() -> None:
@@ -134,9 +134,9 @@
 
 @pytest.mark.parametrize("word", ["x-cloverwalk", "rows-", "api/lots", "kv-events", "op/config"])
 def test_only_the_adapter_knows_the_platforms_names(word: str) -> None:
-    files = [one for one in SOURCE.rglob("*.py") if one.parent.name != "platform"]
-    knowing = [str(one) for one in files if word in one.read_text().lower()]
-    assert knowing == []
+    files = [path for path in SOURCE.rglob("*.py") if path.parent.name != "platform"]
+    files_with_names = [str(path) for path in files if word in path.read_text().lower()]
+    assert files_with_names == []
 
 
 def test_a_replica_that_failed_at_another_node_is_doubted_for_a_moment_and_not_told_on() -> None:
