--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes a replica's answer on: events as they come and in order, other answers whole."""
+"""Relays answers of replicas to clients: streams event by event, other answers whole."""
 
 from collections.abc import Callable
 
@@ -15,19 +15,20 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 FIRST_EVENT_TIMEOUT_S = 1.2
-"""A stream of a route that may be resumed moves on after this time without an answer."""
+"""Time without an event after which a resumable stream moves to another replica, before the first
+event."""
 
 EVENT_TIMEOUT_S = 0.7
-"""The same between events; noticed up to twice as late, since a timeout covers several events."""
+"""The same between events. It may take twice as long, since one timeout covers several events."""
 
 LAST_ATTEMPT_TIMEOUT_S = 3600.0
-"""The same where no other replica may be asked: the request's own time ends it much sooner."""
+"""The same for the last attempt: the request's own deadline ends it much sooner."""
 
 MAX_BUFFERED_ANSWER_BYTES = 1_048_576
 
 
 class AnswerRelay:
-    """Relays answers of replicas to clients. Raises ReplicaError where an answer is no good."""
+    """Relays answers of replicas to clients; raises ReplicaError for an unusable answer."""
 
     def __init__(
         self,
@@ -49,12 +50,17 @@
         head: AnswerHead,
         reply: Reply,
     ) -> None:
-        """Pass on an answer that is no stream, whole where it fits into the buffer."""
+        """Relay an answer that is not a stream; in one piece if it fits into the buffer."""
         if reply.has_begun:
-            raise ReplicaError(f"the resumed run answered {head.status}", True, "not_resumed")
+            raise ReplicaError(f"answer to the resumed run: {head.status}", True, "not_resumed")
         if head.status in NOT_RUN_STATUSES:
-            # Handed on it would promise for the replica what the replica has not proved.
-            raise ReplicaError(f"{head.status} without its proof", True, "unproved_refusal")
+            # Relayed, it would promise that the request has not run, which the replica didn't
+            # prove.
+            raise ReplicaError(
+                f"{head.status} without proof that the request has not run",
+                True,
+                "unproved_refusal",
+            )
         can_repeat = progress.route.is_retryable and head.status >= 500
         if can_repeat and progress.has_attempt_left:
             raise ReplicaError(f"the replica answered {head.status}", True, "replica_error")
@@ -80,8 +86,8 @@
             while (data := await connection.read_body()) is not None:
                 await reply.write(data)
         except ReplicaError as error:
-            # Only events go on at another replica.
-            raise ClientGoneError(f"the answer broke off: {error}", "answer_cut") from error
+            # Only event streams can be resumed at another replica.
+            raise ClientGoneError(f"the answer was cut off: {error}", "answer_cut") from error
         await reply.finish()
 
     async def relay_stream(
@@ -92,7 +98,7 @@
         head: AnswerHead,
         reply: Reply,
     ) -> None:
-        """Pass on the events of a run, which go on behind those that the client has."""
+        """Relay the events of a run, which continue after the last event that the client has."""
         splitter = EventSplitter()
         order = EventOrder(progress.last_event_id)
         if not reply.has_begun:
@@ -103,7 +109,7 @@
             timeout_s = self._event_timeout_s(progress)
             try:
                 async with curio.timeout_after(self._remaining_s(timeout_s, last_received_at)):
-                    # One timeout covers many events: it only asks when the last of them came.
+                    # One timeout covers many events, so this checks when the last one came.
                     while (data := await connection.read_body()) is not None:
                         last_received_at = self._clock()
                         if not self._relay_events(request, progress, splitter, order, data, reply):
@@ -112,10 +118,10 @@
             except curio.TaskTimeout as error:
                 if self._clock() - last_received_at >= self._event_timeout_s(progress):
                     self._directory.suspect(progress.last_replica, self._clock())
-                    raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
+                    raise ReplicaError("no event before the timeout", True, TIMED_OUT) from error
                 continue
             except ReplicaError:
-                # Another run may go on behind the events that were passed on.
+                # Another run may continue after the events that were relayed.
                 await reply.flush()
                 raise
             await reply.flush()
@@ -132,7 +138,7 @@
         data: bytes,
         reply: Reply,
     ) -> bool:
-        """Pass on the events that bytes complete; return whether the client took them at once."""
+        """Relay the events completed by some bytes; return whether the client read them at once."""
         try:
             events = splitter.feed(data)
         except ValueError as error:
@@ -166,7 +172,7 @@
         return reply.write_now(b"".join(raw_events))
 
     def _event_timeout_s(self, progress: RequestProgress) -> float:
-        """Return after how long without an event the stream moves on."""
+        """Return the time without an event after which the stream moves to another replica."""
         if not self._may_resume_elsewhere(progress):
             return LAST_ATTEMPT_TIMEOUT_S
         return FIRST_EVENT_TIMEOUT_S if progress.first_event_at is None else EVENT_TIMEOUT_S
@@ -178,9 +184,9 @@
         return progress.route.is_resumable and progress.has_attempt_left
 
     def _check(self, progress: RequestProgress, order: EventOrder, event: StreamEvent) -> None:
-        """Raise ValueError when an event is not the next one."""
+        """Raise ValueError if an event is not the next one of the stream."""
         if event.event_id is not None:
             order.take(event.event_id)
         elif event.data and progress.route.is_resumable:
-            # Another run would send it again, with its id.
+            # Another run would repeat it, with an id.
             raise ValueError("an event has no id")
--- a/src/cloverwalk/gateway/configuration.py
+++ b/src/cloverwalk/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and what clients may send."""
+"""The current configuration: routes, services and the limits of clients."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class RouteKind(Enum):
-    """What may be done with a request of a route."""
+    """How requests of a route may be handled."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,14 +17,14 @@
 
 
 class RoutePart(Struct, frozen=True, array_like=True):
-    """A service that takes a share of a route's requests."""
+    """A service that gets a share of a route's requests."""
 
     service: str
     weight: float
 
 
 class Route(Struct, frozen=True, array_like=True):
-    """Requests of one host below one path prefix."""
+    """The requests of one host below one path prefix."""
 
     name: str
     host: str
@@ -40,7 +40,7 @@
     completion_target_s: float = 0.0
     retention_s: float = 0.0
     max_queued_tokens: int = 0
-    """Tokens that a tenant's jobs on the route may hold waiting; 0 is no limit."""
+    """Tokens that a tenant's jobs on the route may have queued; 0 is no limit."""
 
     is_public: bool = False
     """Whether its callers need no key."""
@@ -52,7 +52,7 @@
 
     @property
     def services(self) -> list[str]:
-        """The services of the route, each once."""
+        """The services of the route, without duplicates."""
         return list(dict.fromkeys(part.service for part in self.parts))
 
 
@@ -63,14 +63,14 @@
     slots: int
     max_connections: int
     memory_tokens: int = 0
-    """Tokens that a replica's memory holds; 0: the configuration does not say."""
+    """Tokens that fit into a replica's memory; 0 if not configured."""
 
     tokens_an_event: int = 1
-    """The most tokens that one event of a stream may hold."""
+    """Maximum tokens in one event of a stream."""
 
 
 class ClientLimits(Struct, frozen=True, array_like=True):
-    """Bounds on what a client may send and on how long it may take."""
+    """Limits on the size of a client's requests and on its timing."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -79,14 +79,14 @@
 
 
 class Configuration(Struct, frozen=True, array_like=True):
-    """One version of the configuration, whole."""
+    """One version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
     limits: ClientLimits
     tenants: tuple[Tenant, ...] | None = None
-    """Who may call; None: callers have no keys."""
+    """The tenants that may call; None if callers have no keys."""
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path`` on ``host``.
@@ -103,7 +103,7 @@
         return max(self._routes_of(host, path), key=_prefix_length, default=None)
 
     def find_batch_route(self, host: str, path: str) -> Route | None:
-        """Return the batch route with the longest prefix of ``path``, also behind other routes.
+        """Return the batch route with the longest prefix of ``path``, ignoring other routes.
 
         A job keeps its route when a longer prefix is added for requests of another kind.
         """
@@ -122,16 +122,16 @@
 
 
 class ConfigurationHolder:
-    """Keeps the newest configuration; an older one never takes its place."""
+    """Holds the newest configuration; an older version never replaces it."""
 
     def __init__(self) -> None:
         self.current: Configuration | None = None
         self.tenants = TenantDirectory()
-        """Those of ``current``."""
+        """The tenants of ``current``."""
 
     @property
     def version(self) -> int:
-        """The version in force, or -1 when none is known."""
+        """The current version, or -1 if there is none."""
         return -1 if self.current is None else self.current.version
 
     @property
@@ -140,7 +140,7 @@
         return self.current is not None and self.current.tenants is not None
 
     def update_if_newer(self, configuration: Configuration) -> bool:
-        """Take a configuration if it is newer; return whether it was.
+        """Replace the configuration by a newer one; return whether it was newer.
 
         >>> holder = ConfigurationHolder()
         >>> newer = Configuration(7, (), {}, ClientLimits())
--- a/src/cloverwalk/gateway/containment.py
+++ b/src/cloverwalk/gateway/containment.py
@@ -1,4 +1,4 @@
-"""Where online requests meet containment: before each attempt, after failures and answers."""
+"""Applies containment to online requests: before each attempt, after failures and answers."""
 
 from cloverwalk.gateway import refusals
 from cloverwalk.gateway.content_hash import hash_request
@@ -11,10 +11,10 @@
 
 
 class ContainmentGate:
-    """Keeps requests under which replicas end from further replicas.
+    """Stops requests under which replicas ended from being sent to more replicas.
 
-    Without it each repetition of one goes to as many replicas as its route allows: 12 of 18 ended
-    under one within 40 s.
+    Without it, each repetition of such a request could end as many replicas as its route allows
+    attempts.
     """
 
     def __init__(self, crash_detector: CrashDetector, metrics: ServingMetrics) -> None:
@@ -22,7 +22,8 @@
         self._metrics = metrics
 
     async def check(self, request: ClientRequest, progress: RequestProgress) -> str:
-        """Return a suspect's content, empty for others; raise the answer of a contained one."""
+        """Return the content hash of a crash suspect, empty for others; raise if it is
+        contained."""
         if progress.tried:
             await self._crash_detector.wait_for_first_probe(hash_request(request))
         if self._crash_detector.ledger.is_empty:
@@ -34,7 +35,7 @@
         return content if progress.is_crash_suspect else ""
 
     def refusal(self, request: ClientRequest, progress: RequestProgress) -> GatewayError:
-        """Return the answer to a request that goes to no replica any more."""
+        """Return the error response to a contained request."""
         content = progress.contained = hash_request(request)
         self._metrics.containment_changed("refused")
         return refusals.contained(content, self._crash_detector.ledger.crashes(content))
@@ -42,12 +43,12 @@
     async def record_failure(
         self, request: ClientRequest, progress: RequestProgress, replica: Replica, code: str
     ) -> None:
-        """An attempt that may have run failed at a replica."""
+        """Record that an attempt which may have run failed at a replica."""
         request_id, content = request.fields.request_id, hash_request(request)
         await self._crash_detector.record_failure(
             request_id, content, replica, code, progress.delivery
         )
 
     def record_answer(self, request: ClientRequest) -> None:
-        """A replica answered the request whole."""
+        """Record that a replica answered the request whole."""
         self._crash_detector.record_answer(hash_request(request))
--- a/src/cloverwalk/gateway/content_hash.py
+++ b/src/cloverwalk/gateway/content_hash.py
@@ -1,18 +1,18 @@
-"""Names a request by what it asks for, so that a repetition under another id is known again."""
+"""Hashes the content of requests, to recognize a repetition under another id."""
 
 import hashlib
 
 from cloverwalk.gateway.messages import ClientRequest
 
 CONTENT_BYTES = 10
-"""Length of a name: two of 4,096 are alike by chance once in 10^17 processes. The hash is a
-cryptographic one: a caller could else make a request that is taken for another one."""
+"""Length of a content hash, enough to rule out chance collisions. The hash is cryptographic, so
+that no caller can craft a request which is taken for another one."""
 
 
 def hash_request(request: ClientRequest) -> str:
-    """Return the name of a request's content: caller, host, method, target and body.
+    """Return the content hash of a request: of its caller, host, method, target and body.
 
-    Neither the body nor a key can be found out by it.
+    It reveals neither the body nor a key.
     """
     return hash_content(
         request.tenant, request.host, request.method, request.target, body=request.body
@@ -20,7 +20,7 @@
 
 
 def hash_content(*parts: str, body: bytes) -> str:
-    """Return the name of the content that consists of some texts and a body.
+    """Return the content hash of some texts and a body.
 
     >>> hash_content("t", "h", body=b"") == hash_content("th", "", body=b"")
     False
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -1,14 +1,13 @@
-"""Finds out whether a replica has ended when it breaks connections off, and who was there then.
+"""Detects replicas that ended under a request, and records the crash in the ledger.
 
-The one place for what counts as evidence that a replica ended under a request: the request had been
-delivered, its connection broke before the answer was whole, while the replica was in full service,
-and just after that nothing listens at its address. A reset on the way, a cut, silence, a spoilt
-answer, a request that was sent to a replica which had ended already, a replica that drains or that
-was told to leave are no evidence.
+This is the one place that decides what counts as evidence: the request was delivered, its
+connection failed before the answer was whole, the replica was listed and not draining, and right
+afterwards nothing listens at its address. No evidence are: a reset or cut in the network, a
+timeout, an invalid answer, a request sent to a replica that had ended before, and a replica that
+was told to leave.
 
-A replica that has started again under its id has ended, whatever its connections tell: requests
-that were still without an answer there when that was learnt are counted, once for each start, see
-``restarts``.
+A replica that has restarted under its id has ended, whatever its connections show. Requests without
+an answer at that time are counted, once for each incarnation; see ``restarts``.
 """
 
 from collections.abc import Awaitable, Callable
@@ -25,23 +24,23 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 POSSIBLE_CRASH_CODES = frozenset({"reset", "no_answer", "answer_cut", "not_http", "invalid_stream"})
-"""Codes of failures that a replica's end may look like."""
+"""Codes of failures that may be caused by the end of the replica."""
 
 PROBE_DELAYS_S = (0.0, 0.03, 0.07)
-"""Pauses before each look at the address: a process may close its connections a moment before the
-port. What breaks off later is looked after anew: it must not be taken for the cause of an end that
-comes just by chance. A replica's next instance comes seconds later (2 on the platform)."""
+"""Delays before the probes of an address: a process may close its connections a moment before its
+port. They end well before the replica's next incarnation listens there. Later failures get probes
+of their own, so that they are not blamed for an end that follows by chance."""
 
 DELIVERY_THRESHOLD_S = 0.02
-"""A kept connection whose replica has ended breaks one round trip after the next request is sent, 1
-to 2 ms between zones. One that breaks later than this had reached a living replica."""
+"""A reused connection to an ended replica fails one round trip after the next request is sent. One
+that fails later than this had reached a living replica."""
 
 FIRST_PROBE_TIMEOUT_S = 0.05
-"""How long the next attempt of a request waits for the first look. It takes one round trip, 1 to
-2 ms between zones; without this wait the next replica gets the request before the crash counts."""
+"""How long the next attempt of a request waits for the first probe, which takes a round trip.
+Without it the next replica would get the request before the crash is counted."""
 
 MAX_LOGGED_REQUESTS = 32
-"""Requests that one line names; a replica runs 6 to 17 at once."""
+"""Requests that one log line names; more than a replica runs at once."""
 
 
 @attrs.frozen
@@ -49,26 +48,27 @@
     """How a request was sent to a replica."""
 
     is_new_connection: bool
-    """Whether the connection was opened for it: the replica lived then."""
+    """Whether the connection was opened for this request, which shows that the replica lived
+    then."""
 
     sent_at: float
-    """Steady clock, seconds."""
+    """Monotonic clock, seconds."""
 
 
 @attrs.define
 class _Probe:
-    """Probes of one replica's address, for requests that broke off together."""
+    """The probes of one replica's address, for requests that failed together."""
 
     failed_at: float
     content_by_request: dict[str, str] = attrs.Factory(dict)
-    """Contents by the ids of the requests that were there."""
+    """Content hashes by the ids of the requests that the replica had."""
 
     first_result: curio.Event = attrs.Factory(curio.Event)
-    """Set once the address was looked at."""
+    """Set when the first probe has its result."""
 
 
 class CrashDetector:
-    """Tells the ledger what happens to requests at replicas."""
+    """Records crashes and answers of requests in the crash ledger."""
 
     def __init__(
         self,
@@ -87,12 +87,13 @@
         self._clock = clock
         self._probes: list[_Probe] = []
         self._pending_probes: dict[str, _Probe] = {}
-        """Those that have not looked yet, by replica: others may break off at the same moment."""
+        """Those before their first probe, by replica; further failures at the same moment join
+        them."""
 
         self.on_crash: Callable[[], Awaitable[None]] = _do_nothing
-        """Called when the ledger has news that the coordinator should hear at once."""
+        """Called when the ledger has a crash that the coordinator should get at once."""
 
-    # --- what happens to requests ---
+    # --- outcomes of requests ---
 
     async def record_failure(
         self,
@@ -102,7 +103,7 @@
         code: str,
         delivery: Delivery | None,
     ) -> None:
-        """An attempt that may have run failed at a replica."""
+        """Record that an attempt which may have run failed at a replica; start probes if needed."""
         if code == RESTARTED:
             await self._record_restart(request_id, content, replica, delivery)
             return
@@ -120,8 +121,8 @@
     async def _record_restart(
         self, request_id: str, content: str, replica: Replica, delivery: Delivery | None
     ) -> None:
-        """A request was at a start of a replica that has ended."""
-        # Behind a cut link nothing tells that a request reached the far end of a kept connection.
+        """Record that a request was at an incarnation which has ended."""
+        # With the network cut, nothing shows that a request on a reused connection was delivered.
         if delivery is None or not delivery.is_new_connection:
             return
         if self._directory.was_draining(replica):
@@ -142,26 +143,26 @@
         await self.on_crash()
 
     def _was_delivered(self, delivery: Delivery) -> bool:
-        """Whether a request whose connection just broke had reached a living replica."""
+        """Whether a request whose connection just failed had reached a living replica."""
         elapsed_s = self._clock() - delivery.sent_at
         return delivery.is_new_connection or elapsed_s >= DELIVERY_THRESHOLD_S
 
     def is_crash_suspect(self, content: str) -> bool:
-        """Whether replicas have ended under a request: it is sent over a new connection."""
+        """Whether replicas have ended under a request, which is then sent over a new connection."""
         return self.ledger.crashes(content) > 0
 
     def record_answer(self, content: str) -> None:
-        """A replica answered a request whole: it lives on.
+        """Record that a replica answered a request whole, and so survived it.
 
-        Answers are noted on calm days too: a popular request that is answered all the time is not
-        contained when several replicas end at once.
+        Answers are recorded also while no replica has crashed: a popular request with steady
+        answers is then not contained when several replicas end at once.
         """
         if self.ledger.note_answer(content, self._clock()):
             self._metrics.containment_changed("answered")
             self._log.write(catalogue.CONTAINMENT_ENDED, contents=[content], reason="answered")
 
     def record_contained(self, content: str, source: str) -> None:
-        """A request is contained from now on; ``source`` tells in the log how this node knows."""
+        """Count and log a newly contained request; ``source`` names in the log who observed it."""
         self._metrics.containment_changed("contained")
         crashes = self.ledger.crashes(content)
         self._log.write(
@@ -169,7 +170,7 @@
         )
 
     def expire(self) -> None:
-        """Forget old cases."""
+        """Remove old crash records."""
         ended = self.ledger.expire(self._clock())
         if ended:
             self._metrics.containment_changed("old")
@@ -180,13 +181,13 @@
         return self.ledger.containment(content, self._clock()) is Containment.CONTAINED
 
     async def wait_for_first_probe(self, content: str) -> None:
-        """Wait a moment until it is known whether replicas that a request was at have ended."""
+        """Wait, for a bounded time, for the first probes of replicas at which a request failed."""
         probes = [probe for probe in self._probes if content in probe.content_by_request.values()]
         async with curio.ignore_after(FIRST_PROBE_TIMEOUT_S):
             for probe in probes:
                 await probe.first_result.wait()
 
-    # --- looks ---
+    # --- probes ---
 
     async def _run_probe(self, replica: Replica, probe: _Probe) -> None:
         reachability = Reachability.SILENT
--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -1,12 +1,13 @@
-"""Requests under which replicas have ended, known by their content. A policy without I/O.
+"""Crash records: which replicas ended under which request. A policy without I/O.
 
-A request may crash whatever runs it, and come again under another id at any node. When a replica
-ends, each request that was there is a suspect, and all but one are innocent. What tells them apart
-is repetition: a whole answer clears a request, and one under which ``CONTAINED_FROM`` replicas have
-ended without such an answer is contained. It is sent to no replica, but for a trial now and then.
+A request may crash every replica that runs it, and arrive again with another id at any node. When a
+replica ends, each request that it had is a suspect, and at most one of them is the cause.
+Repetition tells them apart: a whole answer clears a request; one under which ``CONTAINED_FROM``
+replicas ended without such an answer is contained. It is sent to no replica, except for occasional
+trials.
 
-Nodes merge what they know (``merge``). Crashes are a set of instances, an answer wipes out the
-earlier ones, so the order in which copies arrive makes no difference, nor do repeated ones.
+Nodes merge their records (``merge``). Crashes are a set of incarnations and an answer removes the
+earlier ones, so the order of the copies makes no difference, and repeated copies have no effect.
 """
 
 import enum
@@ -16,39 +17,38 @@
 from msgspec import Struct
 
 CONTAINED_FROM = 3
-"""Ended replicas from which a request is contained. One is chance: 8 to 17 requests run at a
-replica. Two happen to neighbours that are moved to the same replica as the guilty request."""
+"""Ended replicas at which a request is contained. One is chance, and two happen to neighbours that
+move to the same replica as the request that crashes them."""
 
 SHARED_FROM = 2
-"""Ended replicas from which all nodes are told. A crash makes some 17 cases with one, which only
-the coordinator has to know: it adds up what nodes tell."""
+"""Ended replicas at which a record is sent to all nodes. Each crash makes many records with a
+single replica; only the coordinator needs those, to add up the reports of nodes."""
 
 TRIAL_PAUSES_S = (3.0, 60.0, 600.0)
-"""Pause before each trial of a contained request, from its last crash; the last one holds for all
-further trials. An innocent one, which an outage of all replicas may have brought here, is back when
-the replicas are (about 3 s). A guilty one ends two replicas in the ten minutes after the third."""
+"""Delay before each trial of a contained request, from its last crash; the last value holds for all
+further trials. The first lets a harmless request through soon after an outage of all replicas; the
+later ones limit how many replicas a crashing request ends."""
 
 TRIAL_LIMIT_S = 10.0
-"""A trial without an outcome is over after this time, longer than online requests last."""
+"""A trial without an outcome ends after this time, which is longer than online requests last."""
 
 REMEMBERED_S = 3600.0
-"""A case is forgotten so long after its last crash: operators have a mended version in use then."""
+"""A record is removed this long after its last crash; operators replace a faulty version sooner."""
 
 ANSWER_TTL_S = 60.0
-"""Answers are known for so long, so that crashes before them count nowhere."""
+"""How long answers are kept, so that late reports of earlier crashes are ignored."""
 
 TOLD_S = 2.5
-"""What a node has seen goes into its reports for so long: two or three of them, one a second."""
+"""How long a local observation stays in this node's reports: two or three of them, one a second."""
 
 MOST_CASES = 4096
 MAX_SHARED_RECORDS = 200
-"""Bounds of memory (some 1.5 MB with the answers) and of what a node is told (about 20 KB). Cases
-with the fewest crashes go first, and of these the oldest: a flood of others can't push out a
-contained one."""
+"""Bounds of memory and of the size of messages. The records with the fewest crashes are evicted
+first, the oldest among equals, so that a flood of others can't evict a contained one."""
 
 MOST_INSTANCES = 8
-"""Ended replicas that a case names, the newest: more make no difference, and
-``MAX_SHARED_RECORDS`` cases fit into a datagram of 60,000 bytes."""
+"""Ended replicas that a record names, the newest ones; bounded so that ``MAX_SHARED_RECORDS``
+records fit into a datagram of 60,000 bytes."""
 
 CONTENT_CHARACTERS = 20
 
@@ -59,39 +59,39 @@
     FREE = "free"
     CONTAINED = "contained"
     TRIAL_DUE = "trial_due"
-    """One run of it may show whether it still ends its replica."""
+    """One run may show whether the request still ends its replica."""
 
 
 class CrashRecord(Struct, frozen=True, array_like=True):
-    """A case as nodes tell it to each other, and as the store keeps it. Times are ages in ms."""
+    """A crash record as nodes send it and as the store keeps it. Times are ages in milliseconds."""
 
     content_hash: str
     crash_ages_ms: dict[str, int]
-    """By the replica that ended."""
+    """By the incarnation of the replica that ended."""
 
     answered_age_ms: int | None = None
-    """Since the last whole answer; None where none is known."""
+    """Age of the last whole answer; None if none is known."""
 
     @property
     def newest_age_ms(self) -> int:
-        """Since the last crash, or the answer where there is none."""
+        """Age of the last crash, or of the answer if there is no crash."""
         return min(self.crash_ages_ms.values(), default=self.answered_age_ms or 0)
 
 
 class InvalidCrashRecordError(ValueError):
-    """A case that was told makes no sense."""
+    """A received crash record is invalid."""
 
 
 @attrs.define
 class _LedgerEntry:
-    """A request under which a replica has ended since its last whole answer."""
+    """The state of a request under which a replica has ended since its last whole answer."""
 
     crashed_at: dict[str, float] = attrs.Factory(dict)
-    """When replicas ended under it, by instance."""
+    """When replicas ended under it, by incarnation."""
 
     trial_ends_at: float = float("-inf")
     seen_locally_at: float = float("-inf")
-    """When this node itself last saw a crash."""
+    """When this node itself last observed a crash."""
 
     @property
     def crashes(self) -> int:
@@ -111,42 +111,42 @@
 
 
 class CrashLedger:
-    """Cases by content. Times are of the steady clock, in seconds."""
+    """Crash records by content hash. Times are of the monotonic clock, in seconds."""
 
     def __init__(self) -> None:
         self._cases: dict[str, _LedgerEntry] = {}
         self._answered_at: dict[str, float] = {}
-        """The last whole answers, by content; the oldest first."""
+        """Times of the last whole answers, by content hash; the oldest first."""
 
         self._cleared_at: dict[str, float] = {}
-        """When an answer proved a case wrong here, by content: other nodes have to hear of it."""
+        """When an answer cleared a record here, by content hash; other nodes must be sent this."""
 
         self._digest: int | None = None
         self.revision = 0
-        """Counts changes of what all nodes should know."""
+        """Counts changes of the records that all nodes should have."""
 
         self.stale_record_count = 0
-        """Counts cases that were told to this node, which has seen a later answer."""
+        """Counts received records that contradict a later answer at this node."""
 
         self.grants_trials = False
-        """Whether this node decides about trials: only the coordinator does, one at a time."""
+        """Whether this node grants trials: only the coordinator does, one at a time."""
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no case, as on most days: contents need not be looked up then."""
+        """Whether there is no record; contents need not be hashed then."""
         return not self._cases
 
     @property
     def needs_sync(self) -> bool:
-        """Whether other nodes may have to hear of a case, or that an answer cleared one."""
+        """Whether other nodes may need a record, or the news that an answer cleared one."""
         return bool(self._cases or self._cleared_at)
 
-    # --- what was seen ---
+    # --- observations ---
 
     def note_crash(self, content: str, replica_id: str, at: float) -> bool:
-        """A replica ended while it had the request; return whether that contains it now.
+        """Record that a replica ended while it had the request; return whether this contains it.
 
-        ``replica_id`` names one start of a replica: its next one counts for itself.
+        ``replica_id`` names one incarnation; the replica's next incarnation counts separately.
         """
         is_contained = self._add_crashes(content, {replica_id: at})
         entry = self._cases.get(content)
@@ -155,9 +155,9 @@
         return is_contained
 
     def note_answer(self, content: str, at: float) -> bool:
-        """A replica answered the request whole; return whether that ends its containment.
+        """Record a whole answer to the request; return whether this ends its containment.
 
-        Answers count for requests without a case here, too: another node may have one.
+        Answers to requests without a record count too, since another node may have one.
         """
         if at <= self._answered_at.get(content, float("-inf")):
             return False
@@ -192,7 +192,7 @@
         return entry.is_contained and not was_contained
 
     def _clear(self, content: str, at: float) -> bool:
-        """Drop the crashes before an answer; return whether that ends the containment."""
+        """Drop the crashes before an answer; return whether this ends the containment."""
         entry = self._cases.get(content)
         if entry is None or min(entry.crashed_at.values()) > at:
             return False
@@ -200,7 +200,7 @@
         self._record_change(entry.crashes)
         self._cleared_at[content] = at
         entry.crashed_at = {
-            key: crashed_at for key, crashed_at in entry.crashed_at.items() if crashed_at > at
+            key: ended_at for key, ended_at in entry.crashed_at.items() if ended_at > at
         }
         entry.trial_ends_at = float("-inf")
         if not entry.crashed_at:
@@ -212,7 +212,7 @@
             self._digest = None
             self.revision += 1
 
-    # --- what follows ---
+    # --- decisions ---
 
     def crashes(self, content: str) -> int:
         """Return how many replicas ended under a request since its last answer."""
@@ -238,7 +238,7 @@
         return Containment.TRIAL_DUE
 
     def try_admit(self, content: str, now: float) -> bool:
-        """Whether a request goes to a replica now; a trial that is due begins with the answer."""
+        """Whether a request may be sent now; a due trial is granted and starts with this call."""
         containment = self.containment(content, now)
         if containment is Containment.TRIAL_DUE and self.grants_trials:
             self._cases[content].trial_ends_at = now + TRIAL_LIMIT_S
@@ -246,14 +246,14 @@
         return containment is Containment.FREE
 
     def contained(self) -> dict[str, int]:
-        """Return the contained requests with the number of replicas that ended, by content."""
+        """Return the contained requests by content hash, with their numbers of ended replicas."""
         return {key: entry.crashes for key, entry in self._cases.items() if entry.is_contained}
 
-    # --- what nodes tell each other ---
+    # --- exchange between nodes ---
 
     @property
     def digest(self) -> int:
-        """What all nodes should know, in 48 bits; 0 where there is nothing."""
+        """Hash of the records that all nodes should have, 48 bits; 0 if there are none."""
         if self._digest is None:
             shared = {key: sorted(self._cases[key].crashed_at) for key in self._shared()}
             text = repr(sorted(shared.items())).encode()
@@ -264,11 +264,11 @@
         return [key for key, entry in self._cases.items() if entry.crashes >= SHARED_FROM]
 
     def shared_records(self, now: float) -> list[CrashRecord]:
-        """Return what all nodes should know, and what was cleared lately."""
+        """Return the records that all nodes should have, and those cleared lately."""
         return self._records({*self._shared(), *self._cleared_at}, now)
 
     def local_records(self, now: float) -> list[CrashRecord]:
-        """Return what this node itself has seen lately, and cases that it knows to be wrong."""
+        """Return the records that this node observed or cleared lately."""
         contents = {
             key for key, entry in self._cases.items() if now - entry.seen_locally_at < TOLD_S
         }
@@ -276,13 +276,13 @@
         return self._records(contents, now)
 
     def _records(self, contents: set[str], now: float) -> list[CrashRecord]:
-        """Return cases as they are told: those with most crashes, and of these the newest."""
+        """Return records to send: those with the most crashes, the newest among equals."""
         records = [self.record_of(content, now) for content in sorted(contents)]
         records.sort(key=lambda record: (-len(record.crash_ages_ms), record.newest_age_ms))
         return records[:MAX_SHARED_RECORDS]
 
     def record_of(self, content: str, now: float) -> CrashRecord:
-        """Return a case as it is told; one without crashes where there is none."""
+        """Return the record of a request as it is sent; one without crashes if there is none."""
         entry = self._cases.get(content, _LedgerEntry())
         ages = {key: _age_ms(at, now) for key, at in entry.crashed_at.items()}
         answered_at = self._answered_at.get(content)
@@ -291,9 +291,9 @@
         )
 
     def merge(self, record: CrashRecord, now: float) -> bool:
-        """Take what another node or the store knows; return whether it contains the request now.
+        """Merge a record of another node or the store; return whether this contains the request.
 
-        Raises InvalidCrashRecordError for a copy that makes no sense; nothing is taken from it.
+        Raises InvalidCrashRecordError for an invalid record, and merges no part of it.
         """
         _check_record(record)
         if record.answered_age_ms is not None:
@@ -308,7 +308,7 @@
     # --- bounds ---
 
     def expire(self, now: float) -> list[str]:
-        """Forget what is old; return the requests that were contained."""
+        """Remove old records; return the requests that were contained."""
         for times in (self._answered_at, self._cleared_at):
             for content in [key for key, at in times.items() if now - at >= ANSWER_TTL_S]:
                 del times[content]
@@ -323,9 +323,9 @@
         return ended
 
     def _evict(self, crashes: int) -> None:
-        """Keep the bounds after a case got to so many crashes."""
+        """Enforce the bounds after a record got a number of crashes."""
         if len(self._cases) > MOST_CASES:
-            # A part at once: to sort all of them takes milliseconds.
+            # Evicts many at once, since sorting all records takes milliseconds.
             self._evict_down_to(MOST_CASES * 9 // 10, list(self._cases))
         if crashes >= SHARED_FROM:
             self._evict_down_to(MAX_SHARED_RECORDS, self._shared())
@@ -347,9 +347,9 @@
 
 def _check_record(record: CrashRecord) -> None:
     if len(record.content_hash) != CONTENT_CHARACTERS:
-        raise InvalidCrashRecordError("the content has another form")
+        raise InvalidCrashRecordError("the content hash has the wrong length")
     if len(record.crash_ages_ms) > MOST_INSTANCES:
-        raise InvalidCrashRecordError(f"{len(record.crash_ages_ms)} replicas ended")
+        raise InvalidCrashRecordError(f"{len(record.crash_ages_ms)} replicas ended, too many")
     ages = [*record.crash_ages_ms.values(), record.answered_age_ms or 0]
     if min(ages) < 0:
-        raise InvalidCrashRecordError("it is of the future")
+        raise InvalidCrashRecordError("an age is negative")
--- a/src/cloverwalk/gateway/errors.py
+++ b/src/cloverwalk/gateway/errors.py
@@ -4,29 +4,29 @@
 from cloverwalk.core.errors import CloverwalkError
 
 TIMED_OUT = "silent"
-"""Code of an exchange that was given up since nothing came."""
+"""Code of an exchange that timed out."""
 
 
 RESTARTED = "restarted"
-"""Code of an exchange whose replica has started again meanwhile."""
+"""Code of an exchange whose replica has restarted."""
 
 
 class GatewayError(CallError):
-    """A request ends with an answer of this node's own."""
+    """A request ends with an error response of this node."""
 
     default_code = "gateway"
 
 
 class ClientGoneError(CloverwalkError):
-    """The client closed its connection or does not take its answer."""
+    """The client closed its connection or does not read its answer."""
 
     default_code = "client_gone"
 
 
 class ReplicaError(CloverwalkError):
-    """An exchange with a replica failed; ``may_have_run`` tells whether it can have run.
+    """An exchange with a replica failed; ``may_have_run`` says whether the request can have run.
 
-    An online request asks its progress instead, which knows what was sent.
+    For online requests ``RequestProgress`` decides that, from what was sent.
     """
 
     default_code = "replica_failed"
--- a/src/cloverwalk/gateway/event_stream.py
+++ b/src/cloverwalk/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of an event stream, and their order."""
+"""Splits the bytes of an event stream into events, and checks their order."""
 
 from msgspec import Struct
 
@@ -7,7 +7,7 @@
 
 
 class StreamEvent(Struct, frozen=True):
-    """One event: its bytes as received, its id and its data lines joined by line feeds."""
+    """One event: its bytes as received, its id, and its data lines joined by line feeds."""
 
     raw: bytes
     event_id: int | None
@@ -15,7 +15,7 @@
 
 
 class EventSplitter:
-    """Cuts bytes into whole events and keeps what is not whole yet.
+    """Splits bytes into whole events and keeps the incomplete remainder.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
@@ -28,7 +28,8 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes; return the events that they complete. Raises ValueError when oversized."""
+        """Add bytes; return the events that they complete. Raises ValueError for an oversized
+        one."""
         buffer = self.rest + data
         *whole, self.rest = buffer.split(EVENT_END)
         if len(self.rest) > MAX_EVENT_BYTES:
@@ -37,7 +38,7 @@
 
 
 class EventOrder:
-    """Holds that the events of a run follow each other, and what the run was asked to go on behind.
+    """Checks that the events of a run follow each other, from the requested position on.
 
     >>> order = EventOrder(after=1)
     >>> order.take(2)
@@ -52,7 +53,7 @@
         """Id of the last event that the reader has."""
 
     def take(self, event_id: int) -> None:
-        """Take the next event's id. Raises ValueError when it does not follow the last one."""
+        """Check the next event's id. Raises ValueError if it does not follow the last one."""
         if self.last is not None and event_id != self.last + 1:
             raise ValueError(f"event {event_id} does not follow event {self.last}")
         self.last = event_id
--- a/src/cloverwalk/gateway/lateness_tracker.py
+++ b/src/cloverwalk/gateway/lateness_tracker.py
@@ -1,4 +1,4 @@
-"""Tells why requests of this node were late."""
+"""Finds the causes of late requests of this node."""
 
 from cloverwalk.gateway.messages import ClientRequest
 from cloverwalk.gateway.progress import RequestProgress
@@ -8,14 +8,14 @@
 
 
 class LatenessTracker:
-    """Counts late requests by cause, against what this node has seen of their routes."""
+    """Counts late requests by cause, compared with the usual times of their routes."""
 
     def __init__(self, metrics: ServingMetrics) -> None:
         self._metrics = metrics
         self._service_times = ServiceTimes()
 
     def record(self, request: ClientRequest, progress: RequestProgress) -> str | None:
-        """Return why a request's first event was late; None for one in time or without any."""
+        """Return the cause of a late first event; None if it was in time or there was none."""
         first_at, sent_at = progress.first_event_at, progress.sent_at
         if first_at is None or sent_at is None:
             return None
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -1,7 +1,7 @@
-"""What a node holds in memory for clients, replicas and jobs, bounded over the process.
+"""Memory that a node buffers for clients, replicas and jobs, with one limit for the process.
 
-Answers that wait for clients are given up first, that of the client which has taken nothing for
-longest; a body that still does not fit is not read. No I/O; time is passed in.
+When the limit is reached, slow clients are dropped, the one first that has read nothing for
+longest. A body that still doesn't fit is not read. No I/O; time is passed in.
 """
 
 from typing import Protocol
@@ -9,41 +9,42 @@
 import attrs
 
 BUDGET_SHARE = 0.2
-"""Share of the machine's memory for what is held. Bodies stand there up to three times while they
-are decoded and sent on, beside a program of about 50 MB: of 160 MB, the rest."""
+"""Share of the machine's memory for buffers. Bodies can exist three times while they are decoded
+and sent on; the program itself needs the remainder."""
 
 JOB_SHARE = 0.75
-"""Share of that for jobs and their hand-ins: online requests never wait behind batch."""
+"""Share of the limit for jobs and their submissions, so that online requests never wait for
+them."""
 
 BODY_COPIES = 2
-"""A body is held as it came, and as it goes on to a replica that may be slow to take it."""
+"""A body is kept as received, and as sent to a replica that may be slow to read it."""
 
 MAX_WAITING_BYTES = 1_048_576
-"""What may wait for one client while its replica is read on: as much as is kept of an answer that
-is no stream before its first byte is passed on."""
+"""Bytes buffered for one client while its replica is still read; equal to what is buffered of a
+plain answer before its first byte is relayed."""
 
 
 class Reader(Protocol):
-    """A client for whom a part of an answer waits."""
+    """A client for which a part of an answer is buffered."""
 
     @property
     def waiting_bytes(self) -> int:
-        """How much waits for it."""
+        """Bytes buffered for it."""
         ...
 
     @property
     def last_read_at(self) -> float:
-        """When it last took anything."""
+        """When it last read anything."""
         ...
 
     def drop(self) -> None:
-        """Close its connection and drop what waits for it, at once."""
+        """Close its connection and discard its buffer at once."""
         ...
 
 
 @attrs.define
 class _CountedReader:
-    """A reader, and what is counted for it."""
+    """A reader and the bytes that are counted for it."""
 
     reader: Reader
     counted_bytes: int = 0
@@ -51,28 +52,28 @@
 
 @attrs.define
 class DroppedReaders:
-    """Clients that were given up since they were last told."""
+    """Clients dropped since the last call of ``take_dropped_readers``."""
 
     count: int = 0
     max_bytes: int = 0
     max_stalled_s: float = 0.0
-    """For how long the slowest of them had taken nothing."""
+    """The longest time for which one of them had read nothing."""
 
 
 class MemoryBudget:
-    """Counts what is held against a limit; 0 stands for none."""
+    """Counts buffered bytes against a limit; 0 is no limit."""
 
     def __init__(self, limit_bytes: int = 0) -> None:
         self.limit = limit_bytes
         self.answers = 0
-        """What waits for clients."""
+        """Bytes of answers buffered for clients."""
 
         self.bodies = 0
         self.job_bytes = 0
-        """Bodies and outputs of the items of own jobs."""
+        """Bytes of the bodies and outputs of this node's jobs."""
 
         self.sent_bytes = 0
-        """What was sent to clients since the start."""
+        """Bytes sent to clients since the process started."""
 
         self.dropped_readers_total = 0
         self._dropped = DroppedReaders()
@@ -80,44 +81,44 @@
 
     @property
     def total_bytes(self) -> int:
-        """All that is held."""
+        """All buffered bytes, with the copies of bodies."""
         return self.answers + self.job_bytes + self.bodies * BODY_COPIES
 
     def has_capacity_for_body(self, size: int, now: float) -> bool:
-        """Whether a body may be read; slow readers make room for it."""
+        """Whether a body may be read; drops slow readers to make it fit."""
         needed = size * BODY_COPIES
         if self.limit and self._counted_bytes - self.answers + needed > self.limit:
-            # It would not fit without any reader either.
+            # It would not fit even without the buffers of readers.
             return False
         self._drop_slow_readers(needed, now)
         return self._fits(needed)
 
     def has_capacity_for_job(self, size: int) -> bool:
-        """Whether a job whose bodies have been read may be taken."""
+        """Whether a job whose bodies were read may be accepted."""
         return not self.limit or self.job_bytes + size <= JOB_SHARE * self.limit
 
     def note_waiting(self, reader: Reader, now: float) -> None:
-        """More waits for a client; slow ones are given up where it is too much."""
+        """Count more bytes buffered for a client; drops slow readers beyond the limit."""
         self._recount(self._readers.setdefault(id(reader), _CountedReader(reader)))
         self._drop_slow_readers(0, now)
 
     def record_read(self, reader: Reader) -> None:
-        """A client has taken some of what waits for it."""
+        """Count again after a client has read a part of its buffer."""
         if (counted := self._readers.get(id(reader))) is not None:
             self._recount(counted)
 
     def remove(self, reader: Reader) -> None:
-        """Nothing waits for a client any more."""
+        """Stop counting a client."""
         if (counted := self._readers.pop(id(reader), None)) is not None:
             self.answers -= counted.counted_bytes
 
     def take_dropped_readers(self) -> DroppedReaders:
-        """Return the clients that were given up since the last call."""
+        """Return the clients dropped since the last call."""
         dropped, self._dropped = self._dropped, DroppedReaders()
         return dropped
 
     def record_dropped(self, reader: Reader, now: float) -> None:
-        """A client was given up."""
+        """Record a dropped client."""
         self.dropped_readers_total += 1
         dropped = self._dropped
         dropped.count += 1
@@ -134,7 +135,8 @@
 
     @property
     def _counted_bytes(self) -> int:
-        """What leaves no room: of jobs their share, beyond which taken over ones may grow."""
+        """Bytes counted against the limit: jobs count up to their share, which jobs taken over from
+        other nodes may exceed."""
         return self.total_bytes - self.job_bytes + min(self.job_bytes, int(JOB_SHARE * self.limit))
 
     def _drop_slow_readers(self, needed: int, now: float) -> None:
--- a/src/cloverwalk/gateway/messages.py
+++ b/src/cloverwalk/gateway/messages.py
@@ -1,6 +1,6 @@
-"""Requests and answers as the gateway sees them, and the codec that reads and writes them.
+"""Requests and answers in the gateway, and the codec between them and HTTP.
 
-The codec is the only thing that knows header names and paths; an adapter implements it.
+Only the codec knows header names and paths; a platform adapter implements it.
 """
 
 from typing import Protocol
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 RawHeaders = list[tuple[bytes, bytes]]
-"""Header names in the spelling of their sender, with their values."""
+"""Header names as their sender spelled them, with their values."""
 
 
 class PromptPart(Struct, frozen=True):
@@ -19,7 +19,7 @@
 
 
 class RequestFields(Struct):
-    """What a client's headers say."""
+    """Fields read from a client's headers."""
 
     request_id: str
     deadline_s: float | None = None
@@ -27,37 +27,37 @@
     prompt: tuple[PromptPart, ...] = ()
     wait_s: float = 0.0
     key_digest: str | None = None
-    """Digest of the caller's key; None when it sent none."""
+    """Digest of the caller's key; None if it sent none."""
 
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    """The most tokens that may come out; 0, as for ``prompt_tokens``: the caller did not say."""
+    """Maximum tokens of the output; 0, as for ``prompt_tokens``, if the caller did not say."""
 
     hinted_output_tokens: int = 0
-    """The caller's estimate of the tokens that come out, right at the median and often far off; 0:
-    none."""
+    """The caller's estimate of the output tokens, 0 if none. It is right at the median and often
+    far off."""
 
     @property
     def max_total_tokens(self) -> int:
-        """Tokens that the request may take of a replica's memory; 0: the caller did not say."""
+        """Tokens that the request may use in a replica's memory; 0 if the caller did not say."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 class ReplicaLoad(Struct, frozen=True):
-    """What a replica told of its load."""
+    """The load that a replica reported."""
 
     running: int
     waiting: int
     slots: int
     slowdown: float | None = None
-    """How long work takes there now, as a multiple of its usual time; None: it does not say."""
+    """Current service time as a multiple of the baseline; None if not reported."""
 
     has_invalid_slowdown: bool = False
-    """Whether it told a figure for ``slowdown`` that can't be one."""
+    """Whether an invalid value was reported for ``slowdown``."""
 
 
 class AnswerFields(Struct):
-    """What a replica's headers say."""
+    """Fields read from the headers of a replica's answer."""
 
     request_id: str | None
     is_signed: bool
@@ -90,7 +90,7 @@
 
 
 class ClientRequest(Struct):
-    """A whole request of a client."""
+    """A complete request of a client."""
 
     method: str
     target: str
@@ -99,10 +99,10 @@
     host: str
     fields: RequestFields
     received_at: float
-    """When its head had been read (steady clock, seconds)."""
+    """When its head was read (monotonic clock, seconds)."""
 
     tenant: str = ""
-    """Name of the tenant that sends it, once that is known; empty for callers without a key."""
+    """Name of the sending tenant once it is known; empty for callers without a key."""
 
     @property
     def path(self) -> str:
@@ -111,10 +111,10 @@
 
 
 class GatewayCodec(Protocol):
-    """Reads and writes the headers and calls of an outside interface."""
+    """Reads and writes the headers and calls of an external interface."""
 
     def request_fields(self, headers: RawHeaders) -> RequestFields:
-        """Return what a client's headers say; raise GatewayError when they are not valid."""
+        """Return the fields of a client's headers; raise GatewayError if they are invalid."""
         ...
 
     def without_key(self, headers: RawHeaders) -> RawHeaders:
@@ -122,7 +122,7 @@
         ...
 
     def answer_fields(self, headers: RawHeaders) -> AnswerFields:
-        """Return what a replica's headers say."""
+        """Return the fields of a replica's headers."""
         ...
 
     def headers_to_replica(
@@ -132,17 +132,17 @@
         remaining_s: float | None,
         last_event_id: int | None,
     ) -> RawHeaders:
-        """Return the headers with which a request goes to a replica, without its length."""
+        """Return the headers of a request to a replica, except its length."""
         ...
 
     def headers_to_client(self, headers: RawHeaders) -> RawHeaders:
-        """Return a replica's headers without those of its connection and without its length."""
+        """Return a replica's headers without its length and those of its connection."""
         ...
 
     def local_reply_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
-        """Return the headers of an answer that this node makes itself."""
+        """Return the headers of an error response of this node."""
         ...
 
     def job_call(self, method: str, target: str) -> JobCall | None:
-        """Return the call on a job that a request is, or None when it is none."""
+        """Return the job call that a request makes, or None if it makes none."""
         ...
--- a/src/cloverwalk/gateway/overload_monitor.py
+++ b/src/cloverwalk/gateway/overload_monitor.py
@@ -1,7 +1,7 @@
-"""How full a node's machine is, and whether the node takes more work.
+"""The utilization of a node's machine, and whether the node accepts more work.
 
-No I/O: figures and time are passed in. The verdict is about new work only; it has no handle on
-what is in flight.
+No I/O: usage and time are passed in. The state concerns new work only; work in flight is not
+touched.
 """
 
 import enum
@@ -10,53 +10,54 @@
 import attrs
 
 AVERAGING_TIME_S = 2.0
-"""Rates are averaged over about this time: the platform acts on two of its questions in a row, one
-a second, so a shorter peak is over before anything is done about it."""
+"""Time constant of the averages. The platform acts on two readiness probes in a row, one a second,
+so a shorter peak is over before it would act."""
 
 FULL_THRESHOLD = 0.85
-"""A node this full takes no new connections; the rest is for the requests of the open ones."""
+"""Utilization at which a node asks for no new connections; the remainder serves the open ones."""
 
 FULL_END_THRESHOLD = 0.65
-"""A full node takes again below this: it can take its equal share of the clients back then."""
+"""Utilization below which a full node accepts new connections again: low enough for it to take back
+its equal share of the clients."""
 
 OVERLOADED_THRESHOLD = 1.0
 OVERLOADED_END_THRESHOLD = 0.9
-"""A node over its machine is so no more below this."""
+"""Utilization below which an overloaded node is overloaded no more."""
 
 USABLE_PROCESSOR_SHARE = 0.95
-"""Share of its processor time that a process gets at the most; the kernel has the rest."""
+"""Share of its processor time that a process can use at most; the kernel uses the remainder."""
 
 MAX_PROCESSOR_RATE = 1.5
-"""A process with one busy thread can't spend more processor time than this many times what passes.
-A clock that says so measures something else, and the processor is left out from then on."""
+"""Maximum processor time per elapsed time of a process with one busy thread. A clock that runs
+faster measures something else, and the processor is ignored from then on."""
 
 CLOCK_SLACK_S = 0.05
-"""The two clocks are not read at the same moment."""
+"""The process clock and the monotonic clock are not read at the same moment."""
 
 LATE_LOOP_THRESHOLD_S = 0.1
-"""A loop that is late by this delays both the start and the end of an answer by about a tenth of a
-second each. A busy processor whose loop is less late still serves in time."""
+"""Delay of the event loop at which requests are late: it delays both the start and the end of an
+answer. Below it a busy processor still serves in time."""
 
 PEER_MARGIN = 0.15
-"""How much fuller than its peers a node is before it turns work away. Less than this is chance, and
-the peers would be as full with its work."""
+"""How far a node's utilization must exceed that of its peers before it turns work away. A smaller
+difference is chance, and the peers would be as full with its work."""
 
 PEER_UTILIZATION_TTL_S = 5.0
-"""What was told of the peers counts for so long; without it a node turns nothing away."""
+"""How long a reported utilization of the peers counts; without one a node turns no work away."""
 
 MIN_STATE_DURATION_S = 2.0
-"""A verdict holds for at least this long."""
+"""Minimum time between two changes of the state."""
 
 MAX_UNREADY_SHARE = 0.1
-"""Share of its time for which a node may be not ready. Operators take a machine that is not ready
-for more than an eighth of its time for one that fails its duty."""
+"""Share of its time for which a node may be not ready. Operators treat a machine that is not ready
+for more than an eighth of the time as failing."""
 
 MAX_UNREADY_S = 6.0
 MIN_UNREADY_S = 3.0
-"""Being not ready for less has no effect: the platform waits for two answers in a row."""
+"""A shorter time has no effect: the platform acts on two readiness probes in a row."""
 
 UNKNOWN = 0
-"""Stands for a limit, or for peers, that nobody has told."""
+"""Stands for a limit or a peer utilization that was not reported."""
 
 
 class Resource(enum.Enum):
@@ -69,11 +70,11 @@
 
 
 class OverloadState(enum.Enum):
-    """What a node takes."""
+    """Which work a node accepts."""
 
     NORMAL = "takes_all"
     FULL = "takes_no_new"
-    """It asks for no new connections, and serves what comes all the same."""
+    """It asks for no new connections, and still serves those that come."""
 
     OVERLOADED = "over"
     """It refuses new requests and jobs at once."""
@@ -81,32 +82,32 @@
 
 @attrs.frozen
 class MachineCapacity:
-    """What a machine gives a node; ``UNKNOWN`` where a limit is not known."""
+    """The limits of a machine; ``UNKNOWN`` for those that are not set."""
 
     connections: int = UNKNOWN
     link_bytes_per_s: float = UNKNOWN
     processor: float = UNKNOWN
-    """Cores that the process can use; it has one busy thread, so one at the most."""
+    """Cores that the process can use; at most one, since it has one busy thread."""
 
     held_bytes: int = UNKNOWN
-    """What may be held for clients, replicas and jobs."""
+    """Limit of the memory buffered for clients, replicas and jobs."""
 
 
 @attrs.frozen
 class Usage:
-    """What is in use at one moment. The first two go on all the time, from any figure; a process
-    clock also from one below zero."""
+    """What is in use at one moment. The first two are counters that start anywhere; the process
+    clock may start below zero."""
 
     sent_bytes: int = 0
     processor_s: float = 0.0
     connections: int = 0
     held_bytes: int = 0
     late_s: float = 0.0
-    """How much later than planned the loop came to tell this."""
+    """How much later than planned the event loop took this sample."""
 
     @property
     def is_valid(self) -> bool:
-        """Whether these can be figures of a process."""
+        """Whether these can be the values of a process."""
         counts = (self.sent_bytes, self.connections, self.held_bytes, self.late_s)
         return math.isfinite(self.processor_s) and all(
             math.isfinite(count) and count >= 0 for count in counts
@@ -115,7 +116,7 @@
 
 @attrs.define
 class _MovingAverage:
-    """An average that forgets what is much older than ``AVERAGING_TIME_S``."""
+    """An exponential average with the time constant ``AVERAGING_TIME_S``."""
 
     value: float = 0.0
 
@@ -125,14 +126,14 @@
 
 
 class OverloadMonitor:
-    """Tells how full a machine is by whatever is scarcest, and what the node takes.
+    """Computes the utilization of the scarcest resource, and the state that follows from it.
 
-    >>> room = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
-    >>> room.set_peer_utilization(20, now=2.0)
+    >>> monitor = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
+    >>> monitor.set_peer_utilization(20, now=2.0)
     True
-    >>> room.update(Usage(connections=90), now=2.0)
+    >>> monitor.update(Usage(connections=90), now=2.0)
     True
-    >>> room.state, room.scarcest, room.utilization
+    >>> monitor.state, monitor.scarcest, monitor.utilization
     (<OverloadState.FULL: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
     """
 
@@ -152,24 +153,24 @@
         self.by_resource: dict[Resource, float] = dict.fromkeys(Resource, 0.0)
         self.state = OverloadState.NORMAL
         self.is_ready = True
-        """Whether the node should call itself ready, as far as its room goes."""
+        """Whether the machine's utilization lets the node report itself as ready."""
 
     @property
     def scarcest(self) -> Resource:
-        """What the machine has the least left of."""
+        """The resource with the highest utilization."""
         return max(Resource, key=lambda resource: self.by_resource[resource])
 
     @property
     def utilization(self) -> float:
-        """How much of the scarcest resource is in use; 1 is all of it."""
+        """The utilization of the scarcest resource; 1.0 is all of it."""
         return self.by_resource[self.scarcest]
 
     def overloaded_for_s(self, now: float) -> float:
-        """Return for how long the node has been over its machine; 0 while it is not."""
+        """Return for how long the node has been overloaded; 0 while it is not."""
         return 0.0 if self._overloaded_since is None else now - self._overloaded_since
 
     def set_peer_utilization(self, percent: int, now: float) -> bool:
-        """Take how full the nodes are that get the same clients; return whether it can be so."""
+        """Set the utilization of the nodes with the same clients; return whether it is valid."""
         if percent == UNKNOWN:
             return True
         if percent < 0:
@@ -178,9 +179,10 @@
         return True
 
     def update(self, usage: Usage, now: float) -> bool:
-        """Judge by present figures; return whether all can be true. Others are left out.
+        """Update the state from a sample; return whether the sample is credible.
 
-        A process clock that can't be one is told once.
+        An invalid sample is ignored. A process clock that runs too fast or backwards is reported
+        once, and the processor is ignored from then on.
         """
         elapsed_s = now - self._updated_at
         if elapsed_s < 0 or not usage.is_valid:
@@ -196,7 +198,7 @@
         return is_credible
 
     def _update_rates(self, previous: Usage, usage: Usage, elapsed_s: float) -> bool:
-        """Take rates; return False where the process clock turns out to be none."""
+        """Update the rates; return False if the process clock turns out to be invalid."""
         sent_bytes = max(0, usage.sent_bytes - previous.sent_bytes)
         self._send_rate.add(sent_bytes / elapsed_s, elapsed_s)
         self._lateness_s.add(usage.late_s, elapsed_s)
@@ -247,7 +249,8 @@
         return OverloadState.NORMAL
 
     def _critical_utilization(self) -> float:
-        """Return the fullness beyond which work comes late; a busy processor alone is no harm."""
+        """Return the utilization beyond which work is late; a busy processor counts only with a
+        late loop."""
         if self._lateness_s.value >= LATE_LOOP_THRESHOLD_S:
             return self.utilization
         return max(
--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Why an online request ends with an answer of this node's own, and when its caller may return."""
+"""Error responses to online requests, with the time after which the caller may retry."""
 
 from cloverwalk.core.error_response import Reason
 from cloverwalk.fleet.messages import Placement
@@ -7,7 +7,7 @@
 
 RETRY_AFTER_S = 0.2
 ELSEWHERE_RETRY_AFTER_S = 0.02
-"""A client that comes back reaches another node, which need not be waited for."""
+"""A client that retries reaches another node, which needs no waiting time."""
 
 OVER_QUOTA = TenantOutcome.OVER_QUOTA
 CONTAINED = "request_contained"
@@ -16,57 +16,60 @@
 
 
 def out_of_time() -> GatewayError:
-    """Return the refusal of a request whose time is over."""
-    return GatewayError(Reason.OUT_OF_TIME, "deadline_passed", "the time for it is over", 0.0)
+    """Return the error response to a request whose deadline has passed."""
+    return GatewayError(
+        Reason.OUT_OF_TIME, "deadline_passed", "the deadline of the request has passed", 0.0
+    )
 
 
 def attempts_used(last_failure: str) -> GatewayError:
-    """Return the answer to a request that may go to no further replica."""
+    """Return the error response to a request that has used all its attempts."""
     return GatewayError(Reason.UNAVAILABLE, "attempts_used", last_failure)
 
 
 def overloaded(retry_after_s: float) -> GatewayError:
-    """Return the refusal of a request that has to come back."""
-    message = "all slots are taken by online requests"
+    """Return the error response to a request that has to retry because of an overload."""
+    message = "all slots are in use by online requests"
     return GatewayError(Reason.UNAVAILABLE, "crowded", message, retry_after_s)
 
 
 def no_free_slot(placement: Placement) -> GatewayError:
-    """Return the refusal of a request that found too little room, and why it was this one."""
+    """Return the error response to a request that got no slot, with the reason."""
     if placement.retry_after_s <= 0:
-        message = "all slots are taken for longer than the caller waits"
+        message = "no slot gets free before the caller's deadline"
         return GatewayError(Reason.UNAVAILABLE, NO_TIME, message)
     if placement.ahead_ms > 0:
-        message = f"the tenant has had {placement.ahead_ms} ms of slot time more than others"
+        message = f"the tenant has used {placement.ahead_ms} ms more slot time than others"
         return GatewayError(Reason.UNAVAILABLE, OVER_SHARE, message, placement.retry_after_s)
     return overloaded(placement.retry_after_s)
 
 
 def no_replica(code: str, last_failure: str) -> GatewayError:
-    """Return the refusal where no replica takes a request."""
-    message = last_failure or "no replica takes the request now"
+    """Return the error response if no replica accepts a request."""
+    message = last_failure or "no replica accepts the request now"
     return GatewayError(Reason.UNAVAILABLE, code, message, RETRY_AFTER_S)
 
 
 def over_quota(retry_after_s: float) -> GatewayError:
-    """Return the refusal of a tenant that has sent what it may."""
-    message = "the tenant has sent what it may"
+    """Return the error response to a tenant that has used up its quota."""
+    message = "the tenant has used up its quota"
     return GatewayError(Reason.OVER_QUOTA, OVER_QUOTA, message, retry_after_s)
 
 
 def quota_unknown() -> GatewayError:
-    """Return the refusal of a node that can't tell whether a tenant may send more."""
-    message = "nobody who counts the tenant's requests answers this node"
+    """Return the error response of a node that can't find out whether a quota allows a request."""
+    message = "no coordinator answered for the tenant's quota"
     return GatewayError(Reason.UNAVAILABLE, "quota_unknown", message, ELSEWHERE_RETRY_AFTER_S)
 
 
 def too_large() -> GatewayError:
-    """Return the refusal of a request that no replica has the memory for; it is so for good."""
-    message = "no replica has the memory for its prompt and the most that may come out"
+    """Return the error response to a request that fits into no replica's memory; retries can't
+    help."""
+    message = "no replica has the memory for the prompt and the maximum output"
     return GatewayError(Reason.UNAVAILABLE, "too_large", message)
 
 
 def contained(content: str, crashes: int) -> GatewayError:
-    """Return the refusal of a request that ends replicas; nobody should come back with it."""
-    message = f"{crashes} servers ended while they ran this request ({content})"
+    """Return the error response to a contained request, without a time to retry after."""
+    message = f"{crashes} replicas ended while they ran this request ({content})"
     return GatewayError(Reason.UNAVAILABLE, CONTAINED, message)
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -1,7 +1,8 @@
-"""One online request from its arrival to its final answer.
+"""Serves one online request, from its arrival to its final answer.
 
-The way: route, choose a replica, send, pass the answer on. A failure leads to another replica
-where the route allows it, and else to a final answer at once. Read ``OnlineRelay.handle`` first.
+A request is sent to a replica of its route, and the replica's answer is relayed to the client. When
+an attempt fails, the request goes to another replica if its route allows that; otherwise the node
+answers with an error response. ``OnlineRelay.handle`` is the entry point.
 """
 
 from collections.abc import Callable
@@ -36,15 +37,15 @@
 from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
 MAX_REFUSALS = 8
-"""Replicas that may be unreachable or say 'not run' before the request is refused. Each costs some
-milliseconds; with three, requests were refused while seven of 45 replicas were down."""
+"""Replicas that may be unreachable or refuse to run the request before it is refused. Each costs
+some milliseconds; a smaller limit refuses requests while a part of the fleet is down."""
 
 MIN_ATTEMPT_TIME_S = 0.01
 MIN_FAILURE_STATUS = 400
 
 
 class OnlineRelay:
-    """Serves online requests with what this node knows."""
+    """Serves online requests from the fleet state of this node."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         self._lateness_tracker = LatenessTracker(metrics)
 
     async def handle(self, request: ClientRequest, route: Route, reply: Reply) -> None:
-        """Serve a request of an online route."""
+        """Serve a request of an online route: relay an answer, or send an error response."""
         progress = self._start_progress(request, route)
         try:
             async with curio.timeout_after(max(0.0, progress.deadline - self._clock())):
@@ -120,7 +121,8 @@
                 await self._record_failure(request, progress, replica, error, reply)
 
     async def _choose_replica(self, request: ClientRequest, progress: RequestProgress) -> Replica:
-        """Return the replica to send to, once there is a place; see ``scheduling.scheduler``."""
+        """Return the replica to send to, once the coordinator or this node has granted a
+        placement."""
         while True:
             if progress.tried and not self._may_try_again(progress):
                 raise refusals.attempts_used(progress.last_failure)
@@ -137,7 +139,8 @@
             if replica is not None:
                 self._record_choice(request, progress, result)
                 return replica
-            # The coordinator knows a replica that this node does not know yet, or not any more.
+            # The coordinator named a replica that this node doesn't know yet, or that was removed
+            # here.
             progress.has_token = True
             progress.refused.append(result.replica_id)
             await self._end_in_flight(result)
@@ -145,7 +148,7 @@
     def _check_verdict(
         self, request: ClientRequest, progress: RequestProgress, result: PlacementResult
     ) -> None:
-        """Raise the refusal of a request that got no place."""
+        """Raise the refusal of a request that got no placement."""
         match result.verdict:
             case PlacementVerdict.RETRY_LATER:
                 raise refusals.no_free_slot(result.placement)
@@ -164,7 +167,8 @@
                 return
 
     def _check_quota_refusal(self, placement_request: PlacementRequest) -> None:
-        """Raise the refusal of a tenant that the coordinator has refused just now."""
+        """Raise the cached refusal of a tenant that the coordinator refused for its quota
+        lately."""
         if placement_request.quota_token is not QuotaTokenUse.NEW:
             return
         remaining_s = self._quota_refusals.remaining_s(placement_request.tenant)
@@ -205,7 +209,8 @@
         )
 
     def _must_send(self, request: ClientRequest, progress: RequestProgress) -> bool:
-        """Whether a request goes to a replica whatever it can expect there."""
+        """Whether the request must be sent even if it can expect no free slot: it was tried before,
+        or has been queued for the maximum time."""
         has_begun = progress.may_have_run or bool(progress.refused)
         return has_begun or self._clock() - request.received_at >= MAX_QUEUE_WAIT_S
 
@@ -256,7 +261,7 @@
         if may_have_run:
             await self._containment.record_failure(request, progress, replica, error.code)
         if reply.has_begun and not progress.route.is_resumable:
-            raise ClientGoneError("the answer broke off at the replica", "answer_cut")
+            raise ClientGoneError("the replica's answer was cut off", "answer_cut")
 
     # --- one attempt ---
 
@@ -281,7 +286,8 @@
     ) -> None:
         try:
             address = (replica.host, replica.port)
-            # Nothing tells whether a kept one still leads to a living replica.
+            # A reused connection may lead to a replica that has ended, and nothing on it shows
+            # that.
             must_be_new = bool(progress.tried) or progress.is_crash_suspect
             request_id = request.fields.request_id
             connection = await self._pool.acquire(address, request_id, must_be_new)
@@ -290,7 +296,7 @@
             raise
         if self._directory.find(replica.replica_id) is None:
             await self._pool.release_unused(connection)
-            raise ReplicaError("the replica began to leave", False, "draining")
+            raise ReplicaError("the replica is draining", False, "draining")
         is_released = False
         try:
             progress.last_replica = replica.replica_id
@@ -323,7 +329,7 @@
                 self._directory.suspect(replica.replica_id, self._clock())
             raise ReplicaError(f"the replica answered {head.status}", False, "not_run")
         if not head.fields.is_signed:
-            raise ReplicaError("the answer is not signed", True, "unsigned")
+            raise ReplicaError("the answer has no signature", True, "unsigned")
         self._directory.clear_suspicion(replica.replica_id)
         if progress.route.kind is RouteKind.STREAM and head.status == 200:
             await self._answers.relay_stream(request, progress, connection, head, reply)
@@ -356,10 +362,10 @@
                 return await connection.read_head(request.fields.request_id)
         except OSError as error:
             self._directory.suspect(replica.replica_id, self._clock())
-            raise ReplicaError(f"sending failed: {error!r}", True, "reset") from error
+            raise ReplicaError(f"sending the request failed: {error!r}", True, "reset") from error
         except curio.TaskTimeout as error:
             self._directory.suspect(replica.replica_id, self._clock())
-            raise ReplicaError("no answer in time", True, TIMED_OUT) from error
+            raise ReplicaError("no answer before the timeout", True, TIMED_OUT) from error
         except ReplicaError as error:
             if error.code == "reset":
                 self._directory.suspect(replica.replica_id, self._clock())
@@ -377,7 +383,7 @@
             while await connection.read_body() is not None:
                 pass
 
-    # --- the end ---
+    # --- end of the request ---
 
     async def _respond_with_error(
         self, request: ClientRequest, progress: RequestProgress, reply: Reply, error: GatewayError
@@ -385,7 +391,7 @@
         answer = error_response(error, progress)
         self._record_end(request, progress, answer.code, answer.status)
         if reply.has_begun:
-            raise ClientGoneError(f"the answer is broken off: {answer.code}")
+            raise ClientGoneError(f"answer aborted: {answer.code}")
         headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
         await reply.respond(answer.status, headers, answer.body)
 
@@ -426,7 +432,8 @@
 
 
 def _proves_not_run(head: AnswerHead) -> bool:
-    """Whether an answer says that its replica did not run the request; no success says so."""
+    """Whether an answer proves that its replica did not run the request; a success proves
+    nothing."""
     return head.fields.was_not_run and head.status >= MIN_FAILURE_STATUS
 
 
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -1,4 +1,4 @@
-"""Kept connections to replicas. A connection that holds anything unexplained is not used again."""
+"""Connections to replicas and their pool. One with unexpected bytes is never reused."""
 
 import contextlib
 import enum
@@ -26,28 +26,28 @@
 KEEP_ALIVE_MARGIN_S = 1.0
 MAX_IDLE_PER_REPLICA = 24
 REFUSAL_TTL_S = 30.0
-"""How long it is known that an address refused: a replica that is back is in the list within some
-seconds, and later news of a start has another cause."""
+"""For how long a refused connection is remembered. A replica that restarts is listed again within
+seconds, so a restart that is reported later has another cause."""
 
 MAX_SKIPPED_ANSWERS = 2
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3}\b")
 FRAMING_METHODS = (b"HEAD", b"CONNECT")
-"""Methods whose answers end elsewhere than the same answers to other requests."""
+"""Methods whose answers are framed differently from the same answers to other requests."""
 
 MAX_REMEMBERED_IDS = 64
-"""Requests that a connection remembers. An answer in excess comes in the place of the next one or
-soon after: the replica serves the requests of a connection in order."""
+"""Request ids that a connection remembers. A surplus answer arrives in place of one of the next
+answers, since the replica serves the requests of a connection in order."""
 
 
 class Reachability(enum.Enum):
-    """What an address does with a new connection."""
+    """What happens to a new connection to an address."""
 
     LISTENS = "listens"
     REFUSES = "refuses"
-    """The machine is there, and no process listens."""
+    """The machine answers, and no process listens on the port."""
 
     SILENT = "silent"
-    """No answer: the machine or the way to it may be gone."""
+    """No answer before the timeout: the machine or the network may be down."""
 
 
 class AnswerHead(Struct):
@@ -61,7 +61,7 @@
 
 
 class ReplicaConnection:
-    """One connection; one exchange at a time."""
+    """One connection to a replica; it carries one exchange at a time."""
 
     def __init__(
         self,
@@ -81,40 +81,40 @@
         self._has_sending_failed = False
         self._answer_closes = False
         self._is_drained = False
-        """Whether the last read got all that was there: another would find nothing yet."""
+        """Whether the last read emptied the socket, so that the next one has to wait."""
 
         self._exchange_count = 0
         self._has_body_ended = False
-        """Whether the body of the present answer was read to its end."""
+        """Whether the body of the current answer was read to its end."""
 
         self._is_closed = False
         self._is_aborted = False
         self.opened_at = clock()
         self.quiet_since = self.opened_at
-        """When bytes came last, or the present request was sent if that was later."""
+        """When bytes last arrived, or when the current request was sent if that was later."""
 
         self.usable_until = float("inf")
         self.acquired_at = float("-inf")
-        """When the present exchange got it (steady clock, seconds)."""
+        """When the current exchange acquired it (monotonic clock, seconds)."""
 
         self.released_at = float("-inf")
-        """When it was last put aside: what came before was answered."""
+        """When it was last returned to the pool; all earlier exchanges were answered."""
 
     @property
     def is_new(self) -> bool:
-        """Whether nothing was sent over it yet."""
+        """Whether no request was sent over it yet."""
         return self._exchange_count == 0
 
     @property
     def is_reused(self) -> bool:
-        """Whether an earlier exchange went over it."""
+        """Whether it carried an exchange before the current one."""
         return self._exchange_count > 1
 
     async def send(self, method: str, target: str, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole request; a long body is sent beside the reading of the answer."""
+        """Send a whole request; a long body is sent by a task while the answer is read."""
         length = (b"Content-Length", str(len(body)).encode())
         if self._is_aborted:
-            raise ReplicaError("the replica has started again", False, RESTARTED)
+            raise ReplicaError("the replica has restarted", False, RESTARTED)
         self._request = h11.Request(method=method, target=target, headers=[*headers, length])
         data = self._feed_request(body)
         if self._exchange_count == 0 and self._has_bytes():
@@ -143,7 +143,8 @@
         return True
 
     def has_carried(self, request_id: str) -> bool:
-        """Whether a request with this id went over it: a late answer to that one looks the same."""
+        """Whether it carried a request with this id: a late answer to that one can't be told
+        apart."""
         return request_id in self._remembered_ids
 
     async def read_head(self, request_id: str) -> AnswerHead:
@@ -161,7 +162,8 @@
 
     @property
     def _frames_answers(self) -> bool:
-        """Whether the present request tells where its answer ends, which is wrong for others."""
+        """Whether the method of the current request decides where its answer ends; surplus answers
+        to other requests would be framed wrongly."""
         return self._request is not None and self._request.method in FRAMING_METHODS
 
     async def _read_any_head(self) -> AnswerHead:
@@ -182,9 +184,9 @@
             elif name == b"connection" and b"close" in value.lower():
                 self._answer_closes = True
         if is_chunked and length is not None:
-            raise ReplicaError("not an answer: it has two lengths", True, "not_http")
+            raise ReplicaError("invalid HTTP answer: two lengths", True, "not_http")
         if self.is_reused and _holds_status_line(event):
-            raise ReplicaError("not an answer: a part of another comes first", True, "not_http")
+            raise ReplicaError("invalid HTTP answer: starts inside another one", True, "not_http")
         fields = self._codec.answer_fields(headers)
         return AnswerHead(event.status_code, event.reason, headers, fields, length)
 
@@ -192,7 +194,7 @@
         while isinstance(event := await self._next_event(), h11.Data):
             pass
         if not isinstance(event, h11.EndOfMessage):
-            raise ReplicaError("an answer to another request broke off", True, "answer_cut")
+            raise ReplicaError("an answer to another request was cut off", True, "answer_cut")
         trailing, is_closed = self._http.trailing_data
         if is_closed or self._answer_closes:
             raise ReplicaError("the connection ended before an answer", True, "no_answer")
@@ -200,16 +202,16 @@
         self._http = h11.Connection(h11.CLIENT)
         self._http.send(self._request)
         if any(n == b"content-length" and v != b"0" for n, v in self._request.headers):
-            # The body went out before; h11 only has to count it.
+            # The body was sent before; h11 only has to count it.
             size = next(int(v) for n, v in self._request.headers if n == b"content-length")
             self._http.send(h11.Data(data=bytes(size)))
         self._http.send(h11.EndOfMessage())
         if trailing:
-            # Empty data would mean the end of the connection.
+            # Empty data would stand for the end of the connection.
             self._http.receive_data(trailing)
 
     async def read_body(self) -> bytes | None:
-        """Return the next bytes of the body, all that have come, or None at its proper end."""
+        """Return all bytes of the body that have arrived, or None at the end of a whole body."""
         if self._has_body_ended:
             return None
         event = await self._next_event()
@@ -219,13 +221,13 @@
             try:
                 event = self._buffered_event()
             except ReplicaError:
-                # What came before is good; the next call meets the error again.
+                # The bytes before the error are valid; the next call raises the error again.
                 return b"".join(parts)
         if isinstance(event, h11.EndOfMessage):
             self._has_body_ended = True
             return b"".join(parts) if parts else None
         if event is not h11.NEED_DATA:
-            raise ReplicaError("the answer broke off", True, "answer_cut")
+            raise ReplicaError("the answer was cut off", True, "answer_cut")
         return b"".join(parts)
 
     async def _next_event(self) -> Any:
@@ -233,18 +235,18 @@
             while (event := self._buffered_event()) is h11.NEED_DATA:
                 self._http.receive_data(await self._receive())
         except OSError as error:
-            raise ReplicaError(f"the connection broke: {error!r}", True, "reset") from error
+            raise ReplicaError(f"the connection failed: {error!r}", True, "reset") from error
         return event
 
     def _buffered_event(self) -> Any:
-        """Return the next event of the bytes that were read; NEED_DATA where they don't do."""
+        """Return the next event of the buffered bytes; NEED_DATA if they hold no whole one."""
         try:
             return self._http.next_event()
         except (h11.RemoteProtocolError, ValueError) as error:
-            raise ReplicaError(f"not an answer: {error}", True, "not_http") from error
+            raise ReplicaError(f"invalid HTTP answer: {error}", True, "not_http") from error
 
     def expect_data(self) -> None:
-        """Some time has passed: the next read may find bytes at once."""
+        """Let the next read try the socket at once, since some time has passed."""
         self._is_drained = False
 
     async def _receive(self) -> bytes:
@@ -252,16 +254,16 @@
             await _read_wait(self._sock._fileno)
         data: bytes = await self._sock.recv(READ_BYTES)
         if not data and self._is_aborted:
-            raise ReplicaError("the replica has started again", True, RESTARTED)
+            raise ReplicaError("the replica has restarted", True, RESTARTED)
         self.quiet_since = self._clock()
         if not data and self._has_sending_failed:
-            # The kernel tells a reset once, and it told the sender: this is no proper end.
-            raise ConnectionResetError("the connection broke while the request was sent")
+            # The kernel reports a reset once, and the sending task got it: this is no regular end.
+            raise ConnectionResetError("the connection was reset while the request was sent")
         self._is_drained = 0 < len(data) < READ_BYTES
         return data
 
     async def finish(self, keep_alive_s: float | None, now: float) -> bool:
-        """End the exchange; return whether the connection may serve another one."""
+        """End the exchange; return whether the connection can be reused."""
         if self._sender is not None:
             if not self._sender.terminated:
                 return False
@@ -272,7 +274,7 @@
         if self._answer_closes or self._http.their_state is not h11.DONE:
             return False
         if self._frames_answers:
-            # A second answer to it would be read with another end by the next request.
+            # The next request would read a surplus answer to this one with the wrong framing.
             return False
         trailing, is_closed = self._http.trailing_data
         if self._http.our_state is not h11.DONE or trailing or is_closed:
@@ -283,7 +285,7 @@
         return limit_s > 0
 
     def has_unread(self) -> bool:
-        """Whether anything came, the end included, though no answer is due."""
+        """Whether bytes or an end of the connection arrived while no answer is due."""
         try:
             self._sock._socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -293,28 +295,29 @@
         return True
 
     def _has_bytes(self) -> bool:
-        """Whether bytes came; what is wrong with the connection is told by sending on it."""
+        """Whether bytes arrived; errors of the connection are left to the next send."""
         try:
             return bool(self._sock._socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
     def abort(self) -> None:
-        """End the present exchange: its replica is gone. What came before can still be read."""
+        """Abort the current exchange, whose replica has ended. Bytes that arrived before stay
+        readable."""
         if self._is_closed or self._is_aborted:
             return
         self._is_aborted = True
-        # One that is reset already tells so itself.
+        # A connection that was reset already reports its end itself.
         with contextlib.suppress(OSError):
             self._sock._socket.shutdown(socket.SHUT_RDWR)
 
     @property
     def is_abortable(self) -> bool:
-        """Whether it is open, and nobody has ended it yet."""
+        """Whether it is open and was not aborted yet."""
         return not self._is_closed and not self._is_aborted
 
     async def close(self) -> None:
-        """Close at once; a replica stops the work of a closed connection."""
+        """Close at once; the replica cancels the work of a closed connection."""
         self._is_closed = True
         sender, self._sender = self._sender, None
         if sender is not None and not sender.terminated:
@@ -323,29 +326,30 @@
 
 
 def _holds_status_line(event: h11.Response) -> bool:
-    """Whether a head continues a part of an earlier answer, within its reason or a field."""
+    """Whether a head is glued to a part of an earlier answer, inside its reason or a field."""
     values = [event.reason, *(value for _, value in event.headers)]
     return any(STATUS_LINE.search(value) for value in values)
 
 
 class ReplicaPool:
-    """Idle connections by address."""
+    """Idle connections by address, and all open ones."""
 
     def __init__(self, codec: GatewayCodec, clock: Callable[[], float]) -> None:
         self._codec = codec
         self._clock = clock
         self._idle: dict[tuple[str, int], list[ReplicaConnection]] = {}
         self._connections: WeakSet[ReplicaConnection] = WeakSet()
-        """Those that may be in use, too: closed ones among them do no harm."""
+        """All connections, those in use included; closed ones are harmless here."""
 
         self._refused_at: dict[tuple[str, int], float] = {}
-        """When an address last refused a connection: no process was there then."""
+        """When each address last refused a connection, which shows that no process listened
+        then."""
 
         self.opened = 0
-        """Connections opened since the start."""
+        """Connections opened since the process started."""
 
     async def probe(self, address: tuple[str, int]) -> Reachability:
-        """Open a connection and close it again: whether anybody listens at an address."""
+        """Open and close a connection, to find out whether a process listens at an address."""
         try:
             async with curio.timeout_after(CONNECT_TIMEOUT_S):
                 sock = await curio.open_connection(*address)
@@ -361,7 +365,7 @@
     async def acquire(
         self, address: tuple[str, int], request_id: str, force_new: bool = False
     ) -> ReplicaConnection:
-        """Return a connection for a request; raise ReplicaError when none can be had.
+        """Return a connection for a request; raise ReplicaError if none can be opened.
 
         It is a new one, or an idle one that has not carried a request with the same id.
         """
@@ -375,7 +379,7 @@
         return await self._open(address)
 
     def _pop_idle(self, address: tuple[str, int], request_id: str) -> ReplicaConnection | None:
-        """Take the idle connection that was used last and has not carried ``request_id``."""
+        """Pop the idle connection that was used last and has not carried ``request_id``."""
         idle = self._idle.get(address, [])
         candidates = [connection for connection in idle if not connection.has_carried(request_id)]
         if not candidates:
@@ -399,7 +403,7 @@
         return connection
 
     async def release(self, connection: ReplicaConnection, keep_alive_s: float | None) -> None:
-        """Take back a connection whose answer was read to its end."""
+        """Return a connection to the pool after its answer was read to its end."""
         reusable = await connection.finish(keep_alive_s, self._clock())
         idle = self._idle.setdefault(connection.address, [])
         if reusable and len(idle) < MAX_IDLE_PER_REPLICA:
@@ -409,27 +413,27 @@
             await connection.close()
 
     async def release_unused(self, connection: ReplicaConnection) -> None:
-        """Take back a connection on which nothing was sent since it was acquired."""
+        """Return a connection to the pool on which nothing was sent since it was acquired."""
         self._idle.setdefault(connection.address, []).append(connection)
 
     def discard_idle(self, address: tuple[str, int]) -> int:
-        """Use no idle connection to an address any more; return how many there were."""
+        """Stop the reuse of all idle connections to an address; return how many there were."""
         idle = self._idle.get(address, [])
         for connection in idle:
             connection.usable_until = float("-inf")
         return len(idle)
 
     def pop_refused_at(self, address: tuple[str, int]) -> float:
-        """Return when an address refused a connection lately, and forget it; inf: it did not."""
+        """Pop the time at which an address last refused a connection; inf if it did not lately."""
         return self._refused_at.pop(address, float("inf"))
 
     def abort_exchanges(
         self, address: tuple[str, int], opened_before: float, quiet_before: float
     ) -> int:
-        """Break off exchanges at an address; return how many. Times are of the steady clock.
+        """Abort exchanges at an address; return how many. Times are of the monotonic clock.
 
-        Concerned are those over connections opened before one time, on which nothing has moved
-        since another.
+        Aborted are those whose connection was opened before ``opened_before`` and has moved no
+        bytes since ``quiet_before``.
         """
         idle = self._idle.get(address, [])
         matching = [
@@ -446,11 +450,11 @@
         return len(matching)
 
     async def close_timed_out(self, connection: ReplicaConnection) -> None:
-        """Close a connection without an answer, and those that may be as dead.
+        """Close a connection that timed out, and idle ones that may be dead as well.
 
-        Connections may fall silent for good while new ones work, all at the same time. So when a
-        kept one has no answer, all those go that have rested since before its request was sent: one
-        request of a node is late by them, not one a connection.
+        A network failure can silence all open connections at once, while new ones work. So when a
+        reused connection times out, all idle ones are closed that were released before its request
+        was sent: one request meets the failure, not one for each connection.
         """
         await connection.close()
         if not connection.is_reused:
@@ -468,7 +472,7 @@
                 await idle_connection.close()
 
     async def close_expired(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that were idle for too long, and drop old refusals."""
         now = self._clock()
         for address, refused_at in list(self._refused_at.items()):
             if now - refused_at >= REFUSAL_TTL_S:
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -1,7 +1,7 @@
-"""The replicas that may be sent to, and those that failed lately.
+"""The replicas that requests may be sent to, and those that failed lately.
 
-The store's version orders the entries of a replica; ``started_ms`` only tells its starts apart.
-Clocks of machines differ, so no time of a start is compared with a time of this node.
+The store's version orders the entries of a replica; ``started_ms`` only tells its incarnations
+apart. The clocks of machines differ, so it is never compared with a time of this node.
 """
 
 from collections.abc import Callable
@@ -14,13 +14,14 @@
 MIN_SUSPICION_S = 0.5
 MAX_SUSPICION_S = 3.0
 PEER_SUSPICION_TTL_S = 1.2
-"""How long another node's word counts: its reports, at least one a second, renew it."""
+"""How long a failure at another node counts; that node's reports, at least one a second, renew
+it."""
 
 
 MAX_LATE_ENTRIES = 2
-"""So many entries in a row with an earlier start than the one known are taken for writes that the
-store did after the replica which sent them had ended: it has one under way, and one that it sent
-again. A replica that runs writes on, so after these its clock was set back."""
+"""Consecutive entries with an earlier start time that are ignored as late writes of an ended
+incarnation, which can have one write in flight and one retry. A running replica writes on, so
+further entries mean that its clock was set back."""
 
 
 class Replica(Struct, frozen=True, array_like=True):
@@ -37,11 +38,12 @@
     """Version of the entry in the store."""
 
     started_ms: int = 0
-    """Unix time of its start; 0: not told. Another one under the same id is another start."""
+    """Unix time of its start, 0 if unknown. Another value under the same id is another
+    incarnation."""
 
     @property
     def incarnation_id(self) -> str:
-        """Name of this start of the replica, short: it goes into messages and stored cases."""
+        """Short name of this incarnation, used in messages and stored crash records."""
         return (
             f"{self.replica_id}@{self.started_ms & 0xFFFFFF:x}"
             if self.started_ms
@@ -49,7 +51,8 @@
         )
 
     def may_be_incarnation(self, started_ms: int) -> bool:
-        """Whether this may be the start that began at a time; 0 there or here: not told."""
+        """Whether this may be the incarnation that started at a time; 0 on either side is
+        unknown."""
         return self.started_ms == started_ms or 0 in (self.started_ms, started_ms)
 
 
@@ -60,21 +63,21 @@
 
 @attrs.define
 class _Incarnation:
-    """The last start of a replica that was told; known also while its entry is gone."""
+    """The last reported incarnation of a replica; kept also while its entry is removed."""
 
     replica: Replica
     late_version: int = 0
     late_entries: int = 0
     drained_started_ms: int = 0
-    """The last start before it that told that it leaves; 0: none did."""
+    """Start time of the last earlier incarnation that was draining; 0 if none was."""
 
 
 RestartListener = Callable[[Replica, Replica], None]
-"""Called with the start before and the new one."""
+"""Called with the previous incarnation and the new one."""
 
 
 class ReplicaDirectory:
-    """The known replicas by id; the newest version of an entry wins."""
+    """The listed replicas by id; the newest version of an entry wins."""
 
     def __init__(self) -> None:
         self._replicas: dict[str, Replica] = {}
@@ -83,39 +86,40 @@
         self._peer_suspected_until: dict[str, float] = {}
         self._incarnations: dict[str, _Incarnation] = {}
         self.restart_listeners: list[RestartListener] = []
-        """Told when a replica has started again under its id, before its list is confirmed."""
+        """Called when a replica has restarted under its id, before the list is marked as
+        confirmed."""
 
         self.version = 0
         """Newest version of the store that the directory reflects."""
 
         self._fingerprint: int | None = None
         self._usable: dict[str, list[Replica]] = {}
-        """By service; until a change. Each online request looks at it."""
+        """Cache by service, cleared by each change; every online request reads it."""
 
         self.confirmed_at = float("-inf")
-        """When the directory was last known to reflect the store (steady clock, seconds)."""
+        """When the directory was last confirmed to match the store (monotonic clock, seconds)."""
 
     def all(self) -> list[Replica]:
-        """Return every known replica, sorted by id."""
+        """Return every listed replica, sorted by id."""
         return [self._replicas[key] for key in sorted(self._replicas)]
 
     @property
     def count(self) -> int:
-        """How many replicas are known, those that leave included."""
+        """How many replicas are listed, draining ones included."""
         return len(self._replicas)
 
     @property
     def is_empty(self) -> bool:
-        """Whether no replica is known."""
+        """Whether no replica is listed."""
         return not self._replicas
 
     def find(self, replica_id: str) -> Replica | None:
-        """Return a replica that may still be sent to, or None."""
+        """Return a replica if requests may be sent to it, else None."""
         replica = self._replicas.get(replica_id)
         return None if replica is None or replica.is_draining else replica
 
     def usable(self, service: str) -> list[Replica]:
-        """Return the replicas of a service that take new work."""
+        """Return the replicas of a service that accept new work."""
         replicas = self._usable.get(service)
         if replicas is None:
             replicas = [
@@ -132,9 +136,9 @@
 
     @property
     def fingerprint(self) -> int:
-        """What the list says, in 48 bits: the same at all nodes whose lists say the same.
+        """Hash of the list's content, 48 bits, equal on all nodes with the same list.
 
-        Replicas renew their entries all the time; versions alone make no difference.
+        Replicas rewrite their entries all the time, so versions are left out.
         """
         if self._fingerprint is None:
             text = "\n".join(_fingerprint_text(replica) for replica in self.all())
@@ -142,7 +146,7 @@
         return self._fingerprint
 
     def put(self, replica: Replica) -> bool:
-        """Take a newer entry; return whether what may be sent there changed."""
+        """Apply a newer entry; return whether anything but its version changed."""
         current = self._replicas.get(replica.replica_id)
         if current is not None and current.version >= replica.version:
             return False
@@ -158,12 +162,12 @@
         return differs
 
     def was_draining(self, replica: Replica) -> bool:
-        """Whether a start of a replica, which another one has followed, told that it leaves."""
+        """Whether an incarnation of a replica was draining before the next one followed it."""
         incarnation = self._incarnations.get(replica.replica_id)
         return incarnation is not None and 0 < replica.started_ms == incarnation.drained_started_ms
 
     def _is_late(self, replica: Replica) -> bool:
-        """Whether an entry is of a start that has ended, though the store took it just now."""
+        """Whether an entry is a late write of an incarnation that has ended."""
         incarnation = self._incarnations.get(replica.replica_id)
         if incarnation is None or not 0 < replica.started_ms < incarnation.replica.started_ms:
             return False
@@ -189,7 +193,7 @@
             listener(previous.replica, replica)
 
     def remove(self, replica_id: str, version: int) -> bool:
-        """Forget a replica unless a newer entry of it is known; return whether it was there."""
+        """Remove a replica unless a newer entry is listed; return whether it was listed."""
         current = self._replicas.get(replica_id)
         if current is not None and current.version > version:
             return False
@@ -202,7 +206,7 @@
         return True
 
     def replace(self, replicas: list[Replica], version: int) -> list[str]:
-        """Take a whole list as of ``version``; return the ids that it removed.
+        """Apply a whole list as of ``version``; return the ids that it removed.
 
         >>> directory = ReplicaDirectory()
         >>> replica = Replica("r1", "s", "127.0.0.1", 80, "z", 8, False, version=5)
@@ -220,7 +224,7 @@
         return removed
 
     def suspect(self, replica_id: str, now: float) -> None:
-        """Avoid a replica for a while, longer each time it fails again."""
+        """Avoid a replica for a while, twice as long after each further failure."""
         suspicion = self._suspicions.get(replica_id)
         duration_s = MIN_SUSPICION_S
         if suspicion is not None:
@@ -238,22 +242,22 @@
         )
 
     def add_peer_suspects(self, replica_ids: list[str], now: float) -> None:
-        """Replicas failed at another node just now; this is not told on."""
+        """Record replicas that failed at another node; they are not reported on."""
         for replica_id in replica_ids:
             self._peer_suspected_until[replica_id] = now + PEER_SUSPICION_TTL_S
 
     def clear_suspicion(self, replica_id: str) -> None:
-        """A replica answered: it is as good as any other again."""
+        """Use a replica like any other again, since it answered."""
         self._suspicions.pop(replica_id, None)
         self._peer_suspected_until.pop(replica_id, None)
 
     def is_suspect(self, replica_id: str, now: float) -> bool:
-        """Whether a replica failed here lately."""
+        """Whether a replica failed at this node lately."""
         suspicion = self._suspicions.get(replica_id)
         return suspicion is not None and now < suspicion.expires_at
 
     def is_peer_suspect(self, replica_id: str, now: float) -> bool:
-        """Whether a replica failed at another node lately: it may be that node's own fault."""
+        """Whether a replica failed at another node lately; the cause may be that node itself."""
         return now < self._peer_suspected_until.get(replica_id, now)
 
 
@@ -263,6 +267,7 @@
 
 
 def _fingerprint_text(replica: Replica) -> str:
-    """Return what an entry says but its version; as before where no start is told."""
+    """Return an entry without its version; the start time is left out where it is unknown, as older
+    nodes do."""
     fields = msgspec.structs.astuple(msgspec.structs.replace(replica, version=0))
     return repr(fields if replica.started_ms else fields[:-1])
--- a/src/cloverwalk/gateway/reply.py
+++ b/src/cloverwalk/gateway/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one request, written to the client as it comes."""
+"""Writes the answer to one request to its client."""
 
 from typing import Any
 
@@ -11,10 +11,10 @@
 
 
 class Reply:
-    """Writes one answer. Whatever is not finished is broken off, and looks so.
+    """Writes one answer; an unfinished one is visibly incomplete for the client.
 
-    With an outbox, an answer that its client is slow to take waits there; without one, whoever
-    writes it waits.
+    With a send buffer, an answer that the client is slow to read is buffered; without one, the
+    writer waits.
     """
 
     def __init__(
@@ -35,16 +35,16 @@
 
     @property
     def disconnect_code(self) -> str:
-        """Why the answer's client is lost, once it is."""
+        """Error code of a client that no longer gets its answer."""
         is_slow = self._send_buffer is not None and self._send_buffer.is_dropped
         return "client_stalled" if is_slow else "client_gone"
 
     def close_after(self) -> None:
-        """Tell the client that the connection ends with this answer."""
+        """Announce to the client that the connection closes after this answer."""
         self._closes_after = True
 
     async def begin(self, status: int, headers: RawHeaders, length: int | None) -> None:
-        """Send the head; without a length the body goes in chunks."""
+        """Send the head; without a length the body is sent in chunks."""
         await self._send(self._head(status, headers, length))
 
     def _head(self, status: int, headers: RawHeaders, length: int | None) -> bytes:
@@ -59,11 +59,11 @@
         return self._http.send(h11.Response(status_code=status, headers=lines)) or b""
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the body; waits while the client does not read."""
+        """Send a part of the body; waits while the client does not read."""
         await self._send(self._http.send(h11.Data(data=data)) or b"")
 
     def write_now(self, data: bytes) -> bool:
-        """Send a piece of the body without waiting; False: ``flush`` has to be awaited next."""
+        """Send a part of the body without waiting; if False, await ``flush`` next."""
         unsent = self._try_send(self._http.send(h11.Data(data=data)) or b"")
         if self._send_buffer is not None:
             return not unsent or self._send_buffer.put(unsent)
@@ -71,7 +71,7 @@
         return not unsent
 
     async def flush(self) -> None:
-        """See to it that what ``write_now`` could not send is sent; waits where that is much."""
+        """Send what ``write_now`` left over; waits if that is more than may be buffered."""
         if self._send_buffer is not None:
             await self._send_buffer.wait_for_space()
             return
@@ -79,12 +79,12 @@
         await self._send(unsent)
 
     async def finish(self) -> None:
-        """End the answer properly."""
+        """End the answer as complete."""
         data = self._http.send(h11.EndOfMessage()) or b""
         await self._send_last(data)
 
     async def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         data = self._head(status, headers, len(body))
         if body:
             data += self._http.send(h11.Data(data=body)) or b""
@@ -92,24 +92,24 @@
         await self._send_last(data)
 
     async def drain(self) -> None:
-        """Return once the client has taken the whole answer."""
+        """Return once the client has read the complete answer."""
         if self._send_buffer is None:
             return
         try:
             await self._send_buffer.drain()
         except (ClientGoneError, curio.CancelledError):
-            # Some of it is not out: nothing more may follow it.
+            # A part of it was not sent, so nothing more may follow.
             self.is_finished = False
             raise
 
     async def close(self) -> None:
-        """Drop what was not sent; an answer of which a part is dropped is not finished."""
+        """Discard unsent bytes; an answer that loses bytes is not finished."""
         if self._send_buffer is not None:
             self.is_finished = self.is_finished and not self._send_buffer.waiting_bytes
             await self._send_buffer.close()
 
     def _try_send(self, data: bytes) -> bytes:
-        """Send what the socket takes at once; return the rest."""
+        """Send what the socket accepts at once; return the remainder."""
         if self._send_buffer is not None and self._send_buffer.waiting_bytes:
             return data
         try:
@@ -136,14 +136,16 @@
         except OSError as error:
             raise ClientGoneError(repr(error)) from error
         except curio.TaskTimeout as error:
-            raise ClientGoneError("the client does not read", "client_stalled") from error
+            raise ClientGoneError(
+                "the client does not read its answer", "client_stalled"
+            ) from error
         except curio.CancelledError:
-            # A part of the data may be out: nothing more may follow it.
+            # A part of the data may have been sent, so nothing more may follow.
             self.is_finished = False
             raise
 
     async def _send_last(self, data: bytes) -> None:
-        """Send the end of the answer; with an outbox the replica is free from here on."""
+        """Send the end of the answer; with a send buffer the replica is free afterwards."""
         self.is_finished = True
         if self._send_buffer is None:
             if data:
--- a/src/cloverwalk/gateway/request_timing.py
+++ b/src/cloverwalk/gateway/request_timing.py
@@ -1,4 +1,4 @@
-"""What a node tells the coordinator of a request that was answered."""
+"""The timing of an answered request, as a node reports it to the coordinator."""
 
 from cloverwalk.fleet.messages import RequestTiming
 from cloverwalk.gateway.messages import ReplicaLoad
@@ -8,9 +8,9 @@
 def request_timing(
     progress: RequestProgress, load: ReplicaLoad | None, tenant: str, now: float
 ) -> RequestTiming | None:
-    """Return the times of a request that ends now; None unless its first attempt was answered.
+    """Return the timing of a request that ends now; None unless its first attempt was answered.
 
-    Events that the client took late say nothing of the replica, so they are not told.
+    Events of a slow client say nothing about the replica, so they are not reported.
     """
     if progress.sent_at is None or progress.tried or progress.refused:
         return None
@@ -29,7 +29,7 @@
 
 
 def slowdown_percent(load: ReplicaLoad | None) -> int:
-    """Return what a replica told of its pace, 100 for its usual one; 0: nothing."""
+    """Return the slowdown that a replica reported, in percent of the baseline; 0 if unknown."""
     if load is None or load.slowdown is None:
         return 0
     return round(load.slowdown * 100)
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -1,14 +1,13 @@
-"""What a node does when a replica has started again under its id: its runs of before are gone.
+"""Aborts exchanges with a replica that has restarted under its id, since its runs have ended.
 
-A connection mostly tells so itself, by a reset. Behind a cut link it tells nothing, and a request
-would wait there until silence or its own time ends it. This module breaks off what was in flight at
-the start before, so that it is resumed elsewhere or gets its truthful failure at once.
+Usually a reset of the connection shows the restart. When the network is cut nothing does, and a
+request would wait for its timeout. Aborting it lets it resume at another replica, or fail at once.
 
-Which exchanges those are is told without the replica's clock, which may differ from this node's by
-seconds: their connections were opened while the list still named the start before, and nothing has
-come over them for ``QUIET_S``. One opened after the address had refused another is at the new
-start, whose entry may come seconds late where the replica is cut off from the store. All that may
-be at the new start already is left alone.
+The exchanges are found without the replica's clock, which may differ from this node's by seconds:
+their connections were opened while the list still named the previous incarnation, and no bytes
+arrived on them for ``QUIET_TIME_S``. A connection opened after the address had refused another one
+leads to the new incarnation; its entry may be late by seconds if the replica is cut off from the
+store. Exchanges that may be with the new incarnation are not aborted.
 """
 
 from collections.abc import Callable
@@ -23,13 +22,13 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 QUIET_TIME_S = 0.25
-"""A replica that runs has put something out within this time, mostly: prompts are read in some 10
-to 100 ms, and events come some ms apart."""
+"""A running replica has usually sent something within this time: the prefill ends in less, and
+events follow each other faster."""
 
 
 @attrs.frozen
 class _Restart:
-    """A new start whose node still looks for exchanges at the one before."""
+    """A restart whose exchanges with the previous incarnation are not all aborted yet."""
 
     address: tuple[str, int]
     opened_before: float
@@ -37,7 +36,7 @@
 
 
 class RestartHandler:
-    """Ends what belongs to earlier starts of replicas."""
+    """Ends the exchanges and connections of earlier incarnations."""
 
     def __init__(
         self,
@@ -79,7 +78,7 @@
         )
 
     def _is_reused(self, previous: Replica) -> bool:
-        """Whether an address belongs to another replica by now."""
+        """Whether the address belongs to another replica now."""
         return any(
             (replica.host, replica.port) == (previous.host, previous.port)
             and replica.replica_id != previous.replica_id
@@ -87,7 +86,7 @@
         )
 
     def abort_stale(self) -> None:
-        """Break off what had moved just before a new start was learnt, and not since."""
+        """Abort exchanges that moved just before a restart was detected, and not since."""
         now = self._clock()
         for restart in [
             pending for pending in self._pending if now - pending.detected_at >= QUIET_TIME_S
--- a/src/cloverwalk/gateway/rotation.py
+++ b/src/cloverwalk/gateway/rotation.py
@@ -1,10 +1,10 @@
-"""Which part of a weighted route a request goes to."""
+"""Chooses the service of a weighted route for each request."""
 
 from collections.abc import Sequence
 
 
 class WeightedRotation:
-    """Deals requests to the parts of a route so that each keeps its share closely.
+    """Distributes requests over the parts of a route, closely in proportion to their weights.
 
     >>> rotation = WeightedRotation()
     >>> [rotation.next("r", (("a", 75.0), ("b", 25.0))) for _ in range(4)]
--- a/src/cloverwalk/gateway/send_buffer.py
+++ b/src/cloverwalk/gateway/send_buffer.py
@@ -1,8 +1,8 @@
-"""What waits to be sent to one client, while the answer's replica is read on.
+"""Buffers what a client is slow to read, so that its replica can be read on.
 
 A replica cuts an answer off that stays unread for some seconds, so its stream is read however slow
-the client is: what the client does not take waits here, up to ``MAX_WAITING_BYTES``, and up to the
-limit of the process. Beyond either the client is given up, and the replica's slot is free.
+the client is. Unsent bytes are buffered, up to ``MAX_WAITING_BYTES`` and the limit of the process.
+Beyond either limit the client is dropped, and the replica's slot becomes free.
 """
 
 import contextlib
@@ -17,15 +17,15 @@
 
 CHUNK_BYTES = 65536
 SEND_STALL_S = 5.0
-"""A client that takes nothing for so long is given up, and the work for it with it."""
+"""A client that reads nothing for this long is dropped, and its work is cancelled."""
 
 MAX_UNREAD_S = 2.0
-"""A replica stays unread for a full outbox for this long at most: it cuts answers off after some
-seconds."""
+"""Maximum time for which a replica stays unread because the buffer is full; it cuts answers off
+after some seconds."""
 
 
 class SendBuffer:
-    """Sends to one client beside the task that serves it."""
+    """Sends to one client, in a task beside the one that serves it."""
 
     def __init__(self, sock: Any, budget: MemoryBudget, clock: Callable[[], float]) -> None:
         self._sock = sock
@@ -40,21 +40,21 @@
 
     @property
     def waiting_bytes(self) -> int:
-        """How much waits for the client."""
+        """Bytes buffered for the client."""
         return len(self._waiting)
 
     @property
     def last_read_at(self) -> float:
-        """When the client last took anything, or something began to wait for it."""
+        """When the client last read anything, or when its buffer was last empty."""
         return self._last_read_at
 
     @property
     def is_dropped(self) -> bool:
-        """Whether the client was given up because it does not read."""
+        """Whether the client was dropped because it does not read."""
         return self._error is not None and self._error.code == "client_stalled"
 
     def put(self, data: bytes) -> bool:
-        """Add bytes behind those that wait; False: ``wait_for_space`` has to be awaited next."""
+        """Append bytes to the buffer; if False, await ``wait_for_space`` next."""
         self._raise_error()
         now = self._clock()
         if not self._waiting:
@@ -65,17 +65,17 @@
         return self._is_sending and len(self._waiting) <= MAX_WAITING_BYTES
 
     def record_sent(self, size: int) -> None:
-        """So much was sent past the outbox, since nothing waited in it."""
+        """Count bytes that were sent directly, while the buffer was empty."""
         self._budget.sent_bytes += size
 
     async def start(self) -> None:
-        """Send what waits beside the caller."""
+        """Start to send the buffered bytes in a task."""
         if self._waiting and not self._is_sending:
             self._is_sending = True
             self._sender = await curio.spawn(self._send_waiting, daemon=True)
 
     async def wait_for_space(self) -> None:
-        """Send what waits beside the caller; returns once little enough waits."""
+        """Send the buffered bytes in a task; return once the buffer is within its limit."""
         await self.start()
         if len(self._waiting) <= MAX_WAITING_BYTES:
             self._raise_error()
@@ -85,15 +85,17 @@
                 await self._wait_until_at_most(MAX_WAITING_BYTES)
         except curio.TaskTimeout as error:
             self._drop_and_record()
-            raise ClientGoneError("the client reads too slowly", "client_stalled") from error
+            raise ClientGoneError(
+                "the client reads its answer too slowly", "client_stalled"
+            ) from error
 
     async def drain(self) -> None:
-        """Return once the client has taken all; no replica stays unread meanwhile."""
+        """Return once the client has read everything; no replica is left unread meanwhile."""
         await self.start()
         await self._wait_until_at_most(0)
 
     async def close(self) -> None:
-        """Drop what waits; the connection is closed by its owner."""
+        """Discard the buffer; the owner of the connection closes it."""
         sender, self._sender = self._sender, None
         if sender is not None:
             await sender.cancel()
@@ -101,16 +103,16 @@
         self._budget.remove(self)
 
     def drop(self) -> None:
-        """Close the connection and drop what waits: the client reads too slowly."""
-        self._error = ClientGoneError("the client does not read", "client_stalled")
+        """Close the connection and discard the buffer, since the client reads too slowly."""
+        self._error = ClientGoneError("the client does not read its answer", "client_stalled")
         self._waiting.clear()
-        # The task that serves the client watches for its end, and stops; the sender as well.
+        # The serving task watches for the end of the connection and stops, and so does the sender.
         with contextlib.suppress(OSError):
-            # The client may be gone already, which is as good.
+            # The client may have disconnected already.
             self._sock._socket.shutdown(socket.SHUT_RDWR)
 
     def _drop_and_record(self) -> None:
-        """Give this client up, whatever others hold."""
+        """Drop this client whatever the other clients have buffered."""
         self._budget.remove(self)
         self._budget.record_dropped(self, self._clock())
         self.drop()
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -1,7 +1,7 @@
-"""The HTTP server for clients: whole requests in, answers out, everything bounded.
+"""The HTTP server for clients: reads whole requests and writes answers, all with bounds.
 
-While a request is served its connection is watched: when the client goes, the serving task is
-cancelled, and with it the work at the replica.
+While a request is served its connection is watched. When the client disconnects, the serving task
+is cancelled, and with it the work at the replica.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,20 +26,20 @@
 MAX_PIPELINED_BYTES = 262_144
 NODE_FULL = "node_full"
 FULL_RETRY_AFTER_S = 0.05
-"""A client that comes back reaches another node, as a rule one with room."""
+"""A client that retries reaches another node, usually one with capacity."""
 
 INVALID_HTTP = {431: Reason.HEADERS_TOO_LARGE, 501: Reason.NOT_IMPLEMENTED}
-"""By the status that the HTTP library proposes; any other one is an invalid request."""
+"""Reasons by the status that the HTTP library proposes; all others are an invalid request."""
 
 OnRequest = Callable[[ClientRequest, Reply], Awaitable[None]]
 
 
 class _ConnectionEnded(Exception):
-    """The client closed where a request could begin, or sent what is not one."""
+    """The client closed between requests, or sent no HTTP request."""
 
 
 class ClientConnection:
-    """One client's connection."""
+    """A connection of one client."""
 
     def __init__(self, sock: Any, server: "GatewayServer") -> None:
         self._sock = sock
@@ -48,7 +48,7 @@
         self.is_serving = False
         self.is_idle = True
         self._buffered_bytes = 0
-        """What is held of the bodies of the present request and of those that came behind it."""
+        """Bytes counted for the bodies of the current request and of pipelined ones."""
 
     # --- reading ---
 
@@ -104,14 +104,14 @@
         return b"".join(parts)
 
     def _has_memory_for(self, size: int) -> bool:
-        """Whether the process has memory for so much more of what this client sends."""
+        """Whether the memory budget allows so many more bytes of this client."""
         budget = self._server.memory_budget
         return budget is None or budget.has_capacity_for_body(size, self._server.clock())
 
     def _check_memory_for(self, size: int) -> None:
-        """Raise GatewayError where the process has no memory for so much of a body."""
+        """Raise GatewayError if the memory budget does not allow so many bytes of a body."""
         if not self._has_memory_for(size):
-            message = "this node has no room for the body"
+            message = "this node has no memory left for the body"
             raise GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
 
     def _count_buffered(self, size: int) -> None:
@@ -140,7 +140,7 @@
             received_at,
         )
 
-    # --- life ---
+    # --- serving ---
 
     async def serve(self) -> None:
         """Serve requests until the connection ends."""
@@ -163,7 +163,7 @@
             request = await self._read_request()
         except curio.TaskTimeout:
             if not self.is_idle:
-                message = "not whole in time"
+                message = "the request was not complete before the timeout"
                 await self._refuse(GatewayError(Reason.INCOMPLETE, "request_timeout", message))
             return False
         except h11.RemoteProtocolError as error:
@@ -204,9 +204,9 @@
             raise error
 
     async def _handle(self, request: ClientRequest, reply: Reply) -> ClientGoneError | None:
-        """Serve a request; return the error of an answer that was broken off.
+        """Serve a request; return the error of an aborted answer.
 
-        What a task raises is reported by curio as a crash, and a broken answer is none.
+        The error is returned since curio logs an exception of a task as a crash, which this is not.
         """
         try:
             await self._server.on_request(request, reply)
@@ -216,7 +216,7 @@
         return None
 
     async def _watch_client(self, task: Any) -> None:
-        """Cancel the serving task when the client goes away."""
+        """Cancel the serving task when the client disconnects."""
         pipelined_bytes = 0
         while pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
@@ -229,12 +229,12 @@
             pipelined_bytes += len(data)
             self._count_buffered(len(data))
             if not self._has_memory_for(0):
-                # No more is read of what it sends ahead of its answer.
+                # Stop reading what the client sends ahead of its answer.
                 return
             self._http.receive_data(data)
 
     async def _refuse(self, error: GatewayError) -> None:
-        """Answer a request that could not be read, then close. Nobody has heard of it yet."""
+        """Refuse a request that could not be read, then close; no replica was involved."""
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         response = error_response(error, NOTHING_SENT)
@@ -249,19 +249,19 @@
             return
 
     async def _linger(self) -> None:
-        # Closing with unread input resets the connection, and the answer would be lost.
+        # Closing with unread input resets the connection, which would lose the answer.
         await self._sock.shutdown(socket.SHUT_WR)
         while await self._sock.recv(READ_BYTES):
             pass
 
     async def close_if_idle(self) -> None:
-        """Close a connection that waits for its next request."""
+        """Close the connection if it waits for its next request."""
         if self.is_idle and not self.is_serving:
             await self._sock.shutdown(socket.SHUT_RDWR)
 
 
 class GatewayServer:
-    """Accepts clients on one address."""
+    """Accepts connections of clients on one address."""
 
     def __init__(
         self,
@@ -279,7 +279,7 @@
         self.on_refused = on_refused
         self.clock = clock
         self.memory_budget: MemoryBudget | None = None
-        """What is held for clients, where that is bounded over the process."""
+        """Memory buffered for clients, if the process has a limit for it."""
 
         self.is_stopping = False
         self.serving_count = 0
@@ -289,11 +289,11 @@
 
     @property
     def connection_count(self) -> int:
-        """Open connections of clients."""
+        """Number of open connections of clients."""
         return len(self._connections)
 
     async def serve(self) -> None:
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         async with self._sock:
             while True:
                 client, _ = await self._sock.accept()
@@ -312,7 +312,7 @@
             self._connections.discard(connection)
 
     async def close_idle(self) -> None:
-        """Close every connection that waits for its next request."""
+        """Close all connections that wait for their next request."""
         for connection in list(self._connections):
             try:
                 await connection.close_if_idle()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1030,7 +1030,7 @@
     Mutant(
         "answers: a cut answer counts as ended",
         "gateway/replica_connection.py",
-        '            raise ReplicaError(f"not an answer: {error}", True, "not_http") from error',
+        '            raise ReplicaError(f"invalid HTTP answer: {error}", True, "not_http") from error',
         "            return h11.EndOfMessage()",
         ANSWERS + "test_no_bytes_of_one_request_reach_another_and_nothing_cut_looks_whole",
     ),
@@ -1079,9 +1079,8 @@
     Mutant(
         "answers: a long answer that was cut goes on at another replica",
         "gateway/answer_relay.py",
-        '            raise ClientGoneError(f"the answer broke off: {error}", "answer_cut") from '
-        "error",
-        "            raise",
+        'raise ClientGoneError(f"the answer was cut off: {error}", "answer_cut") from error',
+        "raise",
         ANSWERS + "test_a_long_answer_that_was_cut_is_not_continued_by_another_one",
     ),
     Mutant(
