--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -36,7 +36,7 @@
 def no_free_slot(placement: Placement) -> GatewayError:
     """Return the error response to a request that got no slot, with the reason."""
     if placement.retry_after_s <= 0:
-        message = "no slot gets free before the caller's deadline"
+        message = "no slot gets free within the time that the caller waits"
         return GatewayError(Reason.UNAVAILABLE, NO_TIME, message)
     if placement.ahead_ms > 0:
         message = f"the tenant has used {placement.ahead_ms} ms more slot time than others"
--- a/tests/serving/test_crash_detector.py
+++ b/tests/serving/test_crash_detector.py
@@ -72,15 +72,15 @@
 
 
 @pytest.mark.parametrize("code", sorted(POSSIBLE_CRASH_CODES))
-def test_a_replica_that_broke_off_and_refuses_has_ended(code: str) -> None:
+def test_refused_probe_after_failure_counts_crash(code: str) -> None:
     assert crashes_after(ScriptedProbes(REFUSES), code) == 1
 
 
-def test_a_port_that_closes_after_the_connections_is_noticed() -> None:
+def test_port_closed_after_connections_counts_crash() -> None:
     assert crashes_after(ScriptedProbes(LISTENS, LISTENS, REFUSES)) == 1
 
 
-def test_what_breaks_off_later_is_looked_after_anew() -> None:
+def test_later_failure_gets_probes_of_its_own() -> None:
     """A reset that is looked after, and then the replica ends under another request."""
     clock, ledger, directory = HandClock(step_s=0.0), CrashLedger(), ReplicaDirectory()
     directory.put(REPLICA)
@@ -105,23 +105,23 @@
     assert ledger.crashes("d" * 20) == 0
 
 
-def test_a_replica_that_listens_or_says_nothing_may_live() -> None:
+def test_listening_or_silent_address_is_no_evidence() -> None:
     assert crashes_after(ScriptedProbes(LISTENS)) == 0
     assert crashes_after(ScriptedProbes(SILENCE)) == 0
 
 
 @pytest.mark.parametrize("code", [TIMED_OUT, "not_run", "unsigned", "replica_error", "unreachable"])
-def test_other_failures_are_not_looked_after(code: str) -> None:
+def test_other_failure_codes_are_not_probed(code: str) -> None:
     probes = ScriptedProbes(REFUSES)
     assert crashes_after(probes, code) == 0
     assert probes.count == 0
 
 
-def test_a_replica_that_leaves_as_planned_is_no_evidence() -> None:
+def test_draining_replica_is_no_evidence() -> None:
     assert crashes_after(ScriptedProbes(REFUSES), replica=None) == 0
 
 
-def test_a_request_that_came_after_the_end_is_no_suspect() -> None:
+def test_request_sent_after_replica_ended_is_no_suspect() -> None:
     """It was sent over a kept connection whose end the node had not seen yet."""
     assert (
         crashes_after(ScriptedProbes(REFUSES), is_new=False, elapsed_s=DELIVERY_THRESHOLD_S / 2)
@@ -143,7 +143,7 @@
     curio.run(main)
 
 
-def test_a_suspect_can_have_a_connection_of_its_own() -> None:
+def test_crash_suspect_gets_new_connection() -> None:
     async def test(pool: ReplicaPool, address: tuple[str, int]) -> None:
         reused = await pool.acquire(address, "q1")
         await pool.release_unused(reused)
@@ -154,7 +154,7 @@
     with_replica(test)
 
 
-def test_a_look_tells_a_port_without_a_process() -> None:
+def test_probe_detects_port_without_process() -> None:
     async def test(pool: ReplicaPool, address: tuple[str, int]) -> None:
         assert await pool.probe(address) is Reachability.LISTENS
         assert await pool.probe(("127.0.0.1", free_port())) is Reachability.REFUSES
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -147,7 +147,7 @@
     in_world(main)
 
 
-def test_a_request_that_comes_again_elsewhere_is_known_again() -> None:
+def test_crashing_request_is_contained_across_nodes() -> None:
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start()
         answers = []
@@ -164,7 +164,7 @@
     in_crashing_world(test)
 
 
-def test_a_restarted_fleet_knows_it_from_the_store() -> None:
+def test_restarted_fleet_loads_crash_records_from_store() -> None:
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         await crashing.send(CRASHING)
@@ -185,7 +185,7 @@
     in_crashing_world(test)
 
 
-def test_a_reset_connection_is_no_evidence() -> None:
+def test_reset_connection_is_no_evidence() -> None:
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         for _ in range(4):
@@ -200,7 +200,7 @@
     in_crashing_world(test)
 
 
-def test_neighbours_are_told_apart_from_the_guilty_request() -> None:
+def test_requests_beside_crashing_one_are_not_contained() -> None:
     """They run at a replica that ends; they are answered elsewhere, and that clears them."""
 
     async def test(crashing: CrashingWorld) -> None:
@@ -222,7 +222,7 @@
     in_crashing_world(test)
 
 
-def test_a_request_that_was_sent_to_an_ended_replica_is_no_suspect() -> None:
+def test_requests_sent_to_ended_replicas_are_no_suspects() -> None:
     """Replicas end one after the other by themselves; requests go on to the next one."""
 
     async def test(crashing: CrashingWorld) -> None:
@@ -243,7 +243,7 @@
     in_crashing_world(test)
 
 
-def test_an_item_that_ends_its_replicas_keeps_nothing_back(
+def test_crashing_item_does_not_delay_other_items(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # It would be sent again this soon, several times while the second job runs.
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -14,7 +14,7 @@
 SIGNATURE = names.SIGNATURE.decode().lower()
 
 
-def test_a_stream_comes_whole_and_signed() -> None:
+def test_stream_is_relayed_whole_with_signature() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         answer = await world.ask("/chat/a", "id-1")
@@ -30,7 +30,7 @@
     in_world(test)
 
 
-def test_headers_keep_their_spelling_and_hop_headers_stay_behind() -> None:
+def test_headers_keep_their_spelling_and_hop_by_hop_headers_are_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     "misdeed", [Misdeed.CUT, Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED, Misdeed.UNSIGNED]
 )
-def test_a_resumable_stream_goes_on_at_another_replica(misdeed: Misdeed) -> None:
+def test_resumable_stream_resumes_at_another_replica(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -71,7 +71,7 @@
     in_world(test)
 
 
-def test_a_stream_cut_twice_repeats_and_misses_nothing() -> None:
+def test_stream_cut_twice_has_each_event_once() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=3, events=12)
         for replica in world.replicas[:2]:
@@ -85,7 +85,7 @@
     in_world(test)
 
 
-def test_a_stream_that_may_not_resume_looks_broken() -> None:
+def test_stream_that_is_not_resumable_ends_incomplete() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("name", ["stop", "reload"])
-def test_a_signal_within_the_handler_of_the_one_before_blocks_nothing(name: str) -> None:
+def test_signal_during_signal_handler_does_not_block(name: str) -> None:
     """A node that got SIGTERM twice within a millisecond neither stopped nor answered any more."""
 
     async def test(world: FleetWorld) -> None:
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("misdeed", [Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED])
-def test_what_may_have_run_is_not_called_not_run(misdeed: Misdeed) -> None:
+def test_request_that_may_have_run_is_answered_502(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -136,7 +136,7 @@
     in_world(test)
 
 
-def test_a_refusal_moves_on_and_ends_in_a_promise_with_a_time() -> None:
+def test_refused_request_tries_next_replica_then_gets_retry_after() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         world.replicas[0].always = Misdeed.REFUSE
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("path", ["/chat/a", "/safe/a"])
 @pytest.mark.parametrize("misdeed", [Misdeed.LATE_ANSWER, Misdeed.SECOND_ANSWER])
-def test_answers_to_others_are_never_passed_on(misdeed: Misdeed, path: str) -> None:
+def test_answers_to_other_requests_are_not_relayed(misdeed: Misdeed, path: str) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         for turn in range(4):
@@ -165,7 +165,7 @@
     in_world(test)
 
 
-def test_another_instance_at_the_address_does_not_run_it() -> None:
+def test_request_is_not_run_by_another_instance_at_the_address() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         world.replicas[0].replica_id = "i-other"
@@ -176,7 +176,7 @@
     in_world(test)
 
 
-def test_a_client_that_leaves_stops_the_work() -> None:
+def test_client_disconnect_cancels_work() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=200, event_s=0.02)
         sock = await world.connect()
@@ -190,7 +190,7 @@
     in_world(test)
 
 
-def test_a_client_that_leaves_before_an_event_stops_the_work() -> None:
+def test_client_disconnect_before_first_event_cancels_work() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, event_s=60.0)
         routes = [route("slow", "/slow/", "streaming", max_attempts=1, timeout_ms=60000)]
@@ -206,7 +206,7 @@
     in_world(test)
 
 
-def test_requests_of_other_nodes_stay_away_from_a_long_prompt_until_it_is_read() -> None:
+def test_other_nodes_avoid_replica_during_long_prefill() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=40)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
@@ -227,7 +227,7 @@
     in_world(test)
 
 
-def test_a_client_that_does_not_read_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(world: FleetWorld) -> None:
         monkeypatch.setattr(reply, "SEND_STALL_S", 0.2)
         await world.start(replicas=1, events=200, event_s=0.001)
@@ -249,7 +249,7 @@
     in_world(test)
 
 
-def test_a_draining_or_removed_replica_gets_nothing_new() -> None:
+def test_draining_or_removed_replica_gets_no_new_requests() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=3)
         first, second, third = world.replicas
@@ -265,7 +265,7 @@
     in_world(test)
 
 
-def test_routes_follow_the_configuration_and_never_go_back() -> None:
+def test_routes_follow_newest_configuration_only() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         assert (await world.ask("/new/a")).status == 404
@@ -282,7 +282,7 @@
     in_world(test)
 
 
-def test_a_node_without_a_configuration_is_not_ready_and_denies_nothing() -> None:
+def test_node_without_configuration_is_not_ready_and_answers_503() -> None:
     async def test(world: FleetWorld) -> None:
         await world.spawn(world.store.run)
         node = await world.add_node()
@@ -294,7 +294,7 @@
     in_world(test)
 
 
-def test_a_node_cut_off_from_the_store_learns_from_its_peers() -> None:
+def test_node_without_store_gets_state_from_peers() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=1)
         node = await world.add_node()
@@ -308,7 +308,7 @@
     in_world(test)
 
 
-def test_online_goes_on_while_the_store_is_silent() -> None:
+def test_online_requests_are_served_while_store_times_out() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         world.store.is_silent = True
@@ -319,7 +319,7 @@
     in_world(test)
 
 
-def test_a_planned_stop_cuts_no_request() -> None:
+def test_planned_stop_lets_requests_finish() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.02)
         asking = await curio.spawn(world.ask, "/chat/a")
@@ -338,7 +338,7 @@
     in_world(test)
 
 
-def test_a_node_that_ends_soon_begins_nothing_that_it_would_cut() -> None:
+def test_stopping_node_refuses_requests_it_could_not_finish() -> None:
     """Found by a hunt (finding 39): a request that came 7.2 s after SIGTERM was cut."""
 
     async def test(world: FleetWorld) -> None:
@@ -371,7 +371,7 @@
         (b"not http at all\r\n\r\n", 400),
     ],
 )
-def test_what_a_client_may_send_is_bounded(data: bytes, status: int) -> None:
+def test_oversized_incomplete_or_invalid_requests_are_refused(data: bytes, status: int) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         sock = await world.connect()
@@ -384,7 +384,7 @@
     in_world(test)
 
 
-def test_a_request_past_its_time_gets_its_final_answer_at_once() -> None:
+def test_request_past_deadline_gets_504() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.SILENT
@@ -394,7 +394,7 @@
     in_world(test)
 
 
-def test_requests_beyond_the_slots_are_told_at_once_to_come_back_and_never_run() -> None:
+def test_requests_beyond_free_slots_get_retry_after_and_do_not_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.05)
         replica = world.replicas[0]
@@ -412,7 +412,7 @@
     in_world(test)
 
 
-def test_a_request_that_came_back_waits_for_a_slot_and_for_no_item() -> None:
+def test_retried_request_gets_slot_before_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.05)
         replica = world.replicas[0]
@@ -434,7 +434,7 @@
     in_world(test)
 
 
-def test_a_request_finds_the_one_replica_of_many_that_still_lives() -> None:
+def test_request_reaches_only_reachable_replica() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         listed = world.replicas[0].document("model", "z1")
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -205,7 +205,7 @@
     st.lists(misdeeds, min_size=REPLICAS, max_size=REPLICAS),
     st.sampled_from([NEVER, NEVER, NEVER, 3, 2, 1]),
 )
-def test_a_promise_is_given_only_where_no_replica_began(
+def test_not_run_status_is_given_only_if_no_replica_ran(
     asked: list[str],
     script: list[Step],
     misdeeds_by_replica: list[list[Misdeed | None]],
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -46,7 +46,7 @@
     link.request_placement = answer  # type: ignore[method-assign]
 
 
-def test_a_replicas_refusal_without_proof_is_no_promise() -> None:
+def test_refusal_without_proof_is_answered_502() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=4)
         for path, most_runs in (("/once/a", 1), ("/safe/a", 3)):
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("misdeed", [Misdeed.RESET, Misdeed.RESET_MIDWAY])
-def test_a_connection_that_is_reset_after_the_request_promises_nothing(misdeed: Misdeed) -> None:
+def test_reset_after_request_gives_no_not_run_status(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=4)
         for replica in world.replicas:
@@ -79,7 +79,7 @@
     in_world(test)
 
 
-def test_no_verdict_promises_not_run_after_a_run() -> None:
+def test_placement_refusal_after_run_is_answered_502() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -101,7 +101,7 @@
     in_world(test)
 
 
-def test_a_refusal_that_breaks_off_is_still_a_proof() -> None:
+def test_cut_refusal_still_proves_not_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -116,7 +116,7 @@
     in_world(test)
 
 
-def test_a_late_refusal_of_another_request_proves_nothing() -> None:
+def test_late_refusal_of_another_request_is_ignored() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         for turn in range(6):
@@ -130,7 +130,7 @@
     in_world(test)
 
 
-def test_a_success_proves_no_refusal() -> None:
+def test_not_run_proof_on_success_is_ignored() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -142,7 +142,7 @@
     in_world(test)
 
 
-def test_the_log_tells_what_was_known_of_the_work(tmp_path: Path) -> None:
+def test_log_states_whether_work_may_have_begun(tmp_path: Path) -> None:
     async def test(world: FleetWorld) -> None:
         log = tmp_path / "n1.log"
         log.touch()
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture(autouse=True, scope="module")
-def no_limit_of_time_decides() -> Iterator[None]:
+def disable_timeouts() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(item_call, "READ_EVERY_S", 0.0)
         patch.setattr(replica_connection, "CONNECT_TIMEOUT_S", TEST_LIMIT_S)
@@ -55,7 +55,7 @@
 LONG_ANSWER_BYTES = MAX_BUFFERED_ANSWER_BYTES + 100_000
 
 
-def test_a_reset_that_the_sending_of_the_request_meets_ends_no_answer() -> None:
+def test_reset_reported_to_sender_does_not_complete_answer() -> None:
     def script(call: Call) -> list[Step]:
         return [answer(call.request_id, b"half of the", Framing.UNTIL_CLOSE)]
 
@@ -74,7 +74,7 @@
     run_against(script, test, reads_bodies=False)
 
 
-def test_an_item_does_not_fail_by_an_answer_that_was_cut() -> None:
+def test_cut_answer_does_not_fail_item() -> None:
     cases = list(itertools.product((422, 500), (Framing.LENGTH, Framing.CHUNKED), End))
 
     def script(call: Call) -> list[Step]:
@@ -88,7 +88,7 @@
     run_against(script, test)
 
 
-def test_a_second_answer_to_an_earlier_run_of_an_item_is_not_taken_for_the_present_one() -> None:
+def test_late_second_answer_is_not_used_for_current_run_of_item() -> None:
     for status in (200, 422, 500):
         late = answer("item-1", event(1, "late") + event(2, "late"), status=status)
         check_late_second_answer(late)
@@ -111,7 +111,7 @@
     run_against(script, test)
 
 
-def test_an_answer_is_not_skipped_where_its_end_is_told_by_its_request() -> None:
+def test_answer_is_not_skipped_if_its_framing_depends_on_request() -> None:
     # The body of the late answer reads like an answer to the request that is due.
     late = answer("a", answer("b", b""))
 
@@ -126,7 +126,7 @@
     run_against(script, test)
 
 
-def test_the_skipping_of_an_answer_ends_whatever_the_method_is() -> None:
+def test_skipping_answers_terminates_for_connect() -> None:
     def script(call: Call) -> list[Step]:
         return [answer("a", b"own")] if call.turn == 0 else [answer("a", b"late"), End.FIN]
 
@@ -137,7 +137,7 @@
     run_against(script, test)
 
 
-def test_a_connection_is_not_kept_after_a_request_that_frames_its_answer() -> None:
+def test_connection_is_not_reused_after_head_request() -> None:
     def script(call: Call) -> list[Step]:
         return [answer(call.request_id, b"")]
 
@@ -149,7 +149,7 @@
     run_against(script, test)
 
 
-def test_an_answer_with_two_lengths_is_none() -> None:
+def test_answer_with_two_lengths_is_invalid() -> None:
     two = answer("a", b"whole", Framing.CHUNKED, headers=((b"Content-Length", b"3"),))
 
     def script(call: Call) -> list[Step]:
@@ -162,7 +162,7 @@
     run_against(script, test)
 
 
-def test_a_long_answer_that_was_cut_is_not_continued_by_another_one() -> None:
+def test_cut_long_answer_is_not_continued_by_another_answer() -> None:
     body = bytes(LONG_ANSWER_BYTES)
     cut = answer("a", body, Framing.CHUNKED, status=404).removesuffix(b"0\r\n\r\n")
 
@@ -177,7 +177,7 @@
     run_against(script, test)
 
 
-def test_a_run_that_does_not_go_on_where_it_was_asked_to_is_not_joined() -> None:
+def test_run_that_ignores_resume_position_is_not_used() -> None:
     first, rest = event(1, "own"), event(2, "own") + event(3, "own")
     anew = event(1, "anew") + event(2, "anew") + event(3, "anew")
     bodies = [answer("a", first + rest)[:-30], answer("a", anew), answer("a", rest)]
@@ -198,7 +198,7 @@
     run_against(script, test)
 
 
-def test_an_event_whose_id_is_garbled_is_not_passed_on_twice() -> None:
+def test_event_with_garbled_id_is_not_relayed_twice() -> None:
     whole = event(1, "1") + event(2, "2") + event(3, "3")
 
     def script(call: Call) -> list[Step]:
@@ -214,7 +214,7 @@
     run_against(script, test)
 
 
-def test_events_that_came_with_one_out_of_order_are_not_lost() -> None:
+def test_events_before_out_of_order_event_are_not_lost() -> None:
     whole = event(1, "1") + event(2, "2") + event(3, "3")
 
     def script(call: Call) -> list[Step]:
@@ -232,7 +232,7 @@
     run_against(script, test)
 
 
-def test_an_answer_with_two_ids_or_signatures_is_that_of_no_request() -> None:
+def test_answer_with_two_ids_or_signatures_is_not_accepted() -> None:
     fields = {"a": (names.REQUEST_ID, b"other"), "b": (names.SIGNATURE, b"other")}
     item = answer("item-1", b"", status=422, headers=((names.REQUEST_ID, b"a"),))
 
@@ -255,7 +255,7 @@
     run_against(script, test)
 
 
-def test_a_head_that_begins_with_a_part_of_another_is_none() -> None:
+def test_head_that_starts_inside_another_is_invalid() -> None:
     parts = [b"HTTP/1.1 422 ", b"HTTP/1.1 422 Some-Reason\r\nContent-Type: te"]
 
     def script(call: Call) -> list[Step]:
@@ -270,7 +270,7 @@
     run_against(script, test)
 
 
-def test_what_came_before_the_first_request_is_no_answer_to_it() -> None:
+def test_bytes_before_first_request_are_not_its_answer() -> None:
     def script(call: Call) -> list[Step]:
         return [answer(call.request_id, b"own")]
 
@@ -287,7 +287,7 @@
     run_against(script, test)
 
 
-def test_a_stream_whose_ids_fall_is_not_whole() -> None:
+def test_stream_with_decreasing_ids_is_invalid() -> None:
     garbled = event(1, "1") + event(2, "2") + event(1, "3")
 
     def script(call: Call) -> list[Step]:
@@ -302,7 +302,7 @@
     run_against(script, test)
 
 
-def test_an_item_has_no_text_of_bytes_that_are_none() -> None:
+def test_invalid_utf8_is_not_used_as_item_text() -> None:
     own = event(1, "caf\u00e9 \ufffd")
     garbled = own.replace("\u00e9".encode(), b"\xe9")
 
@@ -318,7 +318,7 @@
     run_against(script, test)
 
 
-def test_a_connection_that_ended_with_its_answer_does_not_rest() -> None:
+def test_connection_closed_with_its_answer_is_not_idle() -> None:
     def script(call: Call) -> list[Step]:
         return [answer(call.request_id, b"own", Framing.UNTIL_CLOSE), End.FIN]
 
@@ -436,7 +436,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(answers, answers, excesses | st.none(), st.sampled_from(When), st.sampled_from(SIZES))
-def test_no_bytes_of_one_request_reach_another_and_nothing_cut_looks_whole(
+def test_answers_do_not_mix_and_cut_answers_are_incomplete(
     first: Spoilt, second: Spoilt, excess: bytes | None, when: When, size: int
 ) -> None:
     def script(call: Call) -> list[Step]:
@@ -540,7 +540,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(three_runs)
-def test_a_stream_has_each_event_once_and_looks_whole_only_at_its_end(runs: list[Run]) -> None:
+def test_stream_has_each_event_once_and_completes_only_at_its_end(runs: list[Run]) -> None:
     def script(call: Call) -> list[Step]:
         return run_steps(call, call.connection, runs[call.connection])
 
@@ -560,7 +560,7 @@
 
 @settings(max_examples=EXAMPLES)
 @given(three_runs, st.sampled_from([422, 500]))
-def test_an_item_ends_only_by_whole_runs_of_its_own(runs: list[Run], status: int) -> None:
+def test_item_ends_only_by_complete_runs_of_its_own(runs: list[Run], status: int) -> None:
     late = answer("item-1", b"late", status=status)
 
     def script(call: Call) -> list[Step]:
@@ -582,7 +582,7 @@
 
 
 @given(st.sampled_from([422, 500]), st.sampled_from(Framing), st.integers(0, 200), st.booleans())
-def test_an_item_fails_only_by_a_whole_answer(
+def test_item_fails_only_by_complete_answer(
     status: int, framing: Framing, cut: int, is_reset: bool
 ) -> None:
     way = End.RESET if is_reset else End.FIN
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -53,23 +53,23 @@
 # --- which start is known ---
 
 
-def test_another_time_of_start_is_told_once() -> None:
+def test_changed_start_time_is_reported_once() -> None:
     recorder = RestartRecorder(start(1, 0), start(2, 5), start(3, 5), start(4, 9), start(5, 9))
     assert recorder.restarts == [(5, 9)]
 
 
-def test_a_start_is_new_also_after_its_entry_was_gone() -> None:
+def test_restart_is_reported_after_entry_was_removed() -> None:
     recorder = RestartRecorder(start(1, 5))
     recorder.directory.remove("r1", 2)
     recorder.directory.put(start(3, 9))
     assert recorder.restarts == [(5, 9)]
 
 
-def test_an_entry_without_a_time_of_start_tells_of_none() -> None:
+def test_entry_without_start_time_reports_no_restart() -> None:
     assert RestartRecorder(start(1, 5), start(2, 0), start(3, 5)).restarts == []
 
 
-def test_late_news_does_not_bring_the_earlier_start_back() -> None:
+def test_late_entry_does_not_restore_earlier_incarnation() -> None:
     """By a peer with an older version, or by a write that the store did late."""
     recorder = RestartRecorder(start(1, 5), start(3, 9))
     assert not recorder.directory.put(start(2, 5))
@@ -80,7 +80,7 @@
     assert recorder.restarts == [(5, 9)]
 
 
-def test_a_replica_whose_clock_was_set_back_is_used() -> None:
+def test_replica_with_clock_set_back_is_used() -> None:
     """A process that has ended does not write on and on."""
     recorder = RestartRecorder(start(1, 9))
     for number in range(MAX_LATE_ENTRIES + 1):
@@ -90,13 +90,13 @@
 
 
 @given(st.permutations([start(1, 5), start(2, 5), start(3, 9), start(4, 9), start(5, 12)]))
-def test_starts_are_never_told_back_and_forth(entries: list[Replica]) -> None:
+def test_restarts_are_reported_in_order(entries: list[Replica]) -> None:
     recorder = RestartRecorder(*entries)
     assert [replica.started_ms for replica in recorder.directory.all()] == [12]
     assert all(before < after for before, after in recorder.restarts)
 
 
-def test_a_new_start_is_under_no_suspicion() -> None:
+def test_new_incarnation_is_no_suspect() -> None:
     directory = RestartRecorder(start(1, 5)).directory
     directory.suspect("r1", 10.0)
     directory.add_peer_suspects(["r1"], 10.0)
@@ -104,7 +104,7 @@
     assert not directory.is_suspect("r1", 10.1) and not directory.is_peer_suspect("r1", 10.1)
 
 
-def test_nodes_tell_each_other_which_start_it_is() -> None:
+def test_start_time_is_sent_between_nodes() -> None:
     """Older nodes leave it out; a list in which none is told has the fingerprint that it had."""
     update = DirectoryUpdate(None, 1, 2, 0, [start(2, 9)])
     assert decode_datagram(encode_datagram(update)) == update
@@ -119,7 +119,7 @@
 # --- what was counted there ---
 
 
-def test_prompts_of_the_start_before_are_not_read_any_more() -> None:
+def test_prefill_of_previous_incarnation_is_dropped() -> None:
     fleet = Fleet()
     entry = msgspec.structs.replace(fleet.directory.all()[0], version=2, started_ms=5)
     fleet.directory.put(entry)
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_a_request_goes_on_elsewhere_when_its_replica_has_started_again() -> None:
+def test_request_resumes_elsewhere_after_replica_restart() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         (first,) = world.replicas
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_a_request_that_may_not_be_repeated_gets_its_failure_at_once() -> None:
+def test_request_that_is_not_retryable_fails_at_once_after_restart() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 2)
         for replica in world.replicas:
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept(
+def test_items_resume_and_drop_cached_prompt_after_restart(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     reported_replica_ids: list[str] = []
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_kept_connections_to_the_start_before_are_not_used() -> None:
+def test_idle_connections_to_previous_incarnation_are_not_reused() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         pool = world.nodes[0]._pool
@@ -287,13 +287,13 @@
     return aborted + [connection.is_aborted for connection in connections]
 
 
-def test_what_was_sent_since_the_list_was_confirmed_is_left_alone() -> None:
+def test_exchange_opened_after_list_was_confirmed_is_not_aborted() -> None:
     """It may be at the new start already: nothing tells which one it reached."""
     old, moving, young = Connection(90, 91), Connection(90, 99.9), Connection(99.5, 99.5)
     assert aborted_connections(old, moving, young) == [True, False, False, True, True, False]
 
 
-def test_what_was_sent_after_its_address_had_refused_is_left_alone() -> None:
+def test_exchange_opened_after_refusal_is_not_aborted() -> None:
     """It is at the new start, whose entry came late."""
     old, new = Connection(90, 91), Connection(97, 98)
     assert aborted_connections(old, new) == [True, True] * 2
@@ -303,7 +303,7 @@
     )
 
 
-def test_an_address_that_refuses_is_remembered_until_the_next_start() -> None:
+def test_refused_connection_is_remembered_until_restart() -> None:
     async def main() -> None:
         codec: Any = None
         pool, address = ReplicaPool(codec, HandClock()), ("127.0.0.1", free_port())
@@ -317,7 +317,7 @@
     curio.run(main)
 
 
-def test_a_list_in_which_no_start_is_told_says_what_it_said_before() -> None:
+def test_fingerprint_without_start_time_is_unchanged() -> None:
     fields = ("r1", "model", "10.0.0.1", 80, "z1", 8, False, 0)
     expected = xxhash.xxh64_intdigest(repr(fields).encode()) >> 16
     assert RestartRecorder(start(3, 0)).directory.fingerprint == expected
@@ -350,14 +350,14 @@
     return ledger.crashes(CONTENT)
 
 
-def test_a_new_start_proves_that_the_one_before_ended_under_a_request() -> None:
+def test_restart_counts_crash_of_previous_incarnation() -> None:
     first, second = start(1, 5), start(2, 9)
     assert crashes((first, True)) == 1
     assert crashes((first, True), (first, True)) == 1
     assert crashes((first, True), (second, True)) == 2
 
 
-def test_a_start_that_refuses_counts_for_itself() -> None:
+def test_each_incarnation_counts_separately() -> None:
     """A replica that ends, comes back under its id and ends again has ended twice."""
     clock = HandClock(step_s=0.0)
     ledger, directory = CrashLedger(), ReplicaDirectory()
@@ -384,7 +384,7 @@
         return Reachability.REFUSES
 
 
-def test_a_start_that_was_about_to_leave_is_no_evidence() -> None:
+def test_draining_incarnation_is_no_evidence() -> None:
     """It was told to end: that a request was still there says nothing."""
     leaving = start(2, 5, is_draining=True)
     assert crashes((start(1, 5), True), entries=[start(1, 5), leaving, start(3, 9)]) == 0
@@ -393,10 +393,10 @@
     assert crashes((start(4, 9), True), entries=[*renewed, start(5, 12)]) == 1
 
 
-def test_a_request_that_may_not_have_arrived_is_no_suspect() -> None:
+def test_request_that_may_be_undelivered_is_no_suspect() -> None:
     assert crashes((start(1, 5), False)) == 0
 
 
-def test_a_request_that_was_answered_meanwhile_is_no_suspect() -> None:
+def test_answered_request_is_no_suspect() -> None:
     assert crashes((start(1, 5), True), answered_at=99.5) == 0
     assert crashes((start(1, 5), True), answered_at=98.5) == 1
--- a/tests/serving/test_silent_connections.py
+++ b/tests/serving/test_silent_connections.py
@@ -34,7 +34,7 @@
 
 
 @EACH_KIND
-def test_one_request_is_late_by_all_silent_connections_to_replicas(way: Silence) -> None:
+def test_silent_idle_connections_delay_one_request(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         proxy = await replica_behind_proxy(world)
@@ -53,7 +53,7 @@
 
 
 @EACH_KIND
-def test_items_go_on_elsewhere_when_their_connections_fall_silent(way: Silence) -> None:
+def test_items_are_retried_when_connections_fall_silent(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.02)
         proxy = await replica_behind_proxy(world)
@@ -67,7 +67,7 @@
 
 
 @EACH_KIND
-def test_the_store_is_reached_anew_when_its_connections_fall_silent(way: Silence) -> None:
+def test_store_is_reconnected_when_connections_fall_silent(way: Silence) -> None:
     async def test(world: FleetWorld) -> None:
         store_port = world.store_port
         proxy = SilentProxy(("127.0.0.1", free_port()), ("127.0.0.1", store_port))
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -38,24 +38,24 @@
     return PlatformCodec().answer_fields([(b"X-Cloverwalk-Server-Load", text.encode())]).load
 
 
-def test_a_replica_tells_how_long_work_takes_there() -> None:
+def test_load_header_has_slowdown() -> None:
     assert _load("3,0,8") == ReplicaLoad(3, 0, 8)
     assert _load("3, 1, 8, 250") == ReplicaLoad(3, 1, 8, slowdown=2.5)
 
 
 @pytest.mark.parametrize("value", ["0", "-5", "nan", "1e3", "99999", "", "\u0665", "1" * 5000])
-def test_an_odd_pace_is_dropped_and_its_counts_are_kept(value: str) -> None:
+def test_invalid_slowdown_is_dropped_and_counts_are_kept(value: str) -> None:
     header = (b"X-Cloverwalk-Server-Load", f"3,0,8,{value}".encode())
     load = PlatformCodec().answer_fields([header]).load
     assert load == ReplicaLoad(3, 0, 8, has_invalid_slowdown=True)
 
 
 @given(st.text(max_size=30))
-def test_no_told_load_raises(text: str) -> None:
+def test_invalid_load_header_does_not_raise(text: str) -> None:
     PlatformCodec().answer_fields([(b"X-Cloverwalk-Server-Load", text.encode("utf-8"))])
 
 
-def test_a_request_tells_its_length() -> None:
+def test_request_headers_have_token_counts() -> None:
     headers = [(b"X-Cloverwalk-Token-Usage", b"1460,80"), (b"X-Cloverwalk-Length-Hint", b"35")]
     fields = PlatformCodec().request_fields(headers)
     lengths = (fields.prompt_tokens, fields.max_output_tokens, fields.hinted_output_tokens)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("value", ["", "1460", "a,b", "1,-2", "1,2,3", "9" * 4000 + ",1"])
-def test_an_odd_length_counts_as_not_told(value: str) -> None:
+def test_invalid_token_counts_are_ignored(value: str) -> None:
     headers = [(b"X-Cloverwalk-Token-Usage", value.encode())]
     headers.append((b"X-Cloverwalk-Length-Hint", b"-1"))
     fields = PlatformCodec().request_fields(headers)
@@ -71,13 +71,13 @@
     assert fields.hinted_output_tokens == 0
 
 
-def test_a_service_tells_the_memory_of_its_replicas() -> None:
+def test_service_configuration_has_replica_memory() -> None:
     raw = b'{"version":1,"services":[{"name":"s","engine":{"slots":8,"kv_cache_tokens":72000,'
     raw += b'"stride":13}}]}'
     assert decode_configuration(raw).services["s"] == Service("s", 8, 0, 72000, 13)
 
 
-def test_settings_tell_what_the_machine_carries(tmp_path_factory: pytest.TempPathFactory) -> None:
+def test_settings_have_machine_limits(tmp_path_factory: pytest.TempPathFactory) -> None:
     path = tmp_path_factory.mktemp("settings") / "local.toml"
     path.write_text(SETTINGS)
     settings = load_settings(path)
@@ -88,7 +88,7 @@
         load_settings(path)
 
 
-def test_settings_tell_what_may_be_lost(tmp_path_factory: pytest.TempPathFactory) -> None:
+def test_settings_have_tolerated_losses(tmp_path_factory: pytest.TempPathFactory) -> None:
     path = tmp_path_factory.mktemp("settings") / "local.toml"
     path.write_text(SETTINGS)
     assert load_settings(path).tolerance == Tolerance()
@@ -100,7 +100,7 @@
             load_settings(path)
 
 
-def test_each_part_is_told_once_and_again_when_it_changes() -> None:
+def test_feature_state_is_reported_once_per_change() -> None:
     holder = ConfigurationHolder()
     features = Features(holder, is_memory_scarce=True)
     reported: list[FeatureState] = []
@@ -120,7 +120,7 @@
     }
 
 
-def test_decisions_see_at_once_what_turns_a_part_on() -> None:
+def test_feature_is_on_as_soon_as_its_condition_holds() -> None:
     holder = ConfigurationHolder()
     features = Features(holder)
     assert not features.is_on(Feature.OVERLOAD_ORDER)
@@ -130,7 +130,7 @@
     assert features.is_on(Feature.FAIR_SHARES)
 
 
-def test_a_deployment_that_calls_for_nothing_gets_nothing() -> None:
+def test_default_deployment_has_no_features_on() -> None:
     holder = ConfigurationHolder()
     services = {"s": Service("s", 8, 0, memory_tokens=72000)}
     holder.update_if_newer(Configuration(1, (), services, ClientLimits()))
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -41,7 +41,7 @@
 
 
 @given(LOADS)
-def test_no_verdict_flaps_and_a_node_is_seldom_not_ready(
+def test_state_does_not_flap_and_unready_time_is_bounded(
     steps: list[tuple[float, int, int, float, int]],
 ) -> None:
     monitor, now, unready_s = OverloadMonitor(SIZE, 0.0), 0.0, 0.0
@@ -64,7 +64,7 @@
 
 
 @given(LOADS)
-def test_a_node_whose_peers_are_as_full_or_unknown_turns_nothing_away(
+def test_node_with_equally_full_or_unknown_peers_stays_normal(
     steps: list[tuple[float, int, int, float, int]],
 ) -> None:
     for are_peers_known in (True, False):
@@ -77,7 +77,7 @@
             assert monitor.state is OverloadState.NORMAL
 
 
-def test_a_weak_machine_that_fills_up_first_is_full_and_takes_again_only_well_below() -> None:
+def test_full_node_becomes_normal_only_below_lower_threshold() -> None:
     monitor = OverloadMonitor(SIZE, 0.0)
     was_normal = []
     for turn, connections in enumerate((80, 86, 80, 70, 66, 64)):
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     ("late_s", "verdict"), [(0.0, OverloadState.FULL), (0.5, OverloadState.OVERLOADED)]
 )
-def test_a_busy_processor_refuses_requests_only_where_the_loop_is_late(
+def test_busy_processor_overloads_only_with_late_loop(
     late_s: float, verdict: OverloadState
 ) -> None:
     monitor = OverloadMonitor(SIZE, 0.0)
@@ -104,7 +104,7 @@
     assert monitor.state is verdict
 
 
-def test_a_link_is_judged_by_its_average_not_by_one_burst() -> None:
+def test_link_utilization_is_averaged() -> None:
     monitor = OverloadMonitor(SIZE, 0.0)
     monitor.set_peer_utilization(10, 0.1)
     monitor.update(Usage(), 0.0)
@@ -115,7 +115,7 @@
     assert monitor.by_resource[Resource.LINK] == pytest.approx(1.0, abs=0.05)
 
 
-def test_figures_that_cannot_be_true_are_left_out() -> None:
+def test_invalid_samples_are_ignored() -> None:
     monitor = OverloadMonitor(SIZE, 10.0)
     assert not monitor.set_peer_utilization(-1, 11.0)
     assert not monitor.update(Usage(connections=-5), 11.0)
@@ -129,7 +129,7 @@
     assert unknown.state is OverloadState.NORMAL
 
 
-def test_counts_that_did_not_begin_at_zero_are_no_use_of_the_machine() -> None:
+def test_counters_may_start_above_zero() -> None:
     # A process clock tells any figure at first; taken for use, a node that has just started was
     # full for its first ten seconds.
     monitor = OverloadMonitor(SIZE, 0.0)
@@ -143,7 +143,7 @@
     assert monitor.by_resource[Resource.PROCESSOR] == 0.0
 
 
-def test_a_process_clock_that_starts_below_zero_hides_no_other_figure() -> None:
+def test_process_clock_may_start_below_zero() -> None:
     monitor = OverloadMonitor(SIZE, 0.0)
     for turn in range(1, 5):
         now = 0.5 * turn
@@ -151,7 +151,7 @@
         assert (monitor.scarcest, monitor.utilization) == (Resource.CONNECTIONS, 0.9)
 
 
-def test_a_process_clock_faster_than_time_is_none_and_counts_nowhere() -> None:
+def test_process_clock_faster_than_time_is_ignored() -> None:
     # Taken for use, all nodes but the first to be told of their peers were full at once.
     monitor = OverloadMonitor(SIZE, 0.0)
     results = []
@@ -165,7 +165,7 @@
     assert results.count(False) == 1
 
 
-def test_what_was_told_of_the_peers_gets_old() -> None:
+def test_peer_utilization_expires() -> None:
     monitor = OverloadMonitor(SIZE, 0.0)
     monitor.set_peer_utilization(round(100 * (1 - PEER_MARGIN)), 3.0)
     states = []
@@ -175,7 +175,7 @@
     assert states == [(OverloadState.OVERLOADED, 1.0), (OverloadState.NORMAL, 0.0)]
 
 
-def test_the_middle_of_a_zone_is_told_by_those_that_measure_and_stay() -> None:
+def test_zone_median_skips_leaving_and_unmeasured_nodes() -> None:
     def report(node: str, zone: str, percent: int, is_leaving: bool = False) -> Report:
         return Report(
             node, "r", zone, 1, 0, 0, 0, 0, is_leaving=is_leaving, utilization_percent=percent
@@ -211,7 +211,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 19), st.integers(1, 400)), max_size=200))
-def test_whatever_clients_do_not_read_the_process_holds_no_more_than_its_limit(
+def test_buffered_bytes_stay_within_limit(
     pieces: list[tuple[int, int]],
 ) -> None:
     budget = MemoryBudget(2000)
@@ -232,7 +232,7 @@
     assert budget.dropped_readers_total == sum(reader.is_dropped for reader in readers)
 
 
-def test_a_slow_reader_makes_room_for_a_body_and_then_no_body_is_read() -> None:
+def test_slow_reader_is_dropped_only_for_body_that_fits() -> None:
     budget = MemoryBudget(1000)
     slow, quick = FakeReader(budget, 1.0), FakeReader(budget, 2.0)
     slow.add(300, 3.0)
@@ -247,7 +247,7 @@
     assert budget.take_dropped_readers().count == 0
 
 
-def test_jobs_leave_room_for_online_requests() -> None:
+def test_jobs_leave_memory_for_online_requests() -> None:
     budget = MemoryBudget(1000)
     budget.job_bytes = 500
     assert budget.has_capacity_for_job(int(1000 * JOB_SHARE) - 500)
@@ -258,7 +258,7 @@
     assert MemoryBudget().has_capacity_for_body(10**9, 0.0)
 
 
-def test_an_answer_of_which_a_part_was_dropped_is_not_finished() -> None:
+def test_answer_with_discarded_bytes_is_not_finished() -> None:
     # Its task was cancelled between the last write and the wait for the client.
     class FullSocket:
         """Takes nothing."""
@@ -288,7 +288,7 @@
     assert not curio.run(answer).is_finished
 
 
-def test_jobs_that_outgrew_their_share_keep_no_online_body_or_answer_out() -> None:
+def test_jobs_beyond_their_share_do_not_block_online_requests() -> None:
     # A node that took over the jobs of lost ones, or whose items have long outputs.
     budget = MemoryBudget(1000)
     budget.job_bytes = 5000
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(st.text("ab:\n 1", max_size=9), max_size=8), st.lists(st.integers(1, 7)))
-def test_events_do_not_depend_on_how_bytes_are_cut(texts: list[str], cuts: list[int]) -> None:
+def test_events_do_not_depend_on_chunk_boundaries(texts: list[str], cuts: list[int]) -> None:
     blocks = [text.replace("\n", " ") for text in texts]
     data = "".join(f"id: {n}\ndata: {text}\n\n" for n, text in enumerate(blocks)).encode()
     splitter = EventSplitter()
@@ -38,7 +38,7 @@
 
 
 @given(st.lists(st.integers(1, 9)))
-def test_a_configuration_never_goes_back(versions: list[int]) -> None:
+def test_older_configuration_is_ignored(versions: list[int]) -> None:
     holder = ConfigurationHolder()
     highest = -1
     for version in versions:
@@ -49,7 +49,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 20), st.booleans(), st.booleans()), max_size=12))
-def test_the_newest_entry_of_a_replica_wins(news: list[tuple[int, bool, bool]]) -> None:
+def test_newest_entry_of_replica_wins(news: list[tuple[int, bool, bool]]) -> None:
     directory = ReplicaDirectory()
     for version, is_removed, is_draining in news:
         if is_removed:
@@ -67,12 +67,12 @@
 
 
 @given(st.integers(1, 40), st.integers(0, 60), st.integers(0, 60))
-def test_batch_takes_every_free_slot(slots: int, online: int, batch: int) -> None:
+def test_batch_gets_every_free_slot(slots: int, online: int, batch: int) -> None:
     assert batch_room(slots, InFlight(online, batch)) == max(0, slots - online - batch)
 
 
 @given(st.floats(0.0, 30_000.0))
-def test_slots_are_kept_for_online_work_only(arrivals_per_s: float) -> None:
+def test_slots_are_reserved_only_for_online_work(arrivals_per_s: float) -> None:
     assert reserved_slots(0.0, 24.0) == 0
     reserved = reserved_slots(arrivals_per_s, 24.0)
     assert 0 <= reserved <= reserved_slots(arrivals_per_s + 10.0, 24.0)
@@ -82,9 +82,7 @@
 
 
 @given(st.integers(1, 40), st.integers(0, 60), st.integers(0, 60))
-def test_no_item_stands_before_online_work_that_has_a_slot(
-    slots: int, online: int, batch: int
-) -> None:
+def test_items_are_preempted_for_online_work(slots: int, online: int, batch: int) -> None:
     preempted = items_to_preempt(slots, InFlight(online, batch))
     assert 0 <= preempted <= batch
     remaining = batch - preempted
@@ -93,7 +91,7 @@
 
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=4), st.integers(1, 120))
-def test_parts_of_a_route_keep_their_shares(weights: list[int], count: int) -> None:
+def test_route_parts_get_requests_by_weight(weights: list[int], count: int) -> None:
     rotation = WeightedRotation()
     parts = [(f"s{number}", float(weight)) for number, weight in enumerate(weights)]
     dealt = [rotation.next("r", parts) for _ in range(count)]
@@ -102,7 +100,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["r", "s"]), st.booleans()), max_size=12))
-def test_work_that_has_ended_leaves_nothing_behind(sends: list[tuple[str, bool]]) -> None:
+def test_ended_work_is_removed_from_tracker(sends: list[tuple[str, bool]]) -> None:
     tracker = InFlightTracker()
     begun = [tracker.begin(replica_id, is_batch) for replica_id, is_batch in sends]
     assert sum(entry.total for entry in tracker.by_replica.values()) == len(sends)
@@ -111,7 +109,7 @@
     assert tracker.by_replica == {}
 
 
-def test_headers_set_on_the_way_replace_the_clients() -> None:
+def test_headers_set_by_node_replace_those_of_client() -> None:
     codec = PlatformCodec()
     headers = [
         (b"Host", b"h"),
@@ -133,13 +131,13 @@
 
 
 @pytest.mark.parametrize("word", ["x-cloverwalk", "rows-", "api/lots", "kv-events", "op/config"])
-def test_only_the_adapter_knows_the_platforms_names(word: str) -> None:
+def test_only_platform_package_uses_platform_names(word: str) -> None:
     files = [path for path in SOURCE.rglob("*.py") if path.parent.name != "platform"]
     files_with_names = [str(path) for path in files if word in path.read_text().lower()]
     assert files_with_names == []
 
 
-def test_a_replica_that_failed_at_another_node_is_doubted_for_a_moment_and_not_told_on() -> None:
+def test_peer_suspect_expires_and_is_not_reported_on() -> None:
     directory = ReplicaDirectory()
     directory.add_peer_suspects(["r"], 10.0)
     assert directory.is_peer_suspect("r", 10.5)
@@ -153,7 +151,7 @@
     assert directory.suspects(12.1) == ["r"]
 
 
-def test_a_dead_replica_that_looks_empty_is_not_chosen_first() -> None:
+def test_suspect_replica_without_load_is_not_preferred() -> None:
     busy = Replica("r1", "s", "h", 1, "z1", 8, False, 1)
     dead = Replica("r2", "s", "h", 2, "z1", 8, False, 1)
     candidates = [
