--- a/tests/serving/fleet_world.py
+++ b/tests/serving/fleet_world.py
@@ -1,4 +1,4 @@
-"""Real serving nodes, replicas and a store on loopback, in one loop."""
+"""Real serving nodes, replicas and a store on loopback, in one event loop."""
 
 import contextlib
 import itertools
@@ -30,7 +30,7 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on, below those that outgoing connections take."""
+    """Return an unused port, below the range of outgoing connections."""
     while True:
         port = next(_PORTS)
         if _is_free(port):
@@ -50,7 +50,7 @@
 
 
 class Answer(Struct):
-    """What a client got."""
+    """An answer as the client got it."""
 
     status: int
     headers: dict[str, str]
@@ -103,7 +103,7 @@
 
 
 class FleetWorld:
-    """A fleet that a test builds up and breaks."""
+    """A fleet that a test starts and disturbs."""
 
     def __init__(self) -> None:
         self.store = PlatformStoreServer(("127.0.0.1", free_port()))
@@ -115,10 +115,10 @@
         self._ports = [free_port() for _ in range(4)]
         self._requests = 0
         self.log_path = ""
-        """Where nodes write their logs; nowhere by default."""
+        """File for the logs of nodes; empty for none."""
 
         self.scarce_memory_bytes = 0
-        """Memory of each node's machine, where it is scarce."""
+        """Memory of each node's machine; 0 if it is not scarce."""
 
     async def start(self, replicas: int = 2, nodes: int = 1, **replica_options: Any) -> None:
         await self.spawn(self.store.run)
@@ -127,7 +127,7 @@
             await self.add_replica(**replica_options)
         for _ in range(nodes):
             await self.add_node()
-        await self.until(lambda: all(one.is_ready for one in self.nodes))
+        await self.until(lambda: all(node.is_ready for node in self.nodes))
 
     async def spawn(self, call: Callable[..., Awaitable[Any]], *args: Any) -> None:
         self.tasks.append(await curio.spawn(call, *args, daemon=True))
@@ -168,16 +168,16 @@
         return node
 
     def coordinator(self) -> ServingNode | None:
-        """Return the node that coordinates, None while none does."""
-        return next((one for one in self.nodes if one._fleet.coordinator.is_active), None)
+        """Return the coordinator, or None if there is none."""
+        return next((node for node in self.nodes if node._fleet.coordinator.is_active), None)
 
     def coordinator_roster(self) -> list[str]:
-        """Return the nodes that the coordinator has heard."""
+        """Return the names of the nodes that reported to the coordinator."""
         node = self.coordinator()
         return [] if node is None else sorted(node._fleet.coordinator.registry.by_name)
 
     async def kill_node(self, index: int) -> None:
-        """End a node as a kill does: nothing is handed over or told."""
+        """Kill a node: nothing is handed over or reported."""
         await self.node_tasks[index].cancel()
         for server in (self.nodes[index]._clients, self.nodes[index]._ready):
             await server._sock.close()
@@ -309,7 +309,7 @@
 
 
 def in_world(test: Callable[[FleetWorld], Awaitable[None]]) -> None:
-    """Run a test in a world of its own and clean up."""
+    """Run a test in a new world and clean up."""
 
     async def main() -> None:
         world = FleetWorld()
--- a/tests/serving/scripted_replica.py
+++ b/tests/serving/scripted_replica.py
@@ -1,4 +1,4 @@
-"""A replica that sends given bytes over real sockets, and the callers that its answers reach."""
+"""A replica that sends scripted bytes over real sockets, and callers that read its answers."""
 
 import struct
 import time
@@ -40,7 +40,7 @@
 
 
 class Framing(Enum):
-    """How an answer tells where its body ends."""
+    """How an answer marks the end of its body."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -51,7 +51,7 @@
 
 
 class Call(Struct, frozen=True):
-    """One request as it reached the replica."""
+    """One request as the replica received it."""
 
     connection: int
     """Number of its connection, from 0."""
@@ -69,7 +69,7 @@
 class ScriptedReplica:
     """Answers each request with the steps of a script.
 
-    One that reads no bodies serves one request a connection and leaves the connection open.
+    Without ``reads_bodies`` it serves one request per connection and leaves the connection open.
     """
 
     def __init__(self, script: Script, reads_bodies: bool = True) -> None:
@@ -80,7 +80,7 @@
         self.calls: list[Call] = []
         self.clients: list[Any] = []
         self.greeting = b""
-        """What each caller is sent before its first request."""
+        """Bytes sent to each caller before its first request."""
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -109,7 +109,7 @@
                 turn += 1
                 http = h11.Connection(h11.SERVER)
         except (OSError, h11.ProtocolError):
-            pass  # The caller left; what it was told is looked at by the test.
+            pass  # The caller disconnected; the test checks what it got.
         await client.close()
 
     async def _read(
@@ -138,9 +138,9 @@
                 return None
 
 
-async def end(client: Any, way: End) -> None:
-    """End a connection of the replica's."""
-    if way is End.RESET:
+async def end(client: Any, end_kind: End) -> None:
+    """End a connection of the replica."""
+    if end_kind is End.RESET:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     await client.close()
 
@@ -166,7 +166,7 @@
 
 
 def chunked(body: bytes) -> bytes:
-    """Return a body in two chunks and the last one."""
+    """Return a body in two chunks, with the last chunk."""
     middle = len(body) // 2
     parts = [part for part in (body[:middle], body[middle:]) if part]
     return b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
@@ -178,7 +178,7 @@
 
 
 class RecordedReply(Reply):
-    """A reply to a request that keeps what its client would get."""
+    """A reply that records what its client would get."""
 
     def __init__(self) -> None:
         http = h11.Connection(h11.SERVER)
@@ -193,7 +193,7 @@
         return b""
 
     def received(self) -> tuple[bytes, bool]:
-        """Return the body as far as the client got it, and whether it looks whole."""
+        """Return the body that the client got, and whether it is complete."""
         if not self._sent:
             return b"", False
         http = h11.Connection(h11.CLIENT)
@@ -211,17 +211,17 @@
 
 
 class Outcome(Struct, frozen=True):
-    """What a caller takes for the end of its request."""
+    """The end of a request as its caller sees it."""
 
     body: bytes | None
-    """The whole body; None: there was no answer, or not a whole one."""
+    """The complete body; None if there was no complete answer."""
 
     status: int = 0
     code: str = ""
 
 
 class Callers:
-    """Callers of one replica, over one pool."""
+    """Callers of one replica with a common pool."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
@@ -253,7 +253,7 @@
         method: str = "POST",
         size: int = 1,
     ) -> Outcome:
-        """Send a request that is no stream, and read its answer."""
+        """Send a request that is not a stream, and read its answer."""
         connection = await self.acquire(request_id)
         try:
             if before_send is not None:
@@ -273,7 +273,7 @@
         return Outcome(body, head.status)
 
     async def relay(self, request_id: str, reply: Reply) -> str:
-        """Relay the stream of a request that may be resumed; return how that ended."""
+        """Relay the stream of a resumable request; return its outcome."""
         fields = RequestFields(request_id)
         now = time.monotonic()
         request = ClientRequest("POST", "/a", [(b"Host", b"h")], b"", "h", fields, now)
@@ -308,7 +308,7 @@
         await self.pool.release(connection, head.fields.keep_alive_s)
 
     async def run_item(self, job: JobRun, item: ItemRun) -> str:
-        """Run an item once; return how that ended."""
+        """Run an item once; return its outcome."""
         job.begin(item, self.replica.replica_id, time.monotonic())
         try:
             await self.items.run(job, item, self.replica, lambda: None)
@@ -321,11 +321,11 @@
         return "succeeded"
 
     def idle_connections(self) -> list[ReplicaConnection]:
-        """Return the connections that rest."""
+        """Return the idle connections."""
         return list(self.pool._idle.get(self.address, []))
 
     async def close(self) -> None:
-        """Close all connections that rest."""
+        """Close all idle connections."""
         for connection in self.idle_connections():
             await connection.close()
 
@@ -339,13 +339,13 @@
 
 
 def stream_route() -> Route:
-    """Return a route of streams that may be resumed."""
+    """Return a route of resumable streams."""
     parts = (RoutePart("s", 1.0),)
     return Route("r", "h", "/", RouteKind.STREAM, parts, 30.0, 1.0, 3, is_resumable=True)
 
 
 async def readable(connection: ReplicaConnection) -> None:
-    """Wait until something has come on a connection."""
+    """Wait until bytes have arrived on a connection."""
     await _read_wait(connection._sock._fileno)
 
 
--- a/tests/serving/test_crash_detector.py
+++ b/tests/serving/test_crash_detector.py
@@ -30,15 +30,15 @@
 
 
 class ScriptedProbes:
-    """What each look at the address finds; the last one for all further looks."""
+    """Scripted results of probes; the last one holds for all further probes."""
 
     def __init__(self, *results: Reachability) -> None:
-        self.found = list(results)
+        self.results = list(results)
         self.count = 0
 
     async def probe(self, address: tuple[str, int]) -> Reachability:
         self.count += 1
-        return self.found.pop(0) if len(self.found) > 1 else self.found[0]
+        return self.results.pop(0) if len(self.results) > 1 else self.results[0]
 
 
 def crashes_after(
@@ -81,7 +81,7 @@
 
 
 def test_later_failure_gets_probes_of_its_own() -> None:
-    """A reset that is looked after, and then the replica ends under another request."""
+    """A reset is probed, and then the replica ends under another request."""
     clock, ledger, directory = HandClock(step_s=0.0), CrashLedger(), ReplicaDirectory()
     directory.put(REPLICA)
     probes = ScriptedProbes(LISTENS)
@@ -94,8 +94,8 @@
         await detector.record_failure("q1", "d" * 20, REPLICA, "reset", delivery)
         while probes.count < len(PROBE_DELAYS_S) - 1:
             await curio.sleep(0.001)
-        # The last look for the first one comes before the last one for the second.
-        probes.found = [LISTENS] * len(PROBE_DELAYS_S) + [REFUSES]
+        # The last probe for the first request comes before the last one for the second.
+        probes.results = [LISTENS] * len(PROBE_DELAYS_S) + [REFUSES]
         await detector.record_failure("q2", CONTENT, REPLICA, "reset", delivery)
         while detector._probes:
             await curio.sleep(0.01)
@@ -122,7 +122,7 @@
 
 
 def test_request_sent_after_replica_ended_is_no_suspect() -> None:
-    """It was sent over a kept connection whose end the node had not seen yet."""
+    """It was sent over a reused connection before the node noticed the end of the replica."""
     assert (
         crashes_after(ScriptedProbes(REFUSES), is_new=False, elapsed_s=DELIVERY_THRESHOLD_S / 2)
         == 0
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -1,9 +1,7 @@
-"""A request that ends each replica which runs it is sent on to a few replicas only.
+"""A request that crashes each replica which runs it reaches only a few replicas.
 
-Seen: one request came again and again, with another id and at another node each time; each
-repetition was sent to as many replicas as a route allows, and 12 of 18 replicas ended under it.
-How: each node forgot with the attempt which replicas had ended, and nobody knew a repetition again.
-Proved by the replicas' own count of what reached them, in these tests and on the users' record.
+Guards against repetitions under other ids and at other nodes, each of which could crash as many
+replicas as its route allows attempts. Verified by what the replicas received.
 """
 
 from typing import Any
@@ -26,7 +24,7 @@
 NEIGHBOUR = b"runs long"
 CUT_OFF = b"its connection is reset"
 MAX_CRASHES = 6
-"""Three replicas, and three retries more (users' rules)."""
+"""Three replicas, and up to three retries."""
 
 RESTART_DELAY_S = 0.1
 POLL_INTERVAL_S = 0.002
@@ -34,20 +32,20 @@
 
 @pytest.fixture(autouse=True)
 def no_trials(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Trials depend on how long a test takes; tests of their own have them."""
+    """Disable trials, which depend on the duration of a test; other tests cover them."""
     monkeypatch.setattr(crash_ledger, "TRIAL_PAUSES_S", (3600.0,))
 
 
 class CrashingWorld:
-    """Replicas that end when they run the guilty request, and come back as new instances."""
+    """Replicas that crash when they run the crashing request, and return as new instances."""
 
     def __init__(self, world: FleetWorld) -> None:
         self.world = world
         self.reached: list[str] = []
-        """Replicas that the guilty request reached."""
+        """Replicas that the crashing request reached."""
 
         self.neighbour_hangs = False
-        """Whether neighbours run for long; until the guilty request comes."""
+        """Whether other requests run on until the crashing request arrives."""
 
         self._crashing: list[PlatformReplica] = []
         self._tasks: dict[str, Any] = {}
@@ -95,7 +93,7 @@
                 await self.end(self._crashing.pop(0))
 
     async def end(self, replica: PlatformReplica) -> None:
-        """End a replica as a crash does; it comes back as another instance."""
+        """Crash a replica; it returns as another instance."""
         task = self._tasks.pop(replica.replica_id, None)
         if task is None:
             return
@@ -116,7 +114,7 @@
         return await self.world.call("POST", path, body, headers, node)
 
     async def wait_until_back(self, replicas: int = 5) -> None:
-        """Wait until all replicas are back and every node knows them."""
+        """Wait until all replicas are back and listed at every node."""
 
         def are_all_listed() -> bool:
             ids = sorted(self._tasks)
@@ -128,11 +126,11 @@
         await self.world.until(are_all_listed)
 
     def content(self, body: bytes, path: str = "/chat/a") -> str:
-        """Return the name of what ``send`` sends."""
+        """Return the content hash of what ``send`` sends."""
         return hash_content("", HOST, "POST", path, body=body)
 
     def stored(self) -> dict[str, bytes]:
-        """Return the rows of contained requests."""
+        """Return the stored rows of contained requests."""
         return self.world.store.rows.values(CASE_TABLE)
 
     def live_nodes(self) -> list[Any]:
@@ -155,7 +153,7 @@
             answers.append(await crashing.send(CRASHING, node=turn % 3))
             await crashing.wait_until_back()
         assert len(crashing.reached) <= MAX_CRASHES
-        # Nothing was sent, and nobody is told to come back with it.
+        # Nothing was sent, and no caller is asked to retry.
         assert answers[-1].status == 503
         assert "retry-after" not in answers[-1].headers
         for node in range(3):
@@ -190,7 +188,7 @@
         await crashing.start(nodes=1)
         for _ in range(4):
             answer = await crashing.send(CUT_OFF)
-            # Each attempt may have run, so nothing is promised.
+            # Each attempt may have run, so the status does not say "not run".
             assert answer.status == 502
         node = crashing.world.nodes[0]
         await crashing.world.until(lambda: not node._witness._probes)
@@ -201,7 +199,7 @@
 
 
 def test_requests_beside_crashing_one_are_not_contained() -> None:
-    """They run at a replica that ends; they are answered elsewhere, and that clears them."""
+    """They run at a replica that crashes; being answered elsewhere clears them."""
 
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
@@ -223,13 +221,13 @@
 
 
 def test_requests_sent_to_ended_replicas_are_no_suspects() -> None:
-    """Replicas end one after the other by themselves; requests go on to the next one."""
+    """Replicas end one by one for other reasons, and requests are retried at the next one."""
 
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         world = crashing.world
         for number in range(20):
-            # Each replica has a kept connection.
+            # Gives each replica an idle connection.
             await crashing.send(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
@@ -246,7 +244,7 @@
 def test_crashing_item_does_not_delay_other_items(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It would be sent again this soon, several times while the second job runs.
+    # The item would be retried this soon, several times while the second job runs.
     monkeypatch.setattr(runner, "RETRY_S", 0.05)
 
     async def test(crashing: CrashingWorld) -> None:
@@ -258,11 +256,11 @@
         ]
         await crashing.world.until(lambda: bool(crashing.stored()))
         await crashing.wait_until_back()
-        # The second job has the same item once more.
+        # The second job contains the same item again.
         assert (await crashing.world.hand_in("j2", count=30)).status == 202
         await crashing.world.until_done("j2", 29)
         assert len(crashing.reached) == crash_ledger.CONTAINED_FROM
-        # It is not given up: nothing has shown that it can never be done.
+        # The item stays open, since nothing proved that it can never succeed.
         assert len((await crashing.world.read_job("j1"))["results"]) == 5
 
     in_crashing_world(test)
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests at real sockets: each answer is the replica's whole one, or looks broken."""
+"""Online requests over real sockets: each answer is complete or visibly incomplete."""
 
 import threading
 
@@ -62,7 +62,7 @@
         third = await world.ask("/chat/a")
         assert third.event_ids() == [1, 2, 3, 4]
         for answer in (first, second):
-            # With both spoilt a request may fail, but then it looks so.
+            # With both replicas faulty a request may fail, but it must be visible.
             is_right = answer.event_ids() == [1, 2, 3, 4]
             assert is_right or answer.status != 200 or not answer.is_whole
         for answer in (first, second, third):
@@ -79,7 +79,7 @@
         answer = await world.ask("/chat/a", "id-1")
         assert answer.is_whole
         assert answer.event_ids() == list(range(1, 13))
-        lines = [one for one in answer.body.decode().split("\n") if one.startswith("data: ")]
+        lines = [line for line in answer.body.decode().split("\n") if line.startswith("data: ")]
         assert lines == [f"data: id-1:{number}" for number in range(1, 13)]
 
     in_world(test)
@@ -93,14 +93,14 @@
         answer = await world.ask("/once/a", "id-1")
         assert answer.status == 200
         assert not answer.is_whole
-        assert sum(len(one.arrivals) for one in world.replicas) == 1
+        assert sum(len(replica.arrivals) for replica in world.replicas) == 1
 
     in_world(test)
 
 
 @pytest.mark.parametrize("name", ["stop", "reload"])
 def test_signal_during_signal_handler_does_not_block(name: str) -> None:
-    """A node that got SIGTERM twice within a millisecond neither stopped nor answered any more."""
+    """Two SIGTERM signals within a millisecond once blocked a node for good."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
@@ -110,7 +110,7 @@
         unblock = event._unblock_waiters
 
         def interrupted() -> None:
-            # The event's lock is held here, as where a signal interrupts its ``set``.
+            # The event's lock is held here, as when a signal interrupts its ``set``.
             request()
             unblock()
 
@@ -131,7 +131,7 @@
             replica.always = misdeed
         answer = await world.ask("/once/a")
         assert answer.status == 502
-        assert sum(len(one.arrivals) for one in world.replicas) == 1
+        assert sum(len(replica.arrivals) for replica in world.replicas) == 1
 
     in_world(test)
 
@@ -171,7 +171,7 @@
         world.replicas[0].replica_id = "i-other"
         for _ in range(3):
             assert (await world.ask("/chat/a")).event_ids() == [1, 2, 3, 4]
-        assert not any(one.has_run for one in world.replicas[0].arrivals)
+        assert not any(arrival.has_run for arrival in world.replicas[0].arrivals)
 
     in_world(test)
 
@@ -213,15 +213,15 @@
         headers = [
             (names.REQUEST_ID.decode(), "long"),
             (names.DEADLINE_MS.decode(), "3000"),
-            # 2 s to read, as it is reckoned.
+            # An estimated prefill of 2 s.
             (names.PREFIX_HASH.decode(), "aa:200,bb:100000"),
         ]
         task = await curio.spawn(world.call, "POST", "/chat/a", b"prompt", headers, 0)
-        await world.until(lambda: any(one.arrivals for one in world.replicas))
-        busy = next(one for one in world.replicas if one.arrivals)
+        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
+        busy = next(replica for replica in world.replicas if replica.arrivals)
         for turn in range(6):
             assert (await world.ask("/chat/a", node=turn % 2)).is_whole
-        assert [one.request_id for one in busy.arrivals] == ["long"]
+        assert [arrival.request_id for arrival in busy.arrivals] == ["long"]
         assert (await task.join()).is_whole
 
     in_world(test)
@@ -322,7 +322,7 @@
 def test_planned_stop_lets_requests_finish() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.02)
-        asking = await curio.spawn(world.ask, "/chat/a")
+        request_task = await curio.spawn(world.ask, "/chat/a")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         world.nodes[0].request_stop()
         await world.until(lambda: world.nodes[0].is_leaving)
@@ -330,7 +330,7 @@
             "GET", names.READY_PATH, address=world.nodes[0]._settings.ready_address
         )
         late = await world.ask("/chat/a")
-        answer = await asking.join()
+        answer = await request_task.join()
         assert ready.status == 503
         assert answer.event_ids() == late.event_ids() == list(range(1, 41))
         assert late.headers["connection"] == "close"
@@ -339,12 +339,12 @@
 
 
 def test_stopping_node_refuses_requests_it_could_not_finish() -> None:
-    """Found by a hunt (finding 39): a request that came 7.2 s after SIGTERM was cut."""
+    """A request that arrived late in the grace time was cut when the node ended."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=5, event_s=0.5)
-        # It keeps the node from ending before its grace time is over.
-        asking = await curio.spawn(world.ask, "/chat/a")
+        # Keeps the node from ending before its grace time is over.
+        request_task = await curio.spawn(world.ask, "/chat/a")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         node = world.nodes[0]
         node.request_stop()
@@ -353,8 +353,8 @@
         late = await world.ask("/chat/a", "late")
         assert late.status == 503
         assert float(late.headers["retry-after"]) > 0
-        assert "late" not in [one.request_id for one in world.replicas[0].arrivals]
-        assert (await asking.join()).event_ids() == [1, 2, 3, 4, 5]
+        assert "late" not in [arrival.request_id for arrival in world.replicas[0].arrivals]
+        assert (await request_task.join()).event_ids() == [1, 2, 3, 4, 5]
 
     in_world(test)
 
@@ -403,8 +403,8 @@
         await world.until(lambda: replica.running == replica.slots)
         began = len(replica.arrivals)
         answers = [await world.ask("/chat/b") for _ in range(3)]
-        assert [one.status for one in answers] == [503, 503, 503]
-        assert all(0.3 < float(one.headers["retry-after"]) < 1.1 for one in answers)
+        assert [answer.status for answer in answers] == [503, 503, 503]
+        assert all(0.3 < float(answer.headers["retry-after"]) < 1.1 for answer in answers)
         assert len(replica.arrivals) == began
         for task in tasks:
             assert (await task.join()).is_whole
@@ -420,14 +420,14 @@
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(replica.slots)]
         await world.until(lambda: replica.running == replica.slots)
         assert (await world.hand_in("j", count=12)).status == 202
-        back = await curio.spawn(world.ask, "/chat/back", "back", 2700)
-        await world.until(lambda: any(one.request_id == "back" for one in replica.arrivals))
-        # Items run for 2 s: whatever got the first free slot gave way, none came to its end.
-        items = [one for one in replica.arrivals if one.request_id.startswith("j-")]
-        assert [one for one in items if one.is_finished] == []
+        retry_task = await curio.spawn(world.ask, "/chat/back", "back", 2700)
+        await world.until(lambda: any(arrival.request_id == "back" for arrival in replica.arrivals))
+        # Items run for 2 s: one that got the first free slot was preempted, so none finished.
+        items = [arrival for arrival in replica.arrivals if arrival.request_id.startswith("j-")]
+        assert [item for item in items if item.is_finished] == []
         for task in tasks:
             assert (await task.join()).is_whole
-        answer = await back.join()
+        answer = await retry_task.join()
         assert answer.status == 200
         await world.until_done("j", 12)
 
@@ -439,8 +439,8 @@
         await world.start(replicas=1)
         listed = world.replicas[0].document("model", "z1")
         for number in range(6):
-            dead = {**listed, "address": f"127.0.0.1:{free_port()}"}
-            world.store.put(names.REPLICA_TABLE, f"dead-{number}", dead)
+            unreachable = {**listed, "address": f"127.0.0.1:{free_port()}"}
+            world.store.put(names.REPLICA_TABLE, f"dead-{number}", unreachable)
         await world.until(lambda: len(world.nodes[0]._directory.all()) == 7)
         answer = await world.ask("/chat/a")
         assert (answer.status, answer.is_whole) == (200, True)
--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -1,4 +1,4 @@
-"""Whatever happens to a request, it is promised not to have run only where no replica began it."""
+"""A status that says "not run" is given only if no replica started the request."""
 
 import os
 import time
@@ -47,7 +47,7 @@
 LATE = "the place comes after the deadline"
 
 Step = PlacementVerdict | str
-"""How an ask is answered: refused by a verdict, sent to the replica named, or late."""
+"""Result of a placement request: refused, sent to the named replica, or late."""
 
 refusing = st.sampled_from(
     [
@@ -85,8 +85,8 @@
 paths = st.sampled_from(["/safe/a", "/chat/a", "/once/a"])
 
 
-class ScriptedLink:
-    """A coordinator that answers asks as it is told, whether that makes sense or not."""
+class ScriptedCoordinatorClient:
+    """A coordinator client with scripted placements, sensible or not."""
 
     configuration_version = 1
 
@@ -95,8 +95,8 @@
         self._loads = loads
         self._turn = 0
 
-    async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
-        """Return the next answer of the script; then one replica after the other."""
+    async def request_placement(self, request: PlacementRequest, until: float) -> PlacementResult:
+        """Return the next placement of the script; after that the replicas in turn."""
         await curio.sleep(0)
         self._turn += 1
         step = self._script.pop(0) if self._script else f"i-{self._turn % REPLICAS}"
@@ -110,14 +110,14 @@
         )
 
     async def trigger_report(self) -> None:
-        """Nobody is told."""
+        """Do nothing."""
 
     def record_request_timing(self, served: RequestTiming) -> None:
-        """Nobody is told."""
+        """Do nothing."""
 
 
 class World:
-    """One node's whole way from a client's socket to its replicas'."""
+    """The whole path of a node from a client's socket to the replicas."""
 
     def __init__(self, script: list[Step], misdeeds_by_replica: list[list[Misdeed | None]]) -> None:
         self.replicas = [
@@ -131,7 +131,7 @@
         holder = ConfigurationHolder()
         holder.update_if_newer(Configuration(1, _routes(), {}, ClientLimits()))
         loads = InFlightTracker()
-        link: Any = ScriptedLink(script, loads)
+        coordinator_client: Any = ScriptedCoordinatorClient(script, loads)
         directory = self._directory()
         pool = ReplicaPool(adapter.codec, time.monotonic)
         witness = CrashDetector(CrashLedger(), directory, pool, log, metrics, time.monotonic)
@@ -143,7 +143,7 @@
             log,
             metrics,
             time.monotonic,
-            link,
+            coordinator_client,
             QuotaRefusalCache(log, time.monotonic),
             ContainmentGate(witness, metrics),
         )
@@ -166,8 +166,8 @@
         for replica in self.replicas:
             host, port = replica.address
             directory.put(Replica(replica.replica_id, "model", host, port, "z", 8, False, 1))
-        dead = Replica(DEAD_REPLICA, "model", "127.0.0.1", free_port(), "z", 8, False, 1)
-        directory.put(dead)
+        unreachable = Replica(DEAD_REPLICA, "model", "127.0.0.1", free_port(), "z", 8, False, 1)
+        directory.put(unreachable)
         return directory
 
     async def ask(self, path: str, request_id: str) -> int:
@@ -206,25 +206,25 @@
     st.sampled_from([NEVER, NEVER, NEVER, 3, 2, 1]),
 )
 def test_not_run_status_is_given_only_if_no_replica_ran(
-    asked: list[str],
+    request_paths: list[str],
     script: list[Step],
     misdeeds_by_replica: list[list[Misdeed | None]],
     stops_before: int,
 ) -> None:
     async def main() -> None:
         world = World(list(script), misdeeds_by_replica)
-        loops = [world.server.serve, *(one.run for one in world.replicas)]
+        loops = [world.server.serve, *(replica.run for replica in world.replicas)]
         tasks = [await curio.spawn(loop, daemon=True) for loop in loops]
         statuses: dict[str, int] = {}
-        for turn, path in enumerate(asked):
+        for turn, path in enumerate(request_paths):
             world.may_begin = turn < stops_before
             statuses[f"id-{turn}"] = await world.ask(path, f"id-{turn}")
         for task in tasks:
             await task.cancel()
-        runs = {key: sum(one.runs(key) for one in world.replicas) for key in statuses}
+        runs = {key: sum(replica.runs(key) for replica in world.replicas) for key in statuses}
         untrue = [key for key in statuses if statuses[key] in PROMISES and runs[key]]
         assert untrue == []
-        for turn, path in enumerate(asked):
+        for turn, path in enumerate(request_paths):
             assert runs[f"id-{turn}"] <= (1 if path == "/once/a" else 3)
 
     curio.run(main)
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -1,7 +1,6 @@
-"""An answer that promises "not run" is given only where no replica has begun.
+"""A status that says "not run" is given only if no replica has started the request.
 
-Clients here obey: after a promise they send the request again, with the same id, and the replicas
-count how often they began it.
+After such a status the clients here retry with the same id, and the replicas count the runs.
 """
 
 from pathlib import Path
@@ -25,40 +24,40 @@
 
 
 async def send_while_promised(world: FleetWorld, path: str, request_id: str) -> list[Answer]:
-    """Send a request, and send it again after a promise."""
+    """Send a request, and retry it after a status that says "not run"."""
     answers = [await world.ask(path, request_id)]
     while answers[-1].status in PROMISES and len(answers) < SENDS:
         answers.append(await world.ask(path, request_id))
     return answers
 
 
-def answer_next_asks(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
-    """Have the first node's asks answered by these verdicts; None leaves it to the coordinator."""
-    link = world.nodes[0]._fleet.link
-    place = link.request_placement
+def script_placements(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
+    """Script the verdicts of the first node's placement requests; None asks the coordinator."""
+    coordinator_client = world.nodes[0]._fleet.link
+    original_request = coordinator_client.request_placement
 
     async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
         verdict = verdicts.pop(0) if verdicts else None
         if verdict is None:
-            return await place(ask, until)
+            return await original_request(ask, until)
         return PlacementResult(Placement(0, verdict, retry_after_s=0.3))
 
-    link.request_placement = answer  # type: ignore[method-assign]
+    coordinator_client.request_placement = answer  # type: ignore[method-assign]
 
 
 def test_refusal_without_proof_is_answered_502() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=4)
-        for path, most_runs in (("/once/a", 1), ("/safe/a", 3)):
+        for path, max_runs in (("/once/a", 1), ("/safe/a", 3)):
             for status in PROMISES:
                 for replica in world.replicas:
                     replica.always = Misdeed.UNPROVED_REFUSAL
                     replica.unproved_status = status
                 request_id = f"{path[1:5]}-{status}"
                 answers = await send_while_promised(world, path, request_id)
-                assert [one.status for one in answers] == [502], request_id
+                assert [answer.status for answer in answers] == [502], request_id
                 assert "retry-after" not in answers[0].headers
-                assert runs(world, request_id) <= most_runs
+                assert runs(world, request_id) <= max_runs
 
     in_world(test)
 
@@ -69,12 +68,12 @@
         await world.start(replicas=4)
         for replica in world.replicas:
             replica.always = misdeed
-        for path, most_runs in (("/once/a", 1), ("/safe/a", 3), ("/chat/a", 3)):
+        for path, max_runs in (("/once/a", 1), ("/safe/a", 3), ("/chat/a", 3)):
             request_id = f"{path[1:5]}-{misdeed.name}"
             (answer,) = await send_while_promised(world, path, request_id)
             assert answer.status not in PROMISES
             assert not answer.is_whole or answer.status == 502
-            assert 1 <= runs(world, request_id) <= most_runs
+            assert 1 <= runs(world, request_id) <= max_runs
 
     in_world(test)
 
@@ -84,7 +83,7 @@
         await world.start(replicas=2)
         for replica in world.replicas:
             replica.always = Misdeed.RESET_UNANSWERED
-        # A tenant's refusal is remembered for a moment: it comes last.
+        # Last, since the node caches the refusal of a tenant for a moment.
         refusing = (
             PlacementVerdict.RETRY_LATER,
             PlacementVerdict.NO_REPLICA,
@@ -92,9 +91,9 @@
             PlacementVerdict.OVER_QUOTA,
         )
         for verdict in refusing:
-            answer_next_asks(world, [None, verdict])
+            script_placements(world, [None, verdict])
             answers = await send_while_promised(world, "/safe/a", verdict.value)
-            assert [one.status for one in answers] == [502], verdict
+            assert [answer.status for answer in answers] == [502], verdict
             assert "retry-after" not in answers[0].headers
             assert runs(world, verdict.value) == 1
 
@@ -120,11 +119,11 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         for turn in range(6):
-            # The connection is kept: what comes first on it need not belong to this request.
+            # The connection is reused, so its next answer may belong to an earlier request.
             world.replicas[0].misdeeds.append(Misdeed.LATE_REFUSAL if turn else None)
             request_id = f"id-{turn}"
             answers = await send_while_promised(world, "/once/a", request_id)
-            assert [one.status for one in answers] == [200]
+            assert [answer.status for answer in answers] == [200]
             assert runs(world, request_id) == 1
 
     in_world(test)
@@ -136,7 +135,7 @@
         for replica in world.replicas:
             replica.always = Misdeed.PROOF_ON_SUCCESS
         answers = await send_while_promised(world, "/once/a", "id-1")
-        assert [one.status for one in answers] == [200]
+        assert [answer.status for answer in answers] == [200]
         assert runs(world, "id-1") == 1
 
     in_world(test)
@@ -152,7 +151,7 @@
             world.replicas[0].always = misdeed
             await world.ask("/once/a", request_id)
         lines = [line for text in log.read_text().splitlines() if (line := parse_line(text))]
-        ended = {one.fields["request"]: one for one in lines if one.number == REQUEST_ENDED}
+        ended = {line.fields["request"]: line for line in lines if line.number == REQUEST_ENDED}
         assert describe_work_state(ended["not"]).startswith("the work had not begun")
         assert describe_work_state(ended["may"]).startswith("the work may have begun")
 
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -1,4 +1,4 @@
-"""Answers in excess, late, cut, without length or garbled: each reaches its own request or none."""
+"""Surplus, late, cut or garbled answers: each reaches its own request or none."""
 
 import itertools
 from collections.abc import Iterator
@@ -50,7 +50,7 @@
 
 
 LONG_BODY_BYTES = 16_000_000
-"""More than the kernel takes for a replica that does not read."""
+"""More than the kernel buffers for a replica that does not read."""
 
 LONG_ANSWER_BYTES = MAX_BUFFERED_ANSWER_BYTES + 100_000
 
@@ -65,7 +65,7 @@
         await connection.read_head("a")
         assert await connection.read_body() == b"half of the"
         await end(replica.clients[0], End.RESET)
-        # The kernel tells a reset once; here the sender is told.
+        # The kernel reports a reset once, and here the sender gets it.
         await connection._sender.wait()
         with pytest.raises(ReplicaError):
             await connection.read_body()
@@ -75,14 +75,14 @@
 
 
 def test_cut_answer_does_not_fail_item() -> None:
-    cases = list(itertools.product((422, 500), (Framing.LENGTH, Framing.CHUNKED), End))
+    variants = list(itertools.product((422, 500), (Framing.LENGTH, Framing.CHUNKED), End))
 
     def script(call: Call) -> list[Step]:
-        status, framing, way = cases[call.connection]
-        return [answer(call.request_id, b"it failed", framing, status)[:-3], way]
+        status, framing, end_kind = variants[call.connection]
+        return [answer(call.request_id, b"it failed", framing, status)[:-3], end_kind]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
-        for _ in cases:
+        for _ in variants:
             assert await callers.run_item(*item_job()) in ("not_http", "reset")
 
     run_against(script, test)
@@ -97,22 +97,22 @@
 def check_late_second_answer(late: bytes) -> None:
     def script(call: Call) -> list[Step]:
         events = event(1, "own") if call.last_event_id is None else b""
-        own = answer(call.request_id, events + event(2, "own"))
-        return [own] if call.turn == 0 else [late, own]
+        current = answer(call.request_id, events + event(2, "own"))
+        return [current] if call.turn == 0 else [late, current]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         assert await callers.run_item(*item_job()) == "succeeded"
-        # The job is taken over again, with what was saved of its output.
-        job, one = item_job()
-        assert job.take_event(one, 1, "own")
-        assert await callers.run_item(job, one) == "succeeded"
-        assert one.texts == ["own", "own"]
+        # The job is taken over again, with the saved part of its output.
+        job, item = item_job()
+        assert job.take_event(item, 1, "own")
+        assert await callers.run_item(job, item) == "succeeded"
+        assert item.texts == ["own", "own"]
 
     run_against(script, test)
 
 
 def test_answer_is_not_skipped_if_its_framing_depends_on_request() -> None:
-    # The body of the late answer reads like an answer to the request that is due.
+    # The body of the late answer looks like an answer to the current request.
     late = answer("a", answer("b", b""))
 
     def script(call: Call) -> list[Step]:
@@ -178,22 +178,24 @@
 
 
 def test_run_that_ignores_resume_position_is_not_used() -> None:
-    first, rest = event(1, "own"), event(2, "own") + event(3, "own")
+    first, remaining = event(1, "own"), event(2, "own") + event(3, "own")
     anew = event(1, "anew") + event(2, "anew") + event(3, "anew")
-    bodies = [answer("a", first + rest)[:-30], answer("a", anew), answer("a", rest)]
+    bodies = [answer("a", first + remaining)[:-30], answer("a", anew), answer("a", remaining)]
 
     def script(call: Call) -> list[Step]:
-        own = bodies[call.connection % 3].replace(b": a\r\n", f": {call.request_id}\r\n".encode())
-        return [own, End.FIN]
+        reply_bytes = bodies[call.connection % 3].replace(
+            b": a\r\n", f": {call.request_id}\r\n".encode()
+        )
+        return [reply_bytes, End.FIN]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         reply = RecordedReply()
         assert await callers.relay("a", reply) == "answered"
-        assert reply.received() == (first + rest, True)
-        job, one = item_job()
-        outcomes = [await callers.run_item(job, one) for _ in range(3)]
+        assert reply.received() == (first + remaining, True)
+        job, item = item_job()
+        outcomes = [await callers.run_item(job, item) for _ in range(3)]
         assert outcomes == ["not_http", "invalid_stream", "succeeded"]
-        assert one.texts == ["own"] * 3
+        assert item.texts == ["own"] * 3
 
     run_against(script, test)
 
@@ -259,8 +261,8 @@
     parts = [b"HTTP/1.1 422 ", b"HTTP/1.1 422 Some-Reason\r\nContent-Type: te"]
 
     def script(call: Call) -> list[Step]:
-        own = answer(call.request_id, b"own")
-        return [own] if call.turn == 0 else [parts[call.connection], own, End.FIN]
+        current = answer(call.request_id, b"own")
+        return [current] if call.turn == 0 else [parts[call.connection], current, End.FIN]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         for number, _ in enumerate(parts):
@@ -303,17 +305,17 @@
 
 
 def test_invalid_utf8_is_not_used_as_item_text() -> None:
-    own = event(1, "caf\u00e9 \ufffd")
-    garbled = own.replace("\u00e9".encode(), b"\xe9")
+    valid = event(1, "caf\u00e9 \ufffd")
+    garbled = valid.replace("\u00e9".encode(), b"\xe9")
 
     def script(call: Call) -> list[Step]:
-        return [answer(call.request_id, garbled if call.connection == 0 else own), End.FIN]
+        return [answer(call.request_id, garbled if call.connection == 0 else valid), End.FIN]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
-        job, one = item_job()
-        assert await callers.run_item(job, one) == "invalid_stream"
-        assert await callers.run_item(job, one) == "succeeded"
-        assert one.texts == ["caf\u00e9 \ufffd"]
+        job, item = item_job()
+        assert await callers.run_item(job, item) == "invalid_stream"
+        assert await callers.run_item(job, item) == "succeeded"
+        assert item.texts == ["caf\u00e9 \ufffd"]
 
     run_against(script, test)
 
@@ -329,34 +331,34 @@
     run_against(script, test)
 
 
-# --- any bytes, any cut, any order ---
+# --- any bytes, cut anywhere, in any order ---
 
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 EVENTS = 4
-MOST_RUNS = 3
+MAX_RUNS = 3
 EXAMPLES = 300
 SIZES = [0, 1, 2 * MAX_INLINE_SEND_BYTES]
-"""Bytes of a request's body; the longest are sent beside the reading of the answer."""
+"""Sizes of request bodies; the longest is sent by a task while the answer is read."""
 
 
-class Spoilt(Struct, frozen=True):
-    """One answer to a request: how its body ends, where it is cut, and what comes before it."""
+class AnswerPlan(Struct, frozen=True):
+    """An answer to one request: its framing, where it is cut, and what precedes it."""
 
     framing: Framing
     body: bytes
     splits: tuple[int, ...]
-    """Places at which the bytes are sent apart."""
+    """Positions at which the bytes are sent in separate pieces."""
 
     cut: int | None
-    """Bytes after which the connection ends; None: all are sent."""
+    """Bytes after which the connection ends; None if all are sent."""
 
-    way: End
+    end_kind: End
     has_interim: bool
     """Whether an interim answer comes first."""
 
 
 class When(Enum):
-    """When an answer in excess comes."""
+    """When a surplus answer arrives."""
 
     WITH_THE_FIRST = "in the same bytes"
     AT_REST = "while the connection rests"
@@ -366,7 +368,7 @@
 
 bodies = st.binary(max_size=24)
 answers = st.builds(
-    Spoilt,
+    AnswerPlan,
     st.sampled_from(Framing),
     bodies,
     st.lists(st.integers(1, 200), max_size=3).map(tuple),
@@ -381,7 +383,7 @@
         b"excess" + body,
         framing,
         status,
-        (*((names.REQUEST_ID, one.encode()) for one in ids[1:]), *more),
+        (*((names.REQUEST_ID, request_id.encode()) for request_id in ids[1:]), *more),
     ),
     excess_ids,
     bodies,
@@ -396,48 +398,48 @@
 )
 
 
-def whole_body(request_id: str, spoilt: Spoilt) -> bytes:
-    return request_id.encode() + b":" + spoilt.body
+def whole_body(request_id: str, plan: AnswerPlan) -> bytes:
+    return request_id.encode() + b":" + plan.body
 
 
-def whole_bytes(request_id: str, spoilt: Spoilt) -> bytes:
-    data = answer(request_id, whole_body(request_id, spoilt), spoilt.framing)
-    return (INTERIM if spoilt.has_interim else b"") + data
+def whole_bytes(request_id: str, plan: AnswerPlan) -> bytes:
+    data = answer(request_id, whole_body(request_id, plan), plan.framing)
+    return (INTERIM if plan.has_interim else b"") + data
 
 
-def is_spoilt(request_id: str, spoilt: Spoilt) -> bool:
-    return spoilt.cut is not None and spoilt.cut < len(whole_bytes(request_id, spoilt))
+def is_cut(request_id: str, plan: AnswerPlan) -> bool:
+    return plan.cut is not None and plan.cut < len(whole_bytes(request_id, plan))
 
 
-def steps(request_id: str, spoilt: Spoilt, is_last: bool = False) -> list[Step]:
-    """Return how an answer is sent; the connection ends where it must."""
-    data = whole_bytes(request_id, spoilt)
-    ends = is_last or spoilt.framing is Framing.UNTIL_CLOSE or is_spoilt(request_id, spoilt)
-    data = data[: spoilt.cut]
-    places = [0, *sorted(one for one in set(spoilt.splits) if one < len(data)), len(data)]
-    pieces: list[Step] = [data[one:other] for one, other in itertools.pairwise(places)]
-    return [*pieces, spoilt.way] if ends else pieces
+def steps(request_id: str, plan: AnswerPlan, is_last: bool = False) -> list[Step]:
+    """Return how an answer is sent; the connection ends where it has to."""
+    data = whole_bytes(request_id, plan)
+    ends = is_last or plan.framing is Framing.UNTIL_CLOSE or is_cut(request_id, plan)
+    data = data[: plan.cut]
+    places = [0, *sorted(split for split in set(plan.splits) if split < len(data)), len(data)]
+    pieces: list[Step] = [data[start:stop] for start, stop in itertools.pairwise(places)]
+    return [*pieces, plan.end_kind] if ends else pieces
 
 
-def check_outcome(request_id: str, spoilt: Spoilt, outcome: Outcome, is_clean: bool) -> None:
-    """An answer is the request's own and whole, or none."""
-    own = whole_body(request_id, spoilt)
+def check_outcome(request_id: str, plan: AnswerPlan, outcome: Outcome, is_clean: bool) -> None:
+    """Check that an answer is the request's own and complete, or that there is none."""
+    expected = whole_body(request_id, plan)
     if outcome.body is None:
         assert not is_clean, outcome
         return
     assert outcome.status == 200
-    if spoilt.framing is not Framing.UNTIL_CLOSE:
-        assert outcome.body == own
+    if plan.framing is not Framing.UNTIL_CLOSE:
+        assert outcome.body == expected
         return
-    # An answer without length is whole at the end of its connection, unless that is a reset.
-    assert spoilt.way is End.FIN
-    assert own.startswith(outcome.body)
+    # Without a length, an answer is complete at the end of its connection, unless it was reset.
+    assert plan.end_kind is End.FIN
+    assert expected.startswith(outcome.body)
 
 
 @settings(max_examples=EXAMPLES)
 @given(answers, answers, excesses | st.none(), st.sampled_from(When), st.sampled_from(SIZES))
 def test_answers_do_not_mix_and_cut_answers_are_incomplete(
-    first: Spoilt, second: Spoilt, excess: bytes | None, when: When, size: int
+    first: AnswerPlan, second: AnswerPlan, excess: bytes | None, when: When, size: int
 ) -> None:
     def script(call: Call) -> list[Step]:
         if call.request_id == "b":
@@ -450,7 +452,7 @@
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         outcome = await callers.exchange("a", size=size)
-        is_clean = not is_spoilt("a", first) and first.way is End.FIN
+        is_clean = not is_cut("a", first) and first.end_kind is End.FIN
         check_outcome("a", first, outcome, is_clean)
         idle = callers.idle_connections()
         if excess and when is When.WITH_THE_FIRST:
@@ -468,24 +470,24 @@
         if excess and when is When.AT_REST:
             assert replica.calls[-1].connection > 0
         is_untouched = not excess or replica.calls[-1].connection > 0
-        is_clean = not is_spoilt("b", second) and second.way is End.FIN and is_untouched
+        is_clean = not is_cut("b", second) and second.end_kind is End.FIN and is_untouched
         check_outcome("b", second, outcome, is_clean)
 
     run_against(script, test)
 
 
 class Run(Struct, frozen=True):
-    """One run of a stream: what is wrong with it, and where it is cut."""
+    """One run of a stream: its faults, and where it is cut."""
 
     framing: Framing
     cut: int | None
-    way: End
+    end_kind: End
     garbled: int | None
-    """Event that is garbled; None: none is. The first is not given another number: which one a
-    stream begins with is not agreed."""
+    """Event that is garbled, if any. The first one never gets another number, since a stream may
+    begin with any number."""
 
     fault: bytes
-    """What stands in place of the garbled event's id."""
+    """Bytes in place of the garbled event's id."""
 
     begins_anew: bool
     splits: tuple[int, ...]
@@ -504,38 +506,38 @@
 
 
 def run_bytes(call: Call, number: int, run: Run) -> bytes:
-    """Return a run's bytes. Data of a run that ignores where it was to go on say so."""
+    """Return a run's bytes; data of a run that ignores the resume position is marked."""
     is_anew = run.begins_anew and call.last_event_id is not None
     begin = 0 if is_anew or call.last_event_id is None else call.last_event_id
     events = [
-        event(one, f"anew {number}" if is_anew else f"own {one}")
-        for one in range(begin + 1, EVENTS + 1)
+        event(event_id, f"anew {number}" if is_anew else f"own {event_id}")
+        for event_id in range(begin + 1, EVENTS + 1)
     ]
     if run.garbled is not None and begin < run.garbled:
-        place = run.garbled - begin - 1
-        _, _, rest = events[place].partition(b"\n")
+        index = run.garbled - begin - 1
+        _, _, data = events[index].partition(b"\n")
         is_number = run.garbled == 1 and run.fault.strip()[-1:].isdigit()
-        events[place] = (b"" if is_number else run.fault) + rest
+        events[index] = (b"" if is_number else run.fault) + data
     return answer(call.request_id, b"".join(events), run.framing)
 
 
 def run_steps(call: Call, number: int, run: Run) -> list[Step]:
     data = run_bytes(call, number, run)[: run.cut]
-    places = [0, *sorted(one for one in set(run.splits) if one < len(data)), len(data)]
-    return [*(data[one:other] for one, other in itertools.pairwise(places)), run.way]
+    places = [0, *sorted(split for split in set(run.splits) if split < len(data)), len(data)]
+    return [*(data[start:stop] for start, stop in itertools.pairwise(places)), run.end_kind]
 
 
 OWN_EVENTS = [event(number, f"own {number}") for number in range(1, EVENTS + 1)]
-three_runs = st.lists(any_run, min_size=MOST_RUNS, max_size=MOST_RUNS)
+three_runs = st.lists(any_run, min_size=MAX_RUNS, max_size=MAX_RUNS)
 
 
 def may_end_early(calls: list[Call], runs: list[Run]) -> bool:
-    """Whether the last run ended as one without length does, with its connection."""
+    """Whether the last run ended with its connection, as an answer without a length may."""
     call, number = calls[-1], len(calls) - 1
     run = runs[number]
     _, _, body = run_bytes(call, number, run)[: run.cut].partition(b"\r\n\r\n")
     is_between_events = not body or body.endswith(b"\n\n")
-    return run.framing is Framing.UNTIL_CLOSE and run.way is End.FIN and is_between_events
+    return run.framing is Framing.UNTIL_CLOSE and run.end_kind is End.FIN and is_between_events
 
 
 @settings(max_examples=EXAMPLES)
@@ -549,9 +551,9 @@
         outcome = await callers.relay("a", reply)
         body, is_whole = reply.received()
         assert is_whole == (outcome == "answered")
-        *events, rest = body.split(b"\n\n")
-        assert rest == b""
-        assert [one + b"\n\n" for one in events] == OWN_EVENTS[: len(events)]
+        *events, remaining = body.split(b"\n\n")
+        assert remaining == b""
+        assert [event_bytes + b"\n\n" for event_bytes in events] == OWN_EVENTS[: len(events)]
         if is_whole and not may_end_early(replica.calls, runs):
             assert len(events) == EVENTS
 
@@ -564,18 +566,18 @@
     late = answer("item-1", b"late", status=status)
 
     def script(call: Call) -> list[Step]:
-        own = run_steps(call, call.connection, runs[call.connection])
-        return [late, *own] if call.turn > 0 else own
+        current = run_steps(call, call.connection, runs[call.connection])
+        return [late, *current] if call.turn > 0 else current
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
-        job, one = item_job()
-        for number in range(MOST_RUNS):
-            outcome = await callers.run_item(job, one)
+        job, item = item_job()
+        for number in range(MAX_RUNS):
+            outcome = await callers.run_item(job, item)
             assert outcome not in ("impossible", "failed")
-            assert one.texts == [f"own {n + 1}" for n in range(len(one.texts))]
+            assert item.texts == [f"own {n + 1}" for n in range(len(item.texts))]
             assert [call.connection for call in replica.calls] == [*range(number + 1)], outcome
             if outcome == "succeeded":
-                assert len(one.texts) == EVENTS or may_end_early(replica.calls, runs)
+                assert len(item.texts) == EVENTS or may_end_early(replica.calls, runs)
                 return
 
     run_against(script, test)
@@ -585,19 +587,19 @@
 def test_item_fails_only_by_complete_answer(
     status: int, framing: Framing, cut: int, is_reset: bool
 ) -> None:
-    way = End.RESET if is_reset else End.FIN
+    end_kind = End.RESET if is_reset else End.FIN
     whole = answer("item-1", b"it failed", framing, status)
 
     def script(call: Call) -> list[Step]:
-        return [whole[:cut], way]
+        return [whole[:cut], end_kind]
 
     async def test(replica: ScriptedReplica, callers: Callers) -> None:
         outcome = await callers.run_item(*item_job())
         is_whole = cut >= len(whole)
         has_head = cut >= whole.index(b"\r\n\r\n") + 4
         if framing is Framing.UNTIL_CLOSE:
-            is_whole = has_head and way is End.FIN
-        said = "impossible" if status == 422 else "failed"
-        assert outcome == said if is_whole and not is_reset else outcome != said or is_whole
+            is_whole = has_head and end_kind is End.FIN
+        expected = "impossible" if status == 422 else "failed"
+        assert outcome == expected if is_whole and not is_reset else outcome != expected or is_whole
 
     run_against(script, test)
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under the id that they had."""
+"""Replicas that restart under the same id."""
 
 import os
 from collections.abc import Sequence
@@ -38,7 +38,7 @@
 
 
 class RestartRecorder:
-    """A directory, and the new starts that it told."""
+    """A directory, and the restarts that it reported."""
 
     def __init__(self, *entries: Replica) -> None:
         self.directory = ReplicaDirectory()
@@ -50,7 +50,7 @@
             self.directory.put(entry)
 
 
-# --- which start is known ---
+# --- detection of restarts ---
 
 
 def test_changed_start_time_is_reported_once() -> None:
@@ -70,7 +70,7 @@
 
 
 def test_late_entry_does_not_restore_earlier_incarnation() -> None:
-    """By a peer with an older version, or by a write that the store did late."""
+    """From a peer with an older version, or from a late write of the store."""
     recorder = RestartRecorder(start(1, 5), start(3, 9))
     assert not recorder.directory.put(start(2, 5))
     assert not recorder.directory.put(start(4, 5))
@@ -81,7 +81,7 @@
 
 
 def test_replica_with_clock_set_back_is_used() -> None:
-    """A process that has ended does not write on and on."""
+    """An ended process does not write again and again."""
     recorder = RestartRecorder(start(1, 9))
     for number in range(MAX_LATE_ENTRIES + 1):
         recorder.directory.put(start(2 + number, 5))
@@ -105,18 +105,18 @@
 
 
 def test_start_time_is_sent_between_nodes() -> None:
-    """Older nodes leave it out; a list in which none is told has the fingerprint that it had."""
+    """Older nodes leave the start time out; without any, the list keeps its old fingerprint."""
     update = DirectoryUpdate(None, 1, 2, 0, [start(2, 9)])
     assert decode_datagram(encode_datagram(update)) == update
     short = msgspec.json.encode(msgspec.structs.astuple(start(2, 9))[:-1])
     assert msgspec.json.decode(short, type=Replica) == start(2, 0)
-    prints = {
+    fingerprints = {
         RestartRecorder(start(1, started_ms)).directory.fingerprint for started_ms in (0, 5, 9)
     }
-    assert len(prints) == 3
+    assert len(fingerprints) == 3
 
 
-# --- what was counted there ---
+# --- work counted at the previous incarnation ---
 
 
 def test_prefill_of_previous_incarnation_is_dropped() -> None:
@@ -131,7 +131,7 @@
     assert replicas._other_suspects(entry.replica_id, "d" * 20, fleet.now) == 0
 
 
-# --- requests and items that were there ---
+# --- requests and items at the previous incarnation ---
 
 
 @pytest.fixture
@@ -140,7 +140,7 @@
 
 
 async def begin(world: FleetWorld, replicas: int) -> None:
-    """Start a fleet whose routes leave requests much time, and whose replicas tell their start."""
+    """Start a fleet with long timeouts, whose replicas report their start times."""
     await world.start(replicas=0, nodes=0)
     routes = [
         route("chat", "/chat/", "streaming", resumable=True, timeout_ms=PATIENT_MS),
@@ -158,7 +158,7 @@
 
 
 async def restart(world: FleetWorld, number: int) -> None:
-    """Let a replica write on, and then start again without a word to its callers."""
+    """Let a replica write its entry again, and then restart without closing its connections."""
     replica, directory = world.replicas[number], world.nodes[0]._directory
     asked_at = steady_s()
     while directory.confirmed_at <= asked_at:
@@ -176,12 +176,12 @@
         await begin(world, 1)
         (first,) = world.replicas
         first.always = Misdeed.RUN_SILENTLY
-        asking = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
+        request_task = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
         await world.until(lambda: first.running == 1)
         await world.add_replica()
         await world.until(lambda: len(world.nodes[0]._directory.usable("model")) == 2)
         await restart(world, 0)
-        answer = await asking.join()
+        answer = await request_task.join()
         assert answer.is_whole and answer.event_ids() == [1, 2, 3, 4]
 
     in_world(test)
@@ -193,10 +193,10 @@
         await begin(world, 2)
         for replica in world.replicas:
             replica.always = Misdeed.RUN_SILENTLY
-        asking = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
+        request_task = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
         await world.until(lambda: any(replica.running for replica in world.replicas))
         await restart(world, 0 if world.replicas[0].running else 1)
-        answer = await asking.join()
+        answer = await request_task.join()
         assert answer.status == 502
         assert sum(replica.runs("q1") for replica in world.replicas) == 1
 
@@ -249,7 +249,7 @@
 
 
 class Connection:
-    """A connection to a replica, and whether it was broken off."""
+    """A connection to a replica, and whether it was aborted."""
 
     is_abortable = True
     address = ("10.0.0.1", 80)
@@ -263,12 +263,12 @@
 
 
 def aborted_connections(*connections: Connection, refused_at: float | None = None) -> list[bool]:
-    """Return which are broken off at 100.0, when a list that was confirmed at 99.0 is outdated."""
+    """Return which are aborted at 100.0 after a restart, if the list was confirmed at 99.0."""
     clock = HandClock(step_s=0.0)
-    none: Any = None
-    pool, directory = ReplicaPool(none, clock), ReplicaDirectory()
+    no_dependency: Any = None
+    pool, directory = ReplicaPool(no_dependency, clock), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    handler = restarts.RestartHandler(directory, pool, none, log, ServingMetrics(), clock)
+    handler = restarts.RestartHandler(directory, pool, no_dependency, log, ServingMetrics(), clock)
     pool_connections: Any = pool._connections
     pool_connections.update(connections)
     if refused_at is not None:
@@ -288,13 +288,13 @@
 
 
 def test_exchange_opened_after_list_was_confirmed_is_not_aborted() -> None:
-    """It may be at the new start already: nothing tells which one it reached."""
+    """It may be with the new incarnation already; nothing shows which one it reached."""
     old, moving, young = Connection(90, 91), Connection(90, 99.9), Connection(99.5, 99.5)
     assert aborted_connections(old, moving, young) == [True, False, False, True, True, False]
 
 
 def test_exchange_opened_after_refusal_is_not_aborted() -> None:
-    """It is at the new start, whose entry came late."""
+    """It is with the new incarnation, whose entry came late."""
     old, new = Connection(90, 91), Connection(97, 98)
     assert aborted_connections(old, new) == [True, True] * 2
     assert (
@@ -331,7 +331,7 @@
     answered_at: float | None = None,
     entries: Sequence[Replica] = (),
 ) -> int:
-    """Return how many replicas ended under a request, by what was broken off."""
+    """Return how many crashes are counted for a request after aborted attempts."""
     clock = HandClock(step_s=0.0)
     ledger = CrashLedger()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
@@ -358,7 +358,7 @@
 
 
 def test_each_incarnation_counts_separately() -> None:
-    """A replica that ends, comes back under its id and ends again has ended twice."""
+    """A replica that ends, restarts under its id and ends again has ended twice."""
     clock = HandClock(step_s=0.0)
     ledger, directory = CrashLedger(), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
@@ -378,14 +378,14 @@
 
 
 class Refusing:
-    """An address at which nobody listens."""
+    """An address at which nothing listens."""
 
     async def probe(self, address: tuple[str, int]) -> Reachability:
         return Reachability.REFUSES
 
 
 def test_draining_incarnation_is_no_evidence() -> None:
-    """It was told to end: that a request was still there says nothing."""
+    """It was told to end, so a request that it still had is no evidence."""
     leaving = start(2, 5, is_draining=True)
     assert crashes((start(1, 5), True), entries=[start(1, 5), leaving, start(3, 9)]) == 0
     renewed = [start(1, 5), leaving, start(3, 9), start(4, 9)]
--- a/tests/serving/test_silent_connections.py
+++ b/tests/serving/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections fall silent for good, without a reset, while new ones work."""
+"""Open connections fall silent without a reset, while new ones work."""
 
 import curio
 import pytest
@@ -9,7 +9,7 @@
 from cloverwalk.platform import names
 
 NORMAL_LATENCY_S = 0.6
-"""More than a request takes here, less than one that meets a silent connection."""
+"""More than a request takes here, and less than one that meets a silent connection."""
 
 EACH_KIND = pytest.mark.parametrize("way", list(Silence))
 
@@ -38,16 +38,16 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         proxy = await replica_behind_proxy(world)
-        # Some connections are open and rest.
+        # Leaves several idle connections.
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(6)]
         for task in tasks:
             await task.join()
         assert proxy.open_count >= 3
         proxy.silence(way)
         times = [await request_duration_s(world, "/chat/a") for _ in range(6)]
-        late = [duration_s for duration_s in times if duration_s > NORMAL_LATENCY_S]
-        assert len(late) == 1
-        assert late[0] < FIRST_EVENT_TIMEOUT_S + NORMAL_LATENCY_S
+        late_durations_s = [duration_s for duration_s in times if duration_s > NORMAL_LATENCY_S]
+        assert len(late_durations_s) == 1
+        assert late_durations_s[0] < FIRST_EVENT_TIMEOUT_S + NORMAL_LATENCY_S
 
     in_world(test)
 
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -1,4 +1,4 @@
-"""What callers, replicas and the configuration tell of load, length, memory and limits."""
+"""Values that callers, replicas and the configuration send about load, length and limits."""
 
 import pytest
 from hypothesis import given
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -1,4 +1,4 @@
-"""When a node is full, under any course of its load: no network, time by hand."""
+"""The overload monitor and the memory budget, under any load; without network or clock."""
 
 import curio
 import h11
@@ -37,7 +37,7 @@
     ),
     max_size=80,
 )
-"""Steps of time, connections, bytes held, lateness and the peers' fullness."""
+"""Steps of time, connections, buffered bytes, lateness and peer utilization."""
 
 
 @given(LOADS)
@@ -59,7 +59,7 @@
         if monitor.state is OverloadState.NORMAL:
             assert monitor.is_ready
         unready_s += 0.0 if was_ready else step_s
-        # A look that comes late ends the time in which the node is not ready that much later.
+        # A late update makes the unready time that much longer.
         assert unready_s <= MAX_UNREADY_S + MAX_UNREADY_SHARE * now + 3.0 * (1 + now / 30)
 
 
@@ -122,7 +122,7 @@
     assert not monitor.update(Usage(processor_s=float("nan")), 11.0)
     assert not monitor.update(Usage(connections=99), 9.0)
     assert monitor.utilization == 0.0
-    # Limits that are not told are never reached.
+    # Limits that are not set are never reached.
     unknown = OverloadMonitor(MachineCapacity(), 0.0)
     unknown.set_peer_utilization(1, 3.0)
     unknown.update(Usage(10**9, 1e6, 10**6, 10**12), 3.0)
@@ -130,14 +130,13 @@
 
 
 def test_counters_may_start_above_zero() -> None:
-    # A process clock tells any figure at first; taken for use, a node that has just started was
-    # full for its first ten seconds.
+    # A process clock starts at any value, which must not count as usage.
     monitor = OverloadMonitor(SIZE, 0.0)
     for turn in range(1, 10):
         monitor.set_peer_utilization(5, 0.5 * turn)
         assert monitor.update(Usage(10**9, 70_000.0 + 0.01 * turn), 0.5 * turn)
         assert monitor.utilization < 0.1
-    # One that goes back measures nothing.
+    # A clock that goes back measures nothing.
     assert not monitor.update(Usage(10**9, 1.0), 6.0)
     assert monitor.update(Usage(10**9, 1.1), 6.5)
     assert monitor.by_resource[Resource.PROCESSOR] == 0.0
@@ -152,7 +151,7 @@
 
 
 def test_process_clock_faster_than_time_is_ignored() -> None:
-    # Taken for use, all nodes but the first to be told of their peers were full at once.
+    # Counted as usage, such a clock would make most nodes full at once.
     monitor = OverloadMonitor(SIZE, 0.0)
     results = []
     for turn in range(1, 20):
@@ -161,7 +160,7 @@
         results.append(monitor.update(usage, 0.5 * turn))
         assert (monitor.scarcest, monitor.utilization) == (Resource.CONNECTIONS, 0.05)
         assert monitor.state is OverloadState.NORMAL
-    # It is told once; the other figures go on to count.
+    # It is reported once; the other values still count.
     assert results.count(False) == 1
 
 
@@ -189,7 +188,7 @@
 
 
 class FakeReader:
-    """A client that takes nothing."""
+    """A client that reads only what a test lets it read."""
 
     def __init__(self, budget: MemoryBudget, last_read_at: float) -> None:
         self._budget = budget
@@ -239,7 +238,7 @@
     quick.add(300, 3.0)
     assert budget.has_capacity_for_body(300, 4.0)
     assert (slow.is_dropped, quick.is_dropped) == (True, False)
-    # Nobody is given up for what would not fit anyway.
+    # Nobody is dropped for a body that would not fit anyway.
     assert not budget.has_capacity_for_body(1000 // BODY_COPIES + 1, 5.0)
     assert not quick.is_dropped
     dropped = budget.take_dropped_readers()
@@ -253,15 +252,15 @@
     assert budget.has_capacity_for_job(int(1000 * JOB_SHARE) - 500)
     assert not budget.has_capacity_for_job(int(1000 * JOB_SHARE) - 499)
     budget.job_bytes = 1000
-    # A limit that nobody told is none.
+    # No limit is set.
     assert MemoryBudget().has_capacity_for_job(10**9)
     assert MemoryBudget().has_capacity_for_body(10**9, 0.0)
 
 
 def test_answer_with_discarded_bytes_is_not_finished() -> None:
-    # Its task was cancelled between the last write and the wait for the client.
+    # The task was cancelled between the last write and the wait for the client.
     class FullSocket:
-        """Takes nothing."""
+        """A socket that accepts no bytes."""
 
         @property
         def _socket(self) -> "FullSocket":
@@ -289,7 +288,7 @@
 
 
 def test_jobs_beyond_their_share_do_not_block_online_requests() -> None:
-    # A node that took over the jobs of lost ones, or whose items have long outputs.
+    # A node that took over jobs, or whose items have long outputs.
     budget = MemoryBudget(1000)
     budget.job_bytes = 5000
     assert budget.has_capacity_for_body(100, 1.0)
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the serving node that need neither sockets nor a store."""
+"""Parts of the serving node without sockets or a store."""
 
 from pathlib import Path
 
@@ -76,7 +76,7 @@
     assert reserved_slots(0.0, 24.0) == 0
     reserved = reserved_slots(arrivals_per_s, 24.0)
     assert 0 <= reserved <= reserved_slots(arrivals_per_s + 10.0, 24.0)
-    # Shorter prompts pay their start sooner, and never at once.
+    # With shorter prompts fewer slots are reserved, but still some.
     assert reserved_slots(arrivals_per_s, 0.0) <= reserved_slots(arrivals_per_s, 5.0) <= reserved
     assert reserved_slots(100.0, 0.0) > 0
 
@@ -153,10 +153,10 @@
 
 def test_suspect_replica_without_load_is_not_preferred() -> None:
     busy = Replica("r1", "s", "h", 1, "z1", 8, False, 1)
-    dead = Replica("r2", "s", "h", 2, "z1", 8, False, 1)
+    suspect = Replica("r2", "s", "h", 2, "z1", 8, False, 1)
     candidates = [
         Candidate(busy, InFlight(online=4), False),
-        Candidate(dead, InFlight(), False, True),
+        Candidate(suspect, InFlight(), False, True),
     ]
     chosen = choose(candidates, Demand("z1", 100))
     assert chosen is not None
