--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -15,8 +15,7 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 FIRST_EVENT_TIMEOUT_S = 1.2
-"""Time without an event after which a resumable stream moves to another replica, before the first
-event."""
+"""Time until the first event after which a resumable stream moves to another replica."""
 
 EVENT_TIMEOUT_S = 0.7
 """The same between events. It may take twice as long, since one timeout covers several events."""
@@ -54,8 +53,7 @@
         if reply.has_begun:
             raise ReplicaError(f"answer to the resumed run: {head.status}", True, "not_resumed")
         if head.status in NOT_RUN_STATUSES:
-            # Relayed, it would promise that the request has not run, which the replica didn't
-            # prove.
+            # The status would promise that the request has not run, without proof.
             raise ReplicaError(
                 f"{head.status} without proof that the request has not run",
                 True,
--- a/src/cloverwalk/gateway/containment.py
+++ b/src/cloverwalk/gateway/containment.py
@@ -22,8 +22,7 @@
         self._metrics = metrics
 
     async def check(self, request: ClientRequest, progress: RequestProgress) -> str:
-        """Return the content hash of a crash suspect, empty for others; raise if it is
-        contained."""
+        """Return the content hash of a crash suspect, else ""; raise if it is contained."""
         if progress.tried:
             await self._crash_detector.wait_for_first_probe(hash_request(request))
         if self._crash_detector.ledger.is_empty:
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -48,8 +48,7 @@
     """How a request was sent to a replica."""
 
     is_new_connection: bool
-    """Whether the connection was opened for this request, which shows that the replica lived
-    then."""
+    """Whether the connection was opened for this request, so that the replica lived then."""
 
     sent_at: float
     """Monotonic clock, seconds."""
@@ -87,8 +86,7 @@
         self._clock = clock
         self._probes: list[_Probe] = []
         self._pending_probes: dict[str, _Probe] = {}
-        """Those before their first probe, by replica; further failures at the same moment join
-        them."""
+        """Those before their first probe, by replica; simultaneous failures join them."""
 
         self.on_crash: Callable[[], Awaitable[None]] = _do_nothing
         """Called when the ledger has a crash that the coordinator should get at once."""
--- a/src/cloverwalk/gateway/event_stream.py
+++ b/src/cloverwalk/gateway/event_stream.py
@@ -28,8 +28,7 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes; return the events that they complete. Raises ValueError for an oversized
-        one."""
+        """Add bytes; return the events that they complete. Raises ValueError if oversized."""
         buffer = self.rest + data
         *whole, self.rest = buffer.split(EVENT_END)
         if len(self.rest) > MAX_EVENT_BYTES:
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -13,8 +13,7 @@
 and sent on; the program itself needs the remainder."""
 
 JOB_SHARE = 0.75
-"""Share of the limit for jobs and their submissions, so that online requests never wait for
-them."""
+"""Share of the limit for jobs and their submissions; online requests never wait for batch work."""
 
 BODY_COPIES = 2
 """A body is kept as received, and as sent to a replica that may be slow to read it."""
--- a/src/cloverwalk/gateway/messages.py
+++ b/src/cloverwalk/gateway/messages.py
@@ -34,8 +34,7 @@
     """Maximum tokens of the output; 0, as for ``prompt_tokens``, if the caller did not say."""
 
     hinted_output_tokens: int = 0
-    """The caller's estimate of the output tokens, 0 if none. It is right at the median and often
-    far off."""
+    """The caller's estimate of the output tokens, often far off; 0 if none."""
 
     @property
     def max_total_tokens(self) -> int:
--- a/src/cloverwalk/gateway/overload_monitor.py
+++ b/src/cloverwalk/gateway/overload_monitor.py
@@ -249,8 +249,7 @@
         return OverloadState.NORMAL
 
     def _critical_utilization(self) -> float:
-        """Return the utilization beyond which work is late; a busy processor counts only with a
-        late loop."""
+        """Return the utilization that delays work; the processor counts only with a late loop."""
         if self._lateness_s.value >= LATE_LOOP_THRESHOLD_S:
             return self.utilization
         return max(
--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -63,8 +63,7 @@
 
 
 def too_large() -> GatewayError:
-    """Return the error response to a request that fits into no replica's memory; retries can't
-    help."""
+    """Return the final error response to a request that fits into no replica's memory."""
     message = "no replica has the memory for the prompt and the maximum output"
     return GatewayError(Reason.UNAVAILABLE, "too_large", message)
 
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -121,8 +121,7 @@
                 await self._record_failure(request, progress, replica, error, reply)
 
     async def _choose_replica(self, request: ClientRequest, progress: RequestProgress) -> Replica:
-        """Return the replica to send to, once the coordinator or this node has granted a
-        placement."""
+        """Return the replica to send to, once a placement is granted."""
         while True:
             if progress.tried and not self._may_try_again(progress):
                 raise refusals.attempts_used(progress.last_failure)
@@ -139,8 +138,7 @@
             if replica is not None:
                 self._record_choice(request, progress, result)
                 return replica
-            # The coordinator named a replica that this node doesn't know yet, or that was removed
-            # here.
+            # The coordinator named a replica that is not listed here yet, or not any more.
             progress.has_token = True
             progress.refused.append(result.replica_id)
             await self._end_in_flight(result)
@@ -167,8 +165,7 @@
                 return
 
     def _check_quota_refusal(self, placement_request: PlacementRequest) -> None:
-        """Raise the cached refusal of a tenant that the coordinator refused for its quota
-        lately."""
+        """Raise the refusal of a tenant whose cached quota refusal has not expired."""
         if placement_request.quota_token is not QuotaTokenUse.NEW:
             return
         remaining_s = self._quota_refusals.remaining_s(placement_request.tenant)
@@ -286,8 +283,7 @@
     ) -> None:
         try:
             address = (replica.host, replica.port)
-            # A reused connection may lead to a replica that has ended, and nothing on it shows
-            # that.
+            # A reused connection doesn't show whether its replica is still alive.
             must_be_new = bool(progress.tried) or progress.is_crash_suspect
             request_id = request.fields.request_id
             connection = await self._pool.acquire(address, request_id, must_be_new)
@@ -388,12 +384,12 @@
     async def _respond_with_error(
         self, request: ClientRequest, progress: RequestProgress, reply: Reply, error: GatewayError
     ) -> None:
-        answer = error_response(error, progress)
-        self._record_end(request, progress, answer.code, answer.status)
+        response = error_response(error, progress)
+        self._record_end(request, progress, response.code, response.status)
         if reply.has_begun:
-            raise ClientGoneError(f"answer aborted: {answer.code}")
-        headers = self._codec.local_reply_headers(request.fields.request_id, answer.retry_after_s)
-        await reply.respond(answer.status, headers, answer.body)
+            raise ClientGoneError(f"answer aborted: {response.code}")
+        headers = self._codec.local_reply_headers(request.fields.request_id, response.retry_after_s)
+        await reply.respond(response.status, headers, response.body)
 
     def _record_end(
         self, request: ClientRequest, progress: RequestProgress, outcome: str, status: int
@@ -432,8 +428,7 @@
 
 
 def _proves_not_run(head: AnswerHead) -> bool:
-    """Whether an answer proves that its replica did not run the request; a success proves
-    nothing."""
+    """Whether an answer proves that the request was not run; a success never does."""
     return head.fields.was_not_run and head.status >= MIN_FAILURE_STATUS
 
 
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -143,8 +143,7 @@
         return True
 
     def has_carried(self, request_id: str) -> bool:
-        """Whether it carried a request with this id: a late answer to that one can't be told
-        apart."""
+        """Whether it carried this request id, whose late answers can't be told apart."""
         return request_id in self._remembered_ids
 
     async def read_head(self, request_id: str) -> AnswerHead:
@@ -302,8 +301,7 @@
             return False
 
     def abort(self) -> None:
-        """Abort the current exchange, whose replica has ended. Bytes that arrived before stay
-        readable."""
+        """Abort the current exchange; bytes that arrived before stay readable."""
         if self._is_closed or self._is_aborted:
             return
         self._is_aborted = True
@@ -342,8 +340,7 @@
         """All connections, those in use included; closed ones are harmless here."""
 
         self._refused_at: dict[tuple[str, int], float] = {}
-        """When each address last refused a connection, which shows that no process listened
-        then."""
+        """When each address last refused a connection: no process listened then."""
 
         self.opened = 0
         """Connections opened since the process started."""
@@ -403,7 +400,7 @@
         return connection
 
     async def release(self, connection: ReplicaConnection, keep_alive_s: float | None) -> None:
-        """Return a connection to the pool after its answer was read to its end."""
+        """Return a connection to the pool after its answer, or close it if it can't be reused."""
         reusable = await connection.finish(keep_alive_s, self._clock())
         idle = self._idle.setdefault(connection.address, [])
         if reusable and len(idle) < MAX_IDLE_PER_REPLICA:
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -14,8 +14,7 @@
 MIN_SUSPICION_S = 0.5
 MAX_SUSPICION_S = 3.0
 PEER_SUSPICION_TTL_S = 1.2
-"""How long a failure at another node counts; that node's reports, at least one a second, renew
-it."""
+"""How long a failure at another node counts; its reports, at least one a second, renew it."""
 
 
 MAX_LATE_ENTRIES = 2
@@ -38,8 +37,7 @@
     """Version of the entry in the store."""
 
     started_ms: int = 0
-    """Unix time of its start, 0 if unknown. Another value under the same id is another
-    incarnation."""
+    """Unix time of its start, 0 if unknown. Each incarnation of a replica has its own."""
 
     @property
     def incarnation_id(self) -> str:
@@ -51,8 +49,7 @@
         )
 
     def may_be_incarnation(self, started_ms: int) -> bool:
-        """Whether this may be the incarnation that started at a time; 0 on either side is
-        unknown."""
+        """Whether this may be the incarnation of a start time; 0 on either side is unknown."""
         return self.started_ms == started_ms or 0 in (self.started_ms, started_ms)
 
 
@@ -86,8 +83,7 @@
         self._peer_suspected_until: dict[str, float] = {}
         self._incarnations: dict[str, _Incarnation] = {}
         self.restart_listeners: list[RestartListener] = []
-        """Called when a replica has restarted under its id, before the list is marked as
-        confirmed."""
+        """Called when a replica has restarted under its id, before the list is confirmed."""
 
         self.version = 0
         """Newest version of the store that the directory reflects."""
@@ -267,7 +263,6 @@
 
 
 def _fingerprint_text(replica: Replica) -> str:
-    """Return an entry without its version; the start time is left out where it is unknown, as older
-    nodes do."""
+    """Return an entry without its version, and without its start time if that is unknown."""
     fields = msgspec.structs.astuple(msgspec.structs.replace(replica, version=0))
     return repr(fields if replica.started_ms else fields[:-1])
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -60,7 +60,7 @@
         now = self._clock()
         address = (previous.host, previous.port)
         discarded = aborted = 0
-        if not self._is_reused(previous):
+        if not self._is_address_taken(previous):
             opened_before = min(self._directory.confirmed_at, self._pool.pop_refused_at(address))
             restart = _Restart(address, opened_before, now)
             discarded = self._pool.discard_idle(address)
@@ -77,7 +77,7 @@
             connections=discarded,
         )
 
-    def _is_reused(self, previous: Replica) -> bool:
+    def _is_address_taken(self, previous: Replica) -> bool:
         """Whether the address belongs to another replica now."""
         return any(
             (replica.host, replica.port) == (previous.host, previous.port)
--- a/src/cloverwalk/gateway/send_buffer.py
+++ b/src/cloverwalk/gateway/send_buffer.py
@@ -45,7 +45,7 @@
 
     @property
     def last_read_at(self) -> float:
-        """When the client last read anything, or when its buffer was last empty."""
+        """When the client last read anything, or when its buffer began to fill."""
         return self._last_read_at
 
     @property
