--- a/tests/serving/test_promises.py
+++ b/tests/serving/test_promises.py
@@ -205,26 +205,26 @@
     st.lists(misdeeds, min_size=REPLICAS, max_size=REPLICAS),
     st.sampled_from([NEVER, NEVER, NEVER, 3, 2, 1]),
 )
-def test_not_run_status_is_given_only_if_no_replica_ran(
-    request_paths: list[str],
+def test_a_promise_is_given_only_where_no_replica_began(
+    asked: list[str],
     script: list[Step],
     misdeeds_by_replica: list[list[Misdeed | None]],
     stops_before: int,
 ) -> None:
     async def main() -> None:
         world = World(list(script), misdeeds_by_replica)
-        loops = [world.server.serve, *(replica.run for replica in world.replicas)]
+        loops = [world.server.serve, *(one.run for one in world.replicas)]
         tasks = [await curio.spawn(loop, daemon=True) for loop in loops]
         statuses: dict[str, int] = {}
-        for turn, path in enumerate(request_paths):
+        for turn, path in enumerate(asked):
             world.may_begin = turn < stops_before
             statuses[f"id-{turn}"] = await world.ask(path, f"id-{turn}")
         for task in tasks:
             await task.cancel()
-        runs = {key: sum(replica.runs(key) for replica in world.replicas) for key in statuses}
+        runs = {key: sum(one.runs(key) for one in world.replicas) for key in statuses}
         untrue = [key for key in statuses if statuses[key] in PROMISES and runs[key]]
         assert untrue == []
-        for turn, path in enumerate(request_paths):
+        for turn, path in enumerate(asked):
             assert runs[f"id-{turn}"] <= (1 if path == "/once/a" else 3)
 
     curio.run(main)
