--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passes a replica's answer on: events as they come and in order, other answers whole."""
+"""Relays answers of replicas to clients: streams event by event, other answers whole."""
 
 from collections.abc import Callable
 
@@ -14,20 +14,20 @@
 from cloverwalk.gateway.reply import Reply
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-FIRST_EVENT_SILENCE_S = 1.2
-"""A stream of a route that may be resumed moves on after this time without an answer."""
+FIRST_EVENT_TIMEOUT_S = 1.2
+"""Time until the first event after which a resumable stream moves to another replica."""
 
 EVENT_TIMEOUT_S = 0.7
-"""The same between events; noticed up to twice as late, since a timeout covers several events."""
+"""The same between events. It may take twice as long, since one timeout covers several events."""
 
-LAST_ATTEMPT_SILENCE_S = 3600.0
-"""The same where no other replica may be asked: the request's own time ends it much sooner."""
+LAST_ATTEMPT_TIMEOUT_S = 3600.0
+"""The same for the last attempt: the request's own deadline ends it much sooner."""
 
 MAX_BUFFERED_ANSWER_BYTES = 1_048_576
 
 
 class AnswerRelay:
-    """Relays answers of replicas to clients. Raises ReplicaError where an answer is no good."""
+    """Relays answers of replicas to clients; raises ReplicaError for an unusable answer."""
 
     def __init__(
         self,
@@ -49,12 +49,16 @@
         head: AnswerHead,
         reply: Reply,
     ) -> None:
-        """Pass on an answer that is no stream, whole where it fits into the buffer."""
+        """Relay an answer that is not a stream; in one piece if it fits into the buffer."""
         if reply.has_begun:
-            raise ReplicaError(f"the resumed run answered {head.status}", True, "not_resumed")
+            raise ReplicaError(f"answer to the resumed run: {head.status}", True, "not_resumed")
         if head.status in NOT_RUN_STATUSES:
-            # Handed on it would promise for the replica what the replica has not proved.
-            raise ReplicaError(f"{head.status} without its proof", True, "unproved_refusal")
+            # The status would promise that the request has not run, without proof.
+            raise ReplicaError(
+                f"{head.status} without proof that the request has not run",
+                True,
+                "unproved_refusal",
+            )
         can_repeat = progress.route.is_retryable and head.status >= 500
         if can_repeat and progress.has_attempt_left:
             raise ReplicaError(f"the replica answered {head.status}", True, "replica_error")
@@ -64,13 +68,13 @@
             parts.append(data)
             size += len(data)
             if size > MAX_BUFFERED_ANSWER_BYTES:
-                await self._relay_long(connection, head, parts, reply)
+                await self._relay_unbuffered(connection, head, parts, reply)
                 break
         else:
             headers = self._codec.headers_to_client(head.headers)
             await reply.respond(head.status, headers, b"".join(parts))
 
-    async def _relay_long(
+    async def _relay_unbuffered(
         self, connection: ReplicaConnection, head: AnswerHead, parts: list[bytes], reply: Reply
     ) -> None:
         headers = self._codec.headers_to_client(head.headers)
@@ -80,8 +84,8 @@
             while (data := await connection.read_body()) is not None:
                 await reply.write(data)
         except ReplicaError as error:
-            # Only events go on at another replica.
-            raise ClientGoneError(f"the answer broke off: {error}", "answer_cut") from error
+            # Only event streams can be resumed at another replica.
+            raise ClientGoneError(f"the answer was cut off: {error}", "answer_cut") from error
         await reply.finish()
 
     async def relay_stream(
@@ -92,30 +96,30 @@
         head: AnswerHead,
         reply: Reply,
     ) -> None:
-        """Pass on the events of a run, which go on behind those that the client has."""
+        """Relay the events of a run, which continue after the last event that the client has."""
         splitter = EventSplitter()
         order = EventOrder(progress.last_event_id)
         if not reply.has_begun:
             await reply.begin(head.status, self._codec.headers_to_client(head.headers), None)
-        heard_at = self._clock()
+        last_received_at = self._clock()
         is_open = True
         while is_open:
-            limit_s = self._silence_limit_s(progress)
+            timeout_s = self._event_timeout_s(progress)
             try:
-                async with curio.timeout_after(self._rest_s(limit_s, heard_at)):
-                    # One timeout covers many events: it only asks when the last of them came.
+                async with curio.timeout_after(self._remaining_s(timeout_s, last_received_at)):
+                    # One timeout covers many events, so this checks when the last one came.
                     while (data := await connection.read_body()) is not None:
-                        heard_at = self._clock()
-                        if not self._pass_on(request, progress, splitter, order, data, reply):
+                        last_received_at = self._clock()
+                        if not self._relay_events(request, progress, splitter, order, data, reply):
                             break
                     is_open = data is not None
             except curio.TaskTimeout as error:
-                if self._clock() - heard_at >= self._silence_limit_s(progress):
+                if self._clock() - last_received_at >= self._event_timeout_s(progress):
                     self._directory.suspect(progress.last_replica, self._clock())
-                    raise ReplicaError("the stream fell silent", True, TIMED_OUT) from error
+                    raise ReplicaError("no event before the timeout", True, TIMED_OUT) from error
                 continue
             except ReplicaError:
-                # Another run may go on behind the events that were passed on.
+                # Another run may continue after the events that were relayed.
                 await reply.flush()
                 raise
             await reply.flush()
@@ -123,7 +127,7 @@
             raise ReplicaError("the stream ended within an event", True, "answer_cut")
         await reply.finish()
 
-    def _pass_on(
+    def _relay_events(
         self,
         request: ClientRequest,
         progress: RequestProgress,
@@ -132,30 +136,30 @@
         data: bytes,
         reply: Reply,
     ) -> bool:
-        """Pass on the events that bytes complete; return whether the client took them at once."""
+        """Relay the events completed by some bytes; return whether the client read them at once."""
         try:
             events = splitter.feed(data)
         except ValueError as error:
             raise ReplicaError(str(error), True, "invalid_stream") from error
-        fresh: list[bytes] = []
+        raw_events: list[bytes] = []
         try:
             for event in events:
                 self._check(progress, order, event)
-                fresh.append(event.raw)
+                raw_events.append(event.raw)
         except ValueError as error:
             raise ReplicaError(str(error), True, "invalid_stream") from error
         finally:
-            is_taken = not fresh or self._write_events(request, progress, fresh, reply)
+            was_read = not raw_events or self._write_events(request, progress, raw_events, reply)
             progress.last_event_id = order.last
-        progress.events += len(fresh)
-        progress.was_read_late |= not is_taken
-        return is_taken
+        progress.events += len(raw_events)
+        progress.was_client_slow |= not was_read
+        return was_read
 
     def _write_events(
         self,
         request: ClientRequest,
         progress: RequestProgress,
-        fresh: list[bytes],
+        raw_events: list[bytes],
         reply: Reply,
     ) -> bool:
         if progress.first_event_at is None:
@@ -163,24 +167,24 @@
             self._metrics.first_event(
                 progress.route.name, progress.first_event_at - request.received_at
             )
-        return reply.write_now(b"".join(fresh))
+        return reply.write_now(b"".join(raw_events))
 
-    def _silence_limit_s(self, progress: RequestProgress) -> float:
-        """Return after how long without an event the stream moves on."""
-        if not self._may_move(progress):
-            return LAST_ATTEMPT_SILENCE_S
-        return FIRST_EVENT_SILENCE_S if progress.first_event_at is None else EVENT_TIMEOUT_S
+    def _event_timeout_s(self, progress: RequestProgress) -> float:
+        """Return the time without an event after which the stream moves to another replica."""
+        if not self._may_resume_elsewhere(progress):
+            return LAST_ATTEMPT_TIMEOUT_S
+        return FIRST_EVENT_TIMEOUT_S if progress.first_event_at is None else EVENT_TIMEOUT_S
 
-    def _rest_s(self, limit_s: float, heard_at: float) -> float:
-        return max(0.0, heard_at + limit_s - self._clock())
+    def _remaining_s(self, timeout_s: float, last_received_at: float) -> float:
+        return max(0.0, last_received_at + timeout_s - self._clock())
 
-    def _may_move(self, progress: RequestProgress) -> bool:
+    def _may_resume_elsewhere(self, progress: RequestProgress) -> bool:
         return progress.route.is_resumable and progress.has_attempt_left
 
     def _check(self, progress: RequestProgress, order: EventOrder, event: StreamEvent) -> None:
-        """Raise ValueError when an event is not the next one."""
+        """Raise ValueError if an event is not the next one of the stream."""
         if event.event_id is not None:
             order.take(event.event_id)
         elif event.data and progress.route.is_resumable:
-            # Another run would send it again, with its id.
+            # Another run would repeat it, with an id.
             raise ValueError("an event has no id")
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -1,14 +1,13 @@
-"""Finds out whether a replica has ended when it breaks connections off, and who was there then.
+"""Detects replicas that ended under a request, and records the crash in the ledger.
 
-The one place for what counts as evidence that a replica ended under a request: the request had been
-delivered, its connection broke before the answer was whole, while the replica was in full service,
-and just after that nothing listens at its address. A reset on the way, a cut, silence, a spoilt
-answer, a request that was sent to a replica which had ended already, a replica that drains or that
-was told to leave are no evidence.
+This is the one place that decides what counts as evidence: the request was delivered, its
+connection failed before the answer was whole, the replica was listed and not draining, and right
+afterwards nothing listens at its address. No evidence are: a reset or cut in the network, a
+timeout, an invalid answer, a request sent to a replica that had ended before, and a replica that
+was told to leave.
 
-A replica that has started again under its id has ended, whatever its connections tell: requests
-that were still without an answer there when that was learnt are counted, once for each start, see
-``restarts``.
+A replica that has restarted under its id has ended, whatever its connections show. Requests without
+an answer at that time are counted, once for each incarnation; see ``restarts``.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,24 +23,24 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-BROKEN_OFF = frozenset({"reset", "no_answer", "answer_cut", "not_http", "invalid_stream"})
-"""Codes of failures that a replica's end may look like."""
+POSSIBLE_CRASH_CODES = frozenset({"reset", "no_answer", "answer_cut", "not_http", "invalid_stream"})
+"""Codes of failures that may be caused by the end of the replica."""
 
-LOOK_AFTER_S = (0.0, 0.03, 0.07)
-"""Pauses before each look at the address: a process may close its connections a moment before the
-port. What breaks off later is looked after anew: it must not be taken for the cause of an end that
-comes just by chance. A replica's next instance comes seconds later (2 on the platform)."""
+PROBE_DELAYS_S = (0.0, 0.03, 0.07)
+"""Delays before the probes of an address: a process may close its connections a moment before its
+port. They end well before the replica's next incarnation listens there. Later failures get probes
+of their own, so that they are not blamed for an end that follows by chance."""
 
-DELIVERED_S = 0.02
-"""A kept connection whose replica has ended breaks one round trip after the next request is sent, 1
-to 2 ms between zones. One that breaks later than this had reached a living replica."""
+DELIVERY_THRESHOLD_S = 0.02
+"""A reused connection to an ended replica fails one round trip after the next request is sent. One
+that fails later than this had reached a living replica."""
 
-SETTLE_S = 0.05
-"""How long the next attempt of a request waits for the first look. It takes one round trip, 1 to
-2 ms between zones; without this wait the next replica gets the request before the crash counts."""
+FIRST_PROBE_TIMEOUT_S = 0.05
+"""How long the next attempt of a request waits for the first probe, which takes a round trip.
+Without it the next replica would get the request before the crash is counted."""
 
-MOST_LOGGED = 32
-"""Requests that one line names; a replica runs 6 to 17 at once."""
+MAX_LOGGED_REQUESTS = 32
+"""Requests that one log line names; more than a replica runs at once."""
 
 
 @attrs.frozen
@@ -49,26 +48,26 @@
     """How a request was sent to a replica."""
 
     is_new_connection: bool
-    """Whether the connection was opened for it: the replica lived then."""
+    """Whether the connection was opened for this request, so that the replica lived then."""
 
     sent_at: float
-    """Steady clock, seconds."""
+    """Monotonic clock, seconds."""
 
 
 @attrs.define
-class _Look:
-    """Looks at one replica's address, for requests that broke off together."""
+class _Probe:
+    """The probes of one replica's address, for requests that failed together."""
 
-    broken_at: float
-    requests: dict[str, str] = attrs.Factory(dict)
-    """Contents by the ids of the requests that were there."""
+    failed_at: float
+    content_by_request: dict[str, str] = attrs.Factory(dict)
+    """Content hashes by the ids of the requests that the replica had."""
 
-    first: curio.Event = attrs.Factory(curio.Event)
-    """Set once the address was looked at."""
+    first_result: curio.Event = attrs.Factory(curio.Event)
+    """Set when the first probe has its result."""
 
 
 class CrashDetector:
-    """Tells the ledger what happens to requests at replicas."""
+    """Records crashes and answers of requests in the crash ledger."""
 
     def __init__(
         self,
@@ -85,14 +84,14 @@
         self._log = log
         self._metrics = metrics
         self._clock = clock
-        self._looks: list[_Look] = []
-        self._beginning: dict[str, _Look] = {}
-        """Those that have not looked yet, by replica: others may break off at the same moment."""
+        self._probes: list[_Probe] = []
+        self._pending_probes: dict[str, _Probe] = {}
+        """Those before their first probe, by replica; simultaneous failures join them."""
 
-        self.on_crash: Callable[[], Awaitable[None]] = _nothing
-        """Called when the ledger has news that the coordinator should hear at once."""
+        self.on_crash: Callable[[], Awaitable[None]] = _do_nothing
+        """Called when the ledger has a crash that the coordinator should get at once."""
 
-    # --- what happens to requests ---
+    # --- outcomes of requests ---
 
     async def record_failure(
         self,
@@ -102,29 +101,29 @@
         code: str,
         delivery: Delivery | None,
     ) -> None:
-        """An attempt that may have run failed at a replica."""
+        """Record that an attempt which may have run failed at a replica; start probes if needed."""
         if code == RESTARTED:
-            await self._note_restarted(request_id, content, replica, delivery)
+            await self._record_restart(request_id, content, replica, delivery)
             return
-        if code not in BROKEN_OFF or self._directory.find(replica.replica_id) is None:
+        if code not in POSSIBLE_CRASH_CODES or self._directory.find(replica.replica_id) is None:
             return
-        if delivery is None or not self._has_arrived(delivery):
+        if delivery is None or not self._was_delivered(delivery):
             return
-        look = self._beginning.get(replica.replica_id)
-        if look is None:
-            look = self._beginning[replica.replica_id] = _Look(self._clock())
-            self._looks.append(look)
-            await curio.spawn(self._look, replica, look, daemon=True)
-        look.requests[request_id] = content
-
-    async def _note_restarted(
+        probe = self._pending_probes.get(replica.replica_id)
+        if probe is None:
+            probe = self._pending_probes[replica.replica_id] = _Probe(self._clock())
+            self._probes.append(probe)
+            await curio.spawn(self._run_probe, replica, probe, daemon=True)
+        probe.content_by_request[request_id] = content
+
+    async def _record_restart(
         self, request_id: str, content: str, replica: Replica, delivery: Delivery | None
     ) -> None:
-        """A request was at a start of a replica that has ended."""
-        # Behind a cut link nothing tells that a request reached the far end of a kept connection.
+        """Record that a request was at an incarnation which has ended."""
+        # With the network cut, nothing shows that a request on a reused connection was delivered.
         if delivery is None or not delivery.is_new_connection:
             return
-        if self._directory.has_left(replica):
+        if self._directory.was_draining(replica):
             return
         if self.ledger.was_answered_since(content, delivery.sent_at):
             return
@@ -141,27 +140,27 @@
             self.record_contained(content, "seen")
         await self.on_crash()
 
-    def _has_arrived(self, delivery: Delivery) -> bool:
-        """Whether a request whose connection just broke had reached a living replica."""
-        took_s = self._clock() - delivery.sent_at
-        return delivery.is_new_connection or took_s >= DELIVERED_S
+    def _was_delivered(self, delivery: Delivery) -> bool:
+        """Whether a request whose connection just failed had reached a living replica."""
+        elapsed_s = self._clock() - delivery.sent_at
+        return delivery.is_new_connection or elapsed_s >= DELIVERY_THRESHOLD_S
 
     def is_crash_suspect(self, content: str) -> bool:
-        """Whether replicas have ended under a request: it is sent over a new connection."""
+        """Whether replicas have ended under a request, which is then sent over a new connection."""
         return self.ledger.crashes(content) > 0
 
     def record_answer(self, content: str) -> None:
-        """A replica answered a request whole: it lives on.
+        """Record that a replica answered a request whole, and so survived it.
 
-        Answers are noted on calm days too: a popular request that is answered all the time is not
-        contained when several replicas end at once.
+        Answers are recorded also while no replica has crashed: a popular request with steady
+        answers is then not contained when several replicas end at once.
         """
         if self.ledger.note_answer(content, self._clock()):
             self._metrics.containment_changed("answered")
             self._log.write(catalogue.CONTAINMENT_ENDED, contents=[content], reason="answered")
 
     def record_contained(self, content: str, source: str) -> None:
-        """A request is contained from now on; ``source`` tells in the log how this node knows."""
+        """Count and log a newly contained request; ``source`` names in the log who observed it."""
         self._metrics.containment_changed("contained")
         crashes = self.ledger.crashes(content)
         self._log.write(
@@ -169,7 +168,7 @@
         )
 
     def expire(self) -> None:
-        """Forget old cases."""
+        """Remove old crash records."""
         ended = self.ledger.expire(self._clock())
         if ended:
             self._metrics.containment_changed("old")
@@ -179,50 +178,50 @@
         """Whether a request must not be sent, not even as a trial."""
         return self.ledger.containment(content, self._clock()) is Containment.CONTAINED
 
-    async def settle(self, content: str) -> None:
-        """Wait a moment until it is known whether replicas that a request was at have ended."""
-        looks = [one for one in self._looks if content in one.requests.values()]
-        async with curio.ignore_after(SETTLE_S):
-            for look in looks:
-                await look.first.wait()
+    async def wait_for_first_probe(self, content: str) -> None:
+        """Wait, for a bounded time, for the first probes of replicas at which a request failed."""
+        probes = [probe for probe in self._probes if content in probe.content_by_request.values()]
+        async with curio.ignore_after(FIRST_PROBE_TIMEOUT_S):
+            for probe in probes:
+                await probe.first_result.wait()
 
-    # --- looks ---
+    # --- probes ---
 
-    async def _look(self, replica: Replica, look: _Look) -> None:
-        found = Reachability.SILENT
+    async def _run_probe(self, replica: Replica, probe: _Probe) -> None:
+        reachability = Reachability.SILENT
         try:
-            for pause_s in LOOK_AFTER_S:
-                await curio.sleep(pause_s)
-                if self._beginning.get(replica.replica_id) is look:
-                    del self._beginning[replica.replica_id]
-                found = await self._pool.probe((replica.host, replica.port))
-                if found is Reachability.REFUSES:
+            for delay_s in PROBE_DELAYS_S:
+                await curio.sleep(delay_s)
+                if self._pending_probes.get(replica.replica_id) is probe:
+                    del self._pending_probes[replica.replica_id]
+                reachability = await self._pool.probe((replica.host, replica.port))
+                if reachability is Reachability.REFUSES:
                     break
-                await look.first.set()
+                await probe.first_result.set()
         finally:
-            self._looks.remove(look)
-            self._note_found(replica, look, found)
-            await look.first.set()
-        if found is Reachability.REFUSES:
+            self._probes.remove(probe)
+            self._record_result(replica, probe, reachability)
+            await probe.first_result.set()
+        if reachability is Reachability.REFUSES:
             await self.on_crash()
 
-    def _note_found(self, replica: Replica, look: _Look, found: Reachability) -> None:
-        requests = list(look.requests)[:MOST_LOGGED]
-        self._metrics.replica_broke_off(found.value)
+    def _record_result(self, replica: Replica, probe: _Probe, reachability: Reachability) -> None:
+        request_ids = list(probe.content_by_request)[:MAX_LOGGED_REQUESTS]
+        self._metrics.replica_broke_off(reachability.value)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
-            found=found.value,
-            looked_ms=round((self._clock() - look.broken_at) * 1000, 1),
-            requests=requests,
-            contents=[look.requests[one] for one in requests],
+            found=reachability.value,
+            looked_ms=round((self._clock() - probe.failed_at) * 1000, 1),
+            requests=request_ids,
+            contents=[probe.content_by_request[request_id] for request_id in request_ids],
         )
-        if found is not Reachability.REFUSES:
+        if reachability is not Reachability.REFUSES:
             return
-        for content in sorted(set(look.requests.values())):
-            if self.ledger.note_crash(content, replica.incarnation_id, look.broken_at):
+        for content in sorted(set(probe.content_by_request.values())):
+            if self.ledger.note_crash(content, replica.incarnation_id, probe.failed_at):
                 self.record_contained(content, "seen")
 
 
-async def _nothing() -> None:
+async def _do_nothing() -> None:
     return
--- a/src/cloverwalk/gateway/overload_monitor.py
+++ b/src/cloverwalk/gateway/overload_monitor.py
@@ -1,7 +1,7 @@
-"""How full a node's machine is, and whether the node takes more work.
+"""The utilization of a node's machine, and whether the node accepts more work.
 
-No I/O: figures and time are passed in. The verdict is about new work only; it has no handle on
-what is in flight.
+No I/O: usage and time are passed in. The state concerns new work only; work in flight is not
+touched.
 """
 
 import enum
@@ -9,54 +9,55 @@
 
 import attrs
 
-AVERAGE_S = 2.0
-"""Rates are averaged over about this time: the platform acts on two of its questions in a row, one
-a second, so a shorter peak is over before anything is done about it."""
+AVERAGING_TIME_S = 2.0
+"""Time constant of the averages. The platform acts on two readiness probes in a row, one a second,
+so a shorter peak is over before it would act."""
 
 FULL_THRESHOLD = 0.85
-"""A node this full takes no new connections; the rest is for the requests of the open ones."""
+"""Utilization at which a node asks for no new connections; the remainder serves the open ones."""
 
-FREE_AT = 0.65
-"""A full node takes again below this: it can take its equal share of the clients back then."""
+FULL_END_THRESHOLD = 0.65
+"""Utilization below which a full node accepts new connections again: low enough for it to take back
+its equal share of the clients."""
 
-OVER_AT = 1.0
-UNDER_AT = 0.9
-"""A node over its machine is so no more below this."""
+OVERLOADED_THRESHOLD = 1.0
+OVERLOADED_END_THRESHOLD = 0.9
+"""Utilization below which an overloaded node is overloaded no more."""
 
-USABLE_PROCESSOR = 0.95
-"""Share of its processor time that a process gets at the most; the kernel has the rest."""
+USABLE_PROCESSOR_SHARE = 0.95
+"""Share of its processor time that a process can use at most; the kernel uses the remainder."""
 
-MOST_THREADS = 1.5
-"""A process with one busy thread can't spend more processor time than this many times what passes.
-A clock that says so measures something else, and the processor is left out from then on."""
+MAX_PROCESSOR_RATE = 1.5
+"""Maximum processor time per elapsed time of a process with one busy thread. A clock that runs
+faster measures something else, and the processor is ignored from then on."""
 
 CLOCK_SLACK_S = 0.05
-"""The two clocks are not read at the same moment."""
+"""The process clock and the monotonic clock are not read at the same moment."""
 
-LATE_S = 0.1
-"""A loop that is late by this delays both the start and the end of an answer by about a tenth of a
-second each. A busy processor whose loop is less late still serves in time."""
+LATE_LOOP_THRESHOLD_S = 0.1
+"""Delay of the event loop at which requests are late: it delays both the start and the end of an
+answer. Below it a busy processor still serves in time."""
 
-MARGIN = 0.15
-"""How much fuller than its peers a node is before it turns work away. Less than this is chance, and
-the peers would be as full with its work."""
+PEER_MARGIN = 0.15
+"""How far a node's utilization must exceed that of its peers before it turns work away. A smaller
+difference is chance, and the peers would be as full with its work."""
 
-PEERS_FRESH_S = 5.0
-"""What was told of the peers counts for so long; without it a node turns nothing away."""
+PEER_UTILIZATION_TTL_S = 5.0
+"""How long a reported utilization of the peers counts; without one a node turns no work away."""
 
-DWELL_S = 2.0
-"""A verdict holds for at least this long."""
+MIN_STATE_DURATION_S = 2.0
+"""Minimum time between two changes of the state."""
 
-UNREADY_SHARE = 0.1
-"""Share of its time for which a node may be not ready. Operators take a machine that is not ready
-for more than an eighth of its time for one that fails its duty."""
+MAX_UNREADY_SHARE = 0.1
+"""Share of its time for which a node may be not ready. Operators treat a machine that is not ready
+for more than an eighth of the time as failing."""
 
-MOST_UNREADY_S = 6.0
-LEAST_UNREADY_S = 3.0
-"""Being not ready for less has no effect: the platform waits for two answers in a row."""
+MAX_UNREADY_S = 6.0
+MIN_UNREADY_S = 3.0
+"""A shorter time has no effect: the platform acts on two readiness probes in a row."""
 
-UNTOLD = 0
-"""Stands for a limit, or for peers, that nobody has told."""
+UNKNOWN = 0
+"""Stands for a limit or a peer utilization that was not reported."""
 
 
 class Resource(enum.Enum):
@@ -69,11 +70,11 @@
 
 
 class OverloadState(enum.Enum):
-    """What a node takes."""
+    """Which work a node accepts."""
 
     NORMAL = "takes_all"
     FULL = "takes_no_new"
-    """It asks for no new connections, and serves what comes all the same."""
+    """It asks for no new connections, and still serves those that come."""
 
     OVERLOADED = "over"
     """It refuses new requests and jobs at once."""
@@ -81,181 +82,192 @@
 
 @attrs.frozen
 class MachineCapacity:
-    """What a machine gives a node; ``UNTOLD`` where a limit is not known."""
+    """The limits of a machine; ``UNKNOWN`` for those that are not set."""
 
-    connections: int = UNTOLD
-    link_bytes_per_s: float = UNTOLD
-    processor: float = UNTOLD
-    """Cores that the process can use; it has one busy thread, so one at the most."""
+    connections: int = UNKNOWN
+    link_bytes_per_s: float = UNKNOWN
+    processor: float = UNKNOWN
+    """Cores that the process can use; at most one, since it has one busy thread."""
 
-    held_bytes: int = UNTOLD
-    """What may be held for clients, replicas and jobs."""
+    held_bytes: int = UNKNOWN
+    """Limit of the memory buffered for clients, replicas and jobs."""
 
 
 @attrs.frozen
 class Usage:
-    """What is in use at one moment. The first two go on all the time, from any figure; a process
-    clock also from one below zero."""
+    """What is in use at one moment. The first two are counters that start anywhere; the process
+    clock may start below zero."""
 
     sent_bytes: int = 0
     processor_s: float = 0.0
     connections: int = 0
     held_bytes: int = 0
     late_s: float = 0.0
-    """How much later than planned the loop came to tell this."""
+    """How much later than planned the event loop took this sample."""
 
     @property
     def is_valid(self) -> bool:
-        """Whether these can be figures of a process."""
+        """Whether these can be the values of a process."""
         counts = (self.sent_bytes, self.connections, self.held_bytes, self.late_s)
         return math.isfinite(self.processor_s) and all(
-            math.isfinite(one) and one >= 0 for one in counts
+            math.isfinite(count) and count >= 0 for count in counts
         )
 
 
 @attrs.define
-class _Average:
-    """An average that forgets what is much older than ``AVERAGE_S``."""
+class _MovingAverage:
+    """An exponential average with the time constant ``AVERAGING_TIME_S``."""
 
     value: float = 0.0
 
-    def add(self, value: float, over_s: float) -> None:
-        weight = 1.0 - math.exp(-over_s / AVERAGE_S)
+    def add(self, value: float, elapsed_s: float) -> None:
+        weight = 1.0 - math.exp(-elapsed_s / AVERAGING_TIME_S)
         self.value += weight * (value - self.value)
 
 
 class OverloadMonitor:
-    """Tells how full a machine is by whatever is scarcest, and what the node takes.
+    """Computes the utilization of the scarcest resource, and the state that follows from it.
 
-    >>> room = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
-    >>> room.set_peer_utilization(20, now=2.0)
+    >>> monitor = OverloadMonitor(MachineCapacity(connections=100), now=0.0)
+    >>> monitor.set_peer_utilization(20, now=2.0)
     True
-    >>> room.update(Usage(connections=90), now=2.0)
+    >>> monitor.update(Usage(connections=90), now=2.0)
     True
-    >>> room.state, room.scarcest, room.utilization
+    >>> monitor.state, monitor.scarcest, monitor.utilization
     (<OverloadState.FULL: 'takes_no_new'>, <Resource.CONNECTIONS: 'connections'>, 0.9)
     """
 
-    def __init__(self, size: MachineCapacity, now: float) -> None:
-        self._size = size
-        self._last: Usage | None = None
-        self._looked_at = now
-        self._sent = _Average()
-        self._processor = _Average()
-        self._late = _Average()
+    def __init__(self, capacity: MachineCapacity, now: float) -> None:
+        self._capacity = capacity
+        self._last_usage: Usage | None = None
+        self._updated_at = now
+        self._send_rate = _MovingAverage()
+        self._processor_rate = _MovingAverage()
+        self._lateness_s = _MovingAverage()
         self._has_processor_clock = True
-        self._peers = 0.0
-        self._peers_at = float("-inf")
+        self._peer_utilization = 0.0
+        self._peer_utilization_at = float("-inf")
         self._changed_at = now
-        self._over_since: float | None = None
-        self._unready_left_s = MOST_UNREADY_S
+        self._overloaded_since: float | None = None
+        self._unready_budget_s = MAX_UNREADY_S
         self.by_resource: dict[Resource, float] = dict.fromkeys(Resource, 0.0)
         self.state = OverloadState.NORMAL
         self.is_ready = True
-        """Whether the node should call itself ready, as far as its room goes."""
+        """Whether the machine's utilization lets the node report itself as ready."""
 
     @property
     def scarcest(self) -> Resource:
-        """What the machine has the least left of."""
-        return max(Resource, key=lambda one: self.by_resource[one])
+        """The resource with the highest utilization."""
+        return max(Resource, key=lambda resource: self.by_resource[resource])
 
     @property
     def utilization(self) -> float:
-        """How much of the scarcest resource is in use; 1 is all of it."""
+        """The utilization of the scarcest resource; 1.0 is all of it."""
         return self.by_resource[self.scarcest]
 
     def overloaded_for_s(self, now: float) -> float:
-        """Return for how long the node has been over its machine; 0 while it is not."""
-        return 0.0 if self._over_since is None else now - self._over_since
+        """Return for how long the node has been overloaded; 0 while it is not."""
+        return 0.0 if self._overloaded_since is None else now - self._overloaded_since
 
     def set_peer_utilization(self, percent: int, now: float) -> bool:
-        """Take how full the nodes are that get the same clients; return whether it can be so."""
-        if percent == UNTOLD:
+        """Set the utilization of the nodes with the same clients; return whether it is valid."""
+        if percent == UNKNOWN:
             return True
         if percent < 0:
             return False
-        self._peers, self._peers_at = percent / 100, now
+        self._peer_utilization, self._peer_utilization_at = percent / 100, now
         return True
 
     def update(self, usage: Usage, now: float) -> bool:
-        """Judge by present figures; return whether all can be true. Others are left out.
+        """Update the state from a sample; return whether the sample is credible.
 
-        A process clock that can't be one is told once.
+        An invalid sample is ignored. A process clock that runs too fast or backwards is reported
+        once, and the processor is ignored from then on.
         """
-        passed_s = now - self._looked_at
-        if passed_s < 0 or not usage.is_valid:
+        elapsed_s = now - self._updated_at
+        if elapsed_s < 0 or not usage.is_valid:
             return False
-        before, self._last = self._last, usage
-        self._looked_at = now
+        previous, self._last_usage = self._last_usage, usage
+        self._updated_at = now
         is_credible = True
-        if before is not None and passed_s > 0:
-            is_credible = self._average(before, usage, passed_s)
-        self._measure(usage)
-        self._judge(now)
-        self._set_ready(passed_s)
+        if previous is not None and elapsed_s > 0:
+            is_credible = self._update_rates(previous, usage, elapsed_s)
+        self._update_utilization(usage)
+        self._update_state(now)
+        self._update_readiness(elapsed_s)
         return is_credible
 
-    def _average(self, before: Usage, usage: Usage, passed_s: float) -> bool:
-        """Take rates; return False where the process clock turns out to be none."""
-        sent = max(0, usage.sent_bytes - before.sent_bytes)
-        self._sent.add(sent / passed_s, passed_s)
-        self._late.add(usage.late_s, passed_s)
+    def _update_rates(self, previous: Usage, usage: Usage, elapsed_s: float) -> bool:
+        """Update the rates; return False if the process clock turns out to be invalid."""
+        sent_bytes = max(0, usage.sent_bytes - previous.sent_bytes)
+        self._send_rate.add(sent_bytes / elapsed_s, elapsed_s)
+        self._lateness_s.add(usage.late_s, elapsed_s)
         if not self._has_processor_clock:
             return True
-        spent_s = usage.processor_s - before.processor_s
-        if 0 <= spent_s <= MOST_THREADS * passed_s + CLOCK_SLACK_S:
-            self._processor.add(spent_s / passed_s, passed_s)
+        used_s = usage.processor_s - previous.processor_s
+        if 0 <= used_s <= MAX_PROCESSOR_RATE * elapsed_s + CLOCK_SLACK_S:
+            self._processor_rate.add(used_s / elapsed_s, elapsed_s)
             return True
         self._has_processor_clock = False
-        self._processor = _Average()
+        self._processor_rate = _MovingAverage()
         return False
 
-    def _measure(self, usage: Usage) -> None:
-        size = self._size
+    def _update_utilization(self, usage: Usage) -> None:
+        capacity = self._capacity
         self.by_resource = {
-            Resource.CONNECTIONS: _share(usage.connections, size.connections),
-            Resource.LINK: _share(self._sent.value, size.link_bytes_per_s),
-            Resource.PROCESSOR: _share(self._processor.value, USABLE_PROCESSOR * size.processor),
-            Resource.MEMORY: _share(usage.held_bytes, size.held_bytes),
+            Resource.CONNECTIONS: _ratio(usage.connections, capacity.connections),
+            Resource.LINK: _ratio(self._send_rate.value, capacity.link_bytes_per_s),
+            Resource.PROCESSOR: _ratio(
+                self._processor_rate.value, USABLE_PROCESSOR_SHARE * capacity.processor
+            ),
+            Resource.MEMORY: _ratio(usage.held_bytes, capacity.held_bytes),
         }
 
-    def _judge(self, now: float) -> None:
-        wanted = self._wanted(now)
-        if wanted is not self.state and now - self._changed_at >= DWELL_S:
-            self.state = wanted
+    def _update_state(self, now: float) -> None:
+        state = self._next_state(now)
+        if state is not self.state and now - self._changed_at >= MIN_STATE_DURATION_S:
+            self.state = state
             self._changed_at = now
-            self._over_since = now if wanted is OverloadState.OVERLOADED else None
+            self._overloaded_since = now if state is OverloadState.OVERLOADED else None
 
-    def _wanted(self, now: float) -> OverloadState:
-        if now - self._peers_at > PEERS_FRESH_S:
+    def _next_state(self, now: float) -> OverloadState:
+        if now - self._peer_utilization_at > PEER_UTILIZATION_TTL_S:
             return OverloadState.NORMAL
         was_full = self.state is not OverloadState.NORMAL
-        ahead = self.utilization - self._peers
-        if ahead < (MARGIN / 2 if was_full else MARGIN):
+        excess = self.utilization - self._peer_utilization
+        if excess < (PEER_MARGIN / 2 if was_full else PEER_MARGIN):
             return OverloadState.NORMAL
-        over_at = UNDER_AT if self.state is OverloadState.OVERLOADED else OVER_AT
-        if self._load() >= over_at:
+        overloaded_threshold = (
+            OVERLOADED_END_THRESHOLD
+            if self.state is OverloadState.OVERLOADED
+            else OVERLOADED_THRESHOLD
+        )
+        if self._critical_utilization() >= overloaded_threshold:
             return OverloadState.OVERLOADED
-        if self.utilization >= (FREE_AT if was_full else FULL_THRESHOLD):
+        if self.utilization >= (FULL_END_THRESHOLD if was_full else FULL_THRESHOLD):
             return OverloadState.FULL
         return OverloadState.NORMAL
 
-    def _load(self) -> float:
-        """Return the fullness beyond which work comes late; a busy processor alone is no harm."""
-        if self._late.value >= LATE_S:
+    def _critical_utilization(self) -> float:
+        """Return the utilization that delays work; the processor counts only with a late loop."""
+        if self._lateness_s.value >= LATE_LOOP_THRESHOLD_S:
             return self.utilization
-        return max(self.by_resource[one] for one in Resource if one is not Resource.PROCESSOR)
+        return max(
+            self.by_resource[resource]
+            for resource in Resource
+            if resource is not Resource.PROCESSOR
+        )
 
-    def _set_ready(self, passed_s: float) -> None:
+    def _update_readiness(self, elapsed_s: float) -> None:
         if self.is_ready:
-            earned_s = self._unready_left_s + UNREADY_SHARE * passed_s
-            self._unready_left_s = min(MOST_UNREADY_S, earned_s)
+            earned_s = self._unready_budget_s + MAX_UNREADY_SHARE * elapsed_s
+            self._unready_budget_s = min(MAX_UNREADY_S, earned_s)
         else:
-            self._unready_left_s = max(0.0, self._unready_left_s - passed_s)
-        least_s = LEAST_UNREADY_S if self.is_ready else 0.0
+            self._unready_budget_s = max(0.0, self._unready_budget_s - elapsed_s)
+        min_budget_s = MIN_UNREADY_S if self.is_ready else 0.0
         is_full = self.state is not OverloadState.NORMAL
-        self.is_ready = not (is_full and self._unready_left_s > least_s)
+        self.is_ready = not (is_full and self._unready_budget_s > min_budget_s)
 
 
-def _share(used: float, limit: float) -> float:
+def _ratio(used: float, limit: float) -> float:
     return used / limit if limit > 0 else 0.0
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests at real sockets: each answer is the replica's whole one, or looks broken."""
+"""Online requests over real sockets: each answer is complete or visibly incomplete."""
 
 import threading
 
@@ -14,7 +14,7 @@
 SIGNATURE = names.SIGNATURE.decode().lower()
 
 
-def test_a_stream_comes_whole_and_signed() -> None:
+def test_stream_is_relayed_whole_with_signature() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         answer = await world.ask("/chat/a", "id-1")
@@ -30,7 +30,7 @@
     in_world(test)
 
 
-def test_headers_keep_their_spelling_and_hop_headers_stay_behind() -> None:
+def test_headers_keep_their_spelling_and_hop_by_hop_headers_are_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         headers = [
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     "misdeed", [Misdeed.CUT, Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED, Misdeed.UNSIGNED]
 )
-def test_a_resumable_stream_goes_on_at_another_replica(misdeed: Misdeed) -> None:
+def test_resumable_stream_resumes_at_another_replica(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -62,7 +62,7 @@
         third = await world.ask("/chat/a")
         assert third.event_ids() == [1, 2, 3, 4]
         for answer in (first, second):
-            # With both spoilt a request may fail, but then it looks so.
+            # With both replicas faulty a request may fail, but it must be visible.
             is_right = answer.event_ids() == [1, 2, 3, 4]
             assert is_right or answer.status != 200 or not answer.is_whole
         for answer in (first, second, third):
@@ -71,7 +71,7 @@
     in_world(test)
 
 
-def test_a_stream_cut_twice_repeats_and_misses_nothing() -> None:
+def test_stream_cut_twice_has_each_event_once() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=3, events=12)
         for replica in world.replicas[:2]:
@@ -79,13 +79,13 @@
         answer = await world.ask("/chat/a", "id-1")
         assert answer.is_whole
         assert answer.event_ids() == list(range(1, 13))
-        lines = [one for one in answer.body.decode().split("\n") if one.startswith("data: ")]
+        lines = [line for line in answer.body.decode().split("\n") if line.startswith("data: ")]
         assert lines == [f"data: id-1:{number}" for number in range(1, 13)]
 
     in_world(test)
 
 
-def test_a_stream_that_may_not_resume_looks_broken() -> None:
+def test_stream_that_is_not_resumable_ends_incomplete() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
@@ -93,14 +93,14 @@
         answer = await world.ask("/once/a", "id-1")
         assert answer.status == 200
         assert not answer.is_whole
-        assert sum(len(one.arrivals) for one in world.replicas) == 1
+        assert sum(len(replica.arrivals) for replica in world.replicas) == 1
 
     in_world(test)
 
 
 @pytest.mark.parametrize("name", ["stop", "reload"])
-def test_a_signal_within_the_handler_of_the_one_before_blocks_nothing(name: str) -> None:
-    """A node that got SIGTERM twice within a millisecond neither stopped nor answered any more."""
+def test_signal_during_signal_handler_does_not_block(name: str) -> None:
+    """Two SIGTERM signals within a millisecond once blocked a node for good."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
@@ -110,7 +110,7 @@
         unblock = event._unblock_waiters
 
         def interrupted() -> None:
-            # The event's lock is held here, as where a signal interrupts its ``set``.
+            # The event's lock is held here, as when a signal interrupts its ``set``.
             request()
             unblock()
 
@@ -124,19 +124,19 @@
 
 
 @pytest.mark.parametrize("misdeed", [Misdeed.GARBAGE, Misdeed.RESET_UNANSWERED])
-def test_what_may_have_run_is_not_called_not_run(misdeed: Misdeed) -> None:
+def test_request_that_may_have_run_is_answered_502(misdeed: Misdeed) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
             replica.always = misdeed
         answer = await world.ask("/once/a")
         assert answer.status == 502
-        assert sum(len(one.arrivals) for one in world.replicas) == 1
+        assert sum(len(replica.arrivals) for replica in world.replicas) == 1
 
     in_world(test)
 
 
-def test_a_refusal_moves_on_and_ends_in_a_promise_with_a_time() -> None:
+def test_refused_request_tries_next_replica_then_gets_retry_after() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         world.replicas[0].always = Misdeed.REFUSE
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("path", ["/chat/a", "/safe/a"])
 @pytest.mark.parametrize("misdeed", [Misdeed.LATE_ANSWER, Misdeed.SECOND_ANSWER])
-def test_answers_to_others_are_never_passed_on(misdeed: Misdeed, path: str) -> None:
+def test_answers_to_other_requests_are_not_relayed(misdeed: Misdeed, path: str) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         for turn in range(4):
@@ -165,18 +165,18 @@
     in_world(test)
 
 
-def test_another_instance_at_the_address_does_not_run_it() -> None:
+def test_request_is_not_run_by_another_instance_at_the_address() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         world.replicas[0].replica_id = "i-other"
         for _ in range(3):
             assert (await world.ask("/chat/a")).event_ids() == [1, 2, 3, 4]
-        assert not any(one.has_run for one in world.replicas[0].arrivals)
+        assert not any(arrival.has_run for arrival in world.replicas[0].arrivals)
 
     in_world(test)
 
 
-def test_a_client_that_leaves_stops_the_work() -> None:
+def test_client_disconnect_cancels_work() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=200, event_s=0.02)
         sock = await world.connect()
@@ -190,7 +190,7 @@
     in_world(test)
 
 
-def test_a_client_that_leaves_before_an_event_stops_the_work() -> None:
+def test_client_disconnect_before_first_event_cancels_work() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, event_s=60.0)
         routes = [route("slow", "/slow/", "streaming", max_attempts=1, timeout_ms=60000)]
@@ -206,28 +206,28 @@
     in_world(test)
 
 
-def test_requests_of_other_nodes_stay_away_from_a_long_prompt_until_it_is_read() -> None:
+def test_other_nodes_avoid_replica_during_long_prefill() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=40)
         await world.until(lambda: len(world.coordinator_roster()) == 2)
         headers = [
             (names.REQUEST_ID.decode(), "long"),
             (names.DEADLINE_MS.decode(), "3000"),
-            # 2 s to read, as it is reckoned.
+            # An estimated prefill of 2 s.
             (names.PREFIX_HASH.decode(), "aa:200,bb:100000"),
         ]
         task = await curio.spawn(world.call, "POST", "/chat/a", b"prompt", headers, 0)
-        await world.until(lambda: any(one.arrivals for one in world.replicas))
-        busy = next(one for one in world.replicas if one.arrivals)
+        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
+        busy = next(replica for replica in world.replicas if replica.arrivals)
         for turn in range(6):
             assert (await world.ask("/chat/a", node=turn % 2)).is_whole
-        assert [one.request_id for one in busy.arrivals] == ["long"]
+        assert [arrival.request_id for arrival in busy.arrivals] == ["long"]
         assert (await task.join()).is_whole
 
     in_world(test)
 
 
-def test_a_client_that_does_not_read_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(world: FleetWorld) -> None:
         monkeypatch.setattr(reply, "SEND_STALL_S", 0.2)
         await world.start(replicas=1, events=200, event_s=0.001)
@@ -249,7 +249,7 @@
     in_world(test)
 
 
-def test_a_draining_or_removed_replica_gets_nothing_new() -> None:
+def test_draining_or_removed_replica_gets_no_new_requests() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=3)
         first, second, third = world.replicas
@@ -265,7 +265,7 @@
     in_world(test)
 
 
-def test_routes_follow_the_configuration_and_never_go_back() -> None:
+def test_routes_follow_newest_configuration_only() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         assert (await world.ask("/new/a")).status == 404
@@ -282,7 +282,7 @@
     in_world(test)
 
 
-def test_a_node_without_a_configuration_is_not_ready_and_denies_nothing() -> None:
+def test_node_without_configuration_is_not_ready_and_answers_503() -> None:
     async def test(world: FleetWorld) -> None:
         await world.spawn(world.store.run)
         node = await world.add_node()
@@ -294,7 +294,7 @@
     in_world(test)
 
 
-def test_a_node_cut_off_from_the_store_learns_from_its_peers() -> None:
+def test_node_without_store_gets_state_from_peers() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=1)
         node = await world.add_node()
@@ -308,7 +308,7 @@
     in_world(test)
 
 
-def test_online_goes_on_while_the_store_is_silent() -> None:
+def test_online_requests_are_served_while_store_times_out() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
         world.store.is_silent = True
@@ -319,10 +319,10 @@
     in_world(test)
 
 
-def test_a_planned_stop_cuts_no_request() -> None:
+def test_planned_stop_lets_requests_finish() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.02)
-        asking = await curio.spawn(world.ask, "/chat/a")
+        request_task = await curio.spawn(world.ask, "/chat/a")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         world.nodes[0].request_stop()
         await world.until(lambda: world.nodes[0].is_leaving)
@@ -330,7 +330,7 @@
             "GET", names.READY_PATH, address=world.nodes[0]._settings.ready_address
         )
         late = await world.ask("/chat/a")
-        answer = await asking.join()
+        answer = await request_task.join()
         assert ready.status == 503
         assert answer.event_ids() == late.event_ids() == list(range(1, 41))
         assert late.headers["connection"] == "close"
@@ -338,13 +338,13 @@
     in_world(test)
 
 
-def test_a_node_that_ends_soon_begins_nothing_that_it_would_cut() -> None:
-    """Found by a hunt (finding 39): a request that came 7.2 s after SIGTERM was cut."""
+def test_stopping_node_refuses_requests_it_could_not_finish() -> None:
+    """A request that arrived late in the grace time was cut when the node ended."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=5, event_s=0.5)
-        # It keeps the node from ending before its grace time is over.
-        asking = await curio.spawn(world.ask, "/chat/a")
+        # Keeps the node from ending before its grace time is over.
+        request_task = await curio.spawn(world.ask, "/chat/a")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         node = world.nodes[0]
         node.request_stop()
@@ -353,8 +353,8 @@
         late = await world.ask("/chat/a", "late")
         assert late.status == 503
         assert float(late.headers["retry-after"]) > 0
-        assert "late" not in [one.request_id for one in world.replicas[0].arrivals]
-        assert (await asking.join()).event_ids() == [1, 2, 3, 4, 5]
+        assert "late" not in [arrival.request_id for arrival in world.replicas[0].arrivals]
+        assert (await request_task.join()).event_ids() == [1, 2, 3, 4, 5]
 
     in_world(test)
 
@@ -371,7 +371,7 @@
         (b"not http at all\r\n\r\n", 400),
     ],
 )
-def test_what_a_client_may_send_is_bounded(data: bytes, status: int) -> None:
+def test_oversized_incomplete_or_invalid_requests_are_refused(data: bytes, status: int) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         sock = await world.connect()
@@ -384,7 +384,7 @@
     in_world(test)
 
 
-def test_a_request_past_its_time_gets_its_final_answer_at_once() -> None:
+def test_request_past_deadline_gets_504() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.SILENT
@@ -394,7 +394,7 @@
     in_world(test)
 
 
-def test_requests_beyond_the_slots_are_told_at_once_to_come_back_and_never_run() -> None:
+def test_requests_beyond_free_slots_get_retry_after_and_do_not_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.05)
         replica = world.replicas[0]
@@ -403,8 +403,8 @@
         await world.until(lambda: replica.running == replica.slots)
         began = len(replica.arrivals)
         answers = [await world.ask("/chat/b") for _ in range(3)]
-        assert [one.status for one in answers] == [503, 503, 503]
-        assert all(0.3 < float(one.headers["retry-after"]) < 1.1 for one in answers)
+        assert [answer.status for answer in answers] == [503, 503, 503]
+        assert all(0.3 < float(answer.headers["retry-after"]) < 1.1 for answer in answers)
         assert len(replica.arrivals) == began
         for task in tasks:
             assert (await task.join()).is_whole
@@ -412,7 +412,7 @@
     in_world(test)
 
 
-def test_a_request_that_came_back_waits_for_a_slot_and_for_no_item() -> None:
+def test_retried_request_gets_slot_before_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.05)
         replica = world.replicas[0]
@@ -420,27 +420,27 @@
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(replica.slots)]
         await world.until(lambda: replica.running == replica.slots)
         assert (await world.hand_in("j", count=12)).status == 202
-        back = await curio.spawn(world.ask, "/chat/back", "back", 2700)
-        await world.until(lambda: any(one.request_id == "back" for one in replica.arrivals))
-        # Items run for 2 s: whatever got the first free slot gave way, none came to its end.
-        items = [one for one in replica.arrivals if one.request_id.startswith("j-")]
-        assert [one for one in items if one.is_finished] == []
+        retry_task = await curio.spawn(world.ask, "/chat/back", "back", 2700)
+        await world.until(lambda: any(arrival.request_id == "back" for arrival in replica.arrivals))
+        # Items run for 2 s: one that got the first free slot was preempted, so none finished.
+        items = [arrival for arrival in replica.arrivals if arrival.request_id.startswith("j-")]
+        assert [item for item in items if item.is_finished] == []
         for task in tasks:
             assert (await task.join()).is_whole
-        answer = await back.join()
+        answer = await retry_task.join()
         assert answer.status == 200
         await world.until_done("j", 12)
 
     in_world(test)
 
 
-def test_a_request_finds_the_one_replica_of_many_that_still_lives() -> None:
+def test_request_reaches_only_reachable_replica() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         listed = world.replicas[0].document("model", "z1")
         for number in range(6):
-            dead = {**listed, "address": f"127.0.0.1:{free_port()}"}
-            world.store.put(names.REPLICA_TABLE, f"dead-{number}", dead)
+            unreachable = {**listed, "address": f"127.0.0.1:{free_port()}"}
+            world.store.put(names.REPLICA_TABLE, f"dead-{number}", unreachable)
         await world.until(lambda: len(world.nodes[0]._directory.all()) == 7)
         answer = await world.ask("/chat/a")
         assert (answer.status, answer.is_whole) == (200, True)
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under the id that they had."""
+"""Replicas that restart under the same id."""
 
 import os
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 from cloverwalk.gateway.crash_ledger import CrashLedger
 from cloverwalk.gateway.errors import RESTARTED, ReplicaError
 from cloverwalk.gateway.replica_connection import Reachability, ReplicaPool
-from cloverwalk.gateway.replicas import LATE_ENTRIES, Replica, ReplicaDirectory
+from cloverwalk.gateway.replicas import MAX_LATE_ENTRIES, Replica, ReplicaDirectory
 from cloverwalk.jobs.runner import BatchRunner
 from cloverwalk.platform import names
 from cloverwalk.telemetry.log import ServingLog
@@ -32,92 +32,94 @@
 CONTENT = "c" * 20
 
 
-def start(version: int, born_ms: int, **more: Any) -> Replica:
-    one = Replica("r1", "model", "10.0.0.1", 80, "z1", 8, False, version, born_ms)
-    return msgspec.structs.replace(one, **more)
+def start(version: int, started_ms: int, **more: Any) -> Replica:
+    replica = Replica("r1", "model", "10.0.0.1", 80, "z1", 8, False, version, started_ms)
+    return msgspec.structs.replace(replica, **more)
 
 
-class Starts:
-    """A directory, and the new starts that it told."""
+class RestartRecorder:
+    """A directory, and the restarts that it reported."""
 
     def __init__(self, *entries: Replica) -> None:
         self.directory = ReplicaDirectory()
-        self.told: list[tuple[int, int]] = []
+        self.restarts: list[tuple[int, int]] = []
         self.directory.restart_listeners.append(
-            lambda before, after: self.told.append((before.started_ms, after.started_ms))
+            lambda before, after: self.restarts.append((before.started_ms, after.started_ms))
         )
-        for one in entries:
-            self.directory.put(one)
+        for entry in entries:
+            self.directory.put(entry)
 
 
-# --- which start is known ---
+# --- detection of restarts ---
 
 
-def test_another_time_of_start_is_told_once() -> None:
-    starts = Starts(start(1, 0), start(2, 5), start(3, 5), start(4, 9), start(5, 9))
-    assert starts.told == [(5, 9)]
+def test_changed_start_time_is_reported_once() -> None:
+    recorder = RestartRecorder(start(1, 0), start(2, 5), start(3, 5), start(4, 9), start(5, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
-def test_a_start_is_new_also_after_its_entry_was_gone() -> None:
-    starts = Starts(start(1, 5))
-    starts.directory.remove("r1", 2)
-    starts.directory.put(start(3, 9))
-    assert starts.told == [(5, 9)]
+def test_restart_is_reported_after_entry_was_removed() -> None:
+    recorder = RestartRecorder(start(1, 5))
+    recorder.directory.remove("r1", 2)
+    recorder.directory.put(start(3, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
-def test_an_entry_without_a_time_of_start_tells_of_none() -> None:
-    assert Starts(start(1, 5), start(2, 0), start(3, 5)).told == []
+def test_entry_without_start_time_reports_no_restart() -> None:
+    assert RestartRecorder(start(1, 5), start(2, 0), start(3, 5)).restarts == []
 
 
-def test_late_news_does_not_bring_the_earlier_start_back() -> None:
-    """By a peer with an older version, or by a write that the store did late."""
-    starts = Starts(start(1, 5), start(3, 9))
-    assert not starts.directory.put(start(2, 5))
-    assert not starts.directory.put(start(4, 5))
-    starts.directory.replace([start(4, 5)], 4)
-    assert [one.started_ms for one in starts.directory.all()] == [9]
-    starts.directory.put(start(5, 9))
-    assert starts.told == [(5, 9)]
+def test_late_entry_does_not_restore_earlier_incarnation() -> None:
+    """From a peer with an older version, or from a late write of the store."""
+    recorder = RestartRecorder(start(1, 5), start(3, 9))
+    assert not recorder.directory.put(start(2, 5))
+    assert not recorder.directory.put(start(4, 5))
+    recorder.directory.replace([start(4, 5)], 4)
+    assert [replica.started_ms for replica in recorder.directory.all()] == [9]
+    recorder.directory.put(start(5, 9))
+    assert recorder.restarts == [(5, 9)]
 
 
-def test_a_replica_whose_clock_was_set_back_is_used() -> None:
-    """A process that has ended does not write on and on."""
-    starts = Starts(start(1, 9))
-    for number in range(LATE_ENTRIES + 1):
-        starts.directory.put(start(2 + number, 5))
-    assert [one.started_ms for one in starts.directory.all()] == [5]
-    assert starts.told == [(9, 5)]
+def test_replica_with_clock_set_back_is_used() -> None:
+    """An ended process does not write again and again."""
+    recorder = RestartRecorder(start(1, 9))
+    for number in range(MAX_LATE_ENTRIES + 1):
+        recorder.directory.put(start(2 + number, 5))
+    assert [replica.started_ms for replica in recorder.directory.all()] == [5]
+    assert recorder.restarts == [(9, 5)]
 
 
 @given(st.permutations([start(1, 5), start(2, 5), start(3, 9), start(4, 9), start(5, 12)]))
-def test_starts_are_never_told_back_and_forth(entries: list[Replica]) -> None:
-    starts = Starts(*entries)
-    assert [one.started_ms for one in starts.directory.all()] == [12]
-    assert all(before < after for before, after in starts.told)
+def test_restarts_are_reported_in_order(entries: list[Replica]) -> None:
+    recorder = RestartRecorder(*entries)
+    assert [replica.started_ms for replica in recorder.directory.all()] == [12]
+    assert all(before < after for before, after in recorder.restarts)
 
 
-def test_a_new_start_is_under_no_suspicion() -> None:
-    directory = Starts(start(1, 5)).directory
+def test_new_incarnation_is_no_suspect() -> None:
+    directory = RestartRecorder(start(1, 5)).directory
     directory.suspect("r1", 10.0)
     directory.add_peer_suspects(["r1"], 10.0)
     directory.put(start(2, 9))
     assert not directory.is_suspect("r1", 10.1) and not directory.is_peer_suspect("r1", 10.1)
 
 
-def test_nodes_tell_each_other_which_start_it_is() -> None:
-    """Older nodes leave it out; a list in which none is told has the fingerprint that it had."""
+def test_start_time_is_sent_between_nodes() -> None:
+    """Older nodes leave the start time out; without any, the list keeps its old fingerprint."""
     update = DirectoryUpdate(None, 1, 2, 0, [start(2, 9)])
     assert decode_datagram(encode_datagram(update)) == update
     short = msgspec.json.encode(msgspec.structs.astuple(start(2, 9))[:-1])
     assert msgspec.json.decode(short, type=Replica) == start(2, 0)
-    prints = {Starts(start(1, born)).directory.fingerprint for born in (0, 5, 9)}
-    assert len(prints) == 3
+    fingerprints = {
+        RestartRecorder(start(1, started_ms)).directory.fingerprint for started_ms in (0, 5, 9)
+    }
+    assert len(fingerprints) == 3
 
 
-# --- what was counted there ---
+# --- work counted at the previous incarnation ---
 
 
-def test_prompts_of_the_start_before_are_not_read_any_more() -> None:
+def test_prefill_of_previous_incarnation_is_dropped() -> None:
     fleet = Fleet()
     entry = msgspec.structs.replace(fleet.directory.all()[0], version=2, started_ms=5)
     fleet.directory.put(entry)
@@ -129,16 +131,16 @@
     assert replicas._other_suspects(entry.replica_id, "d" * 20, fleet.now) == 0
 
 
-# --- requests and items that were there ---
+# --- requests and items at the previous incarnation ---
 
 
 @pytest.fixture
 def no_quiet_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(restarts, "QUIET_S", 0.0)
+    monkeypatch.setattr(restarts, "QUIET_TIME_S", 0.0)
 
 
 async def begin(world: FleetWorld, replicas: int) -> None:
-    """Start a fleet whose routes leave requests much time, and whose replicas tell their start."""
+    """Start a fleet with long timeouts, whose replicas report their start times."""
     await world.start(replicas=0, nodes=0)
     routes = [
         route("chat", "/chat/", "streaming", resumable=True, timeout_ms=PATIENT_MS),
@@ -156,7 +158,7 @@
 
 
 async def restart(world: FleetWorld, number: int) -> None:
-    """Let a replica write on, and then start again without a word to its callers."""
+    """Let a replica write its entry again, and then restart without closing its connections."""
     replica, directory = world.replicas[number], world.nodes[0]._directory
     asked_at = steady_s()
     while directory.confirmed_at <= asked_at:
@@ -169,50 +171,50 @@
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_a_request_goes_on_elsewhere_when_its_replica_has_started_again() -> None:
+def test_request_resumes_elsewhere_after_replica_restart() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         (first,) = world.replicas
         first.always = Misdeed.RUN_SILENTLY
-        asking = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
+        request_task = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
         await world.until(lambda: first.running == 1)
         await world.add_replica()
         await world.until(lambda: len(world.nodes[0]._directory.usable("model")) == 2)
         await restart(world, 0)
-        answer = await asking.join()
+        answer = await request_task.join()
         assert answer.is_whole and answer.event_ids() == [1, 2, 3, 4]
 
     in_world(test)
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_a_request_that_may_not_be_repeated_gets_its_failure_at_once() -> None:
+def test_request_that_is_not_retryable_fails_at_once_after_restart() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 2)
         for replica in world.replicas:
             replica.always = Misdeed.RUN_SILENTLY
-        asking = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
-        await world.until(lambda: any(one.running for one in world.replicas))
+        request_task = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
+        await world.until(lambda: any(replica.running for replica in world.replicas))
         await restart(world, 0 if world.replicas[0].running else 1)
-        answer = await asking.join()
+        answer = await request_task.join()
         assert answer.status == 502
-        assert sum(one.runs("q1") for one in world.replicas) == 1
+        assert sum(replica.runs("q1") for replica in world.replicas) == 1
 
     in_world(test)
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_items_go_on_elsewhere_and_forget_the_prompt_that_was_kept(
+def test_items_resume_and_drop_cached_prompt_after_restart(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    kept_at: list[str] = []
-    waiting_item = BatchRunner._waiting_item
+    reported_replica_ids: list[str] = []
+    original_waiting_item = BatchRunner._waiting_item
 
-    def note(runner: BatchRunner, job: Any, one: Any) -> Any:
-        told = waiting_item(runner, job, one)
-        if one.replica_id == "i-0":
-            kept_at.append(told.replica_id)
-        return told
+    def record_waiting_item(runner: BatchRunner, job: Any, item: Any) -> Any:
+        waiting_item = original_waiting_item(runner, job, item)
+        if item.replica_id == "i-0":
+            reported_replica_ids.append(waiting_item.replica_id)
+        return waiting_item
 
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
@@ -220,17 +222,17 @@
         first.always = Misdeed.RUN_SILENTLY
         await world.hand_in("j", 1)
         await world.until(lambda: first.running == 1)
-        monkeypatch.setattr(BatchRunner, "_waiting_item", note)
+        monkeypatch.setattr(BatchRunner, "_waiting_item", record_waiting_item)
         await restart(world, 0)
         results = await world.until_done("j", 1)
         assert results[0]["state"] == "succeeded"
-        assert kept_at and set(kept_at) == {""}
+        assert reported_replica_ids and set(reported_replica_ids) == {""}
 
     in_world(test)
 
 
 @pytest.mark.usefixtures("no_quiet_time")
-def test_kept_connections_to_the_start_before_are_not_used() -> None:
+def test_idle_connections_to_previous_incarnation_are_not_reused() -> None:
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         pool = world.nodes[0]._pool
@@ -247,71 +249,78 @@
 
 
 class Connection:
-    """A connection to a replica, and whether it was broken off."""
+    """A connection to a replica, and whether it was aborted."""
 
-    can_be_broken_off = True
+    is_abortable = True
     address = ("10.0.0.1", 80)
 
     def __init__(self, opened_at: float, quiet_since: float) -> None:
         self.opened_at, self.quiet_since = opened_at, quiet_since
-        self.is_broken_off = False
+        self.is_aborted = False
 
-    def break_off(self) -> None:
-        self.is_broken_off = True
+    def abort(self) -> None:
+        self.is_aborted = True
 
 
-def broken_off(*connections: Connection, refused_at: float | None = None) -> list[bool]:
-    """Return which are broken off at 100.0, when a list that was confirmed at 99.0 is outdated."""
+def aborted_connections(*connections: Connection, refused_at: float | None = None) -> list[bool]:
+    """Return which are aborted at 100.0 after a restart, if the list was confirmed at 99.0."""
     clock = ManualClock(step_s=0.0)
-    none: Any = None
-    pool, directory = ReplicaPool(none, clock), ReplicaDirectory()
+    no_dependency: Any = None
+    pool, directory = ReplicaPool(no_dependency, clock), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
-    watch = restarts.RestartHandler(directory, pool, none, log, ServingMetrics(), clock)
-    known: Any = pool._all
-    known.update(connections)
+    handler = restarts.RestartHandler(directory, pool, no_dependency, log, ServingMetrics(), clock)
+    pool_connections: Any = pool._connections
+    pool_connections.update(connections)
     if refused_at is not None:
         pool._refused_at[Connection.address] = refused_at
     directory.put(start(1, 5))
     directory.confirmed_at = 99.0
     directory.put(start(2, 9))
-    found = [one.is_broken_off for one in connections]
-    clock.now += restarts.QUIET_S
-    watch.abort_stale()
-    assert all(one.is_broken_off for one, before in zip(connections, found, strict=True) if before)
-    return found + [one.is_broken_off for one in connections]
-
-
-def test_what_was_sent_since_the_list_was_confirmed_is_left_alone() -> None:
-    """It may be at the new start already: nothing tells which one it reached."""
+    aborted = [connection.is_aborted for connection in connections]
+    clock.now += restarts.QUIET_TIME_S
+    handler.abort_stale()
+    assert all(
+        connection.is_aborted
+        for connection, before in zip(connections, aborted, strict=True)
+        if before
+    )
+    return aborted + [connection.is_aborted for connection in connections]
+
+
+def test_exchange_opened_after_list_was_confirmed_is_not_aborted() -> None:
+    """It may be with the new incarnation already; nothing shows which one it reached."""
     old, moving, young = Connection(90, 91), Connection(90, 99.9), Connection(99.5, 99.5)
-    assert broken_off(old, moving, young) == [True, False, False, True, True, False]
+    assert aborted_connections(old, moving, young) == [True, False, False, True, True, False]
 
 
-def test_what_was_sent_after_its_address_had_refused_is_left_alone() -> None:
-    """It is at the new start, whose entry came late."""
+def test_exchange_opened_after_refusal_is_not_aborted() -> None:
+    """It is with the new incarnation, whose entry came late."""
     old, new = Connection(90, 91), Connection(97, 98)
-    assert broken_off(old, new) == [True, True] * 2
-    assert broken_off(Connection(90, 91), Connection(97, 98), refused_at=95.0) == [True, False] * 2
+    assert aborted_connections(old, new) == [True, True] * 2
+    assert (
+        aborted_connections(Connection(90, 91), Connection(97, 98), refused_at=95.0)
+        == [True, False] * 2
+    )
 
 
-def test_an_address_that_refuses_is_remembered_until_the_next_start() -> None:
+def test_refused_connection_is_remembered_until_restart() -> None:
     async def main() -> None:
         codec: Any = None
         pool, address = ReplicaPool(codec, ManualClock()), ("127.0.0.1", free_port())
         assert await pool.probe(address) is Reachability.REFUSES
-        probed_at = pool.take_refusal(address)
-        assert probed_at < float("inf") == pool.take_refusal(address)
+        probed_at = pool.pop_refused_at(address)
+        assert probed_at < float("inf") == pool.pop_refused_at(address)
         with pytest.raises(ReplicaError):
             await pool.acquire(address, "q1")
-        assert probed_at < pool.take_refusal(address) < float("inf")
+        assert probed_at < pool.pop_refused_at(address) < float("inf")
 
     curio.run(main)
 
 
-def test_a_list_in_which_no_start_is_told_says_what_it_said_before() -> None:
-    told = ("r1", "model", "10.0.0.1", 80, "z1", 8, False, 0)
-    expected = xxhash.xxh64_intdigest(repr(told).encode()) >> 16
-    assert Starts(start(3, 0)).directory.fingerprint == expected
+def test_fingerprint_without_start_time_is_unchanged() -> None:
+    fields = ("r1", "model", "10.0.0.1", 80, "z1", 8, False, 0)
+    expected = xxhash.xxh64_intdigest(repr(fields).encode()) >> 16
+    assert RestartRecorder(start(3, 0)).directory.fingerprint == expected
 
 
 # --- evidence against requests ---
@@ -322,46 +331,46 @@
     answered_at: float | None = None,
     entries: Sequence[Replica] = (),
 ) -> int:
-    """Return how many replicas ended under a request, by what was broken off."""
+    """Return how many crashes are counted for a request after aborted attempts."""
     clock = ManualClock(step_s=0.0)
     ledger = CrashLedger()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = None
-    directory = Starts(*entries).directory
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    directory = RestartRecorder(*entries).directory
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         if answered_at is not None:
             ledger.note_answer(CONTENT, answered_at)
         for replica, is_new in failures:
             delivery = Delivery(is_new, clock.now - 1.0)
-            await witness.record_failure("q1", CONTENT, replica, RESTARTED, delivery)
+            await detector.record_failure("q1", CONTENT, replica, RESTARTED, delivery)
 
     curio.run(main)
     return ledger.crashes(CONTENT)
 
 
-def test_a_new_start_proves_that_the_one_before_ended_under_a_request() -> None:
+def test_restart_counts_crash_of_previous_incarnation() -> None:
     first, second = start(1, 5), start(2, 9)
     assert crashes((first, True)) == 1
     assert crashes((first, True), (first, True)) == 1
     assert crashes((first, True), (second, True)) == 2
 
 
-def test_a_start_that_refuses_counts_for_itself() -> None:
-    """A replica that ends, comes back under its id and ends again has ended twice."""
+def test_each_incarnation_counts_separately() -> None:
+    """A replica that ends, restarts under its id and ends again has ended twice."""
     clock = ManualClock(step_s=0.0)
     ledger, directory = CrashLedger(), ReplicaDirectory()
     log = ServingLog("n1", clock, os.open(os.devnull, os.O_WRONLY))
     pool: Any = Refusing()
-    witness = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
+    detector = CrashDetector(ledger, directory, pool, log, ServingMetrics(), clock)
 
     async def main() -> None:
         for replica in (start(1, 5), start(2, 9)):
             directory.put(replica)
             delivery = Delivery(True, clock.now)
-            await witness.record_failure("q1", CONTENT, replica, "reset", delivery)
-            while witness._looks:
+            await detector.record_failure("q1", CONTENT, replica, "reset", delivery)
+            while detector._probes:
                 await curio.sleep(0)
 
     curio.run(main)
@@ -369,14 +378,14 @@
 
 
 class Refusing:
-    """An address at which nobody listens."""
+    """An address at which nothing listens."""
 
     async def probe(self, address: tuple[str, int]) -> Reachability:
         return Reachability.REFUSES
 
 
-def test_a_start_that_was_about_to_leave_is_no_evidence() -> None:
-    """It was told to end: that a request was still there says nothing."""
+def test_draining_incarnation_is_no_evidence() -> None:
+    """It was told to end, so a request that it still had is no evidence."""
     leaving = start(2, 5, is_draining=True)
     assert crashes((start(1, 5), True), entries=[start(1, 5), leaving, start(3, 9)]) == 0
     renewed = [start(1, 5), leaving, start(3, 9), start(4, 9)]
@@ -384,10 +393,10 @@
     assert crashes((start(4, 9), True), entries=[*renewed, start(5, 12)]) == 1
 
 
-def test_a_request_that_may_not_have_arrived_is_no_suspect() -> None:
+def test_request_that_may_be_undelivered_is_no_suspect() -> None:
     assert crashes((start(1, 5), False)) == 0
 
 
-def test_a_request_that_was_answered_meanwhile_is_no_suspect() -> None:
+def test_answered_request_is_no_suspect() -> None:
     assert crashes((start(1, 5), True), answered_at=99.5) == 0
     assert crashes((start(1, 5), True), answered_at=98.5) == 1
