--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(ROOT / "tests" / "serving"))
 
 from coordination_world import CoordinationWorld  # noqa: E402
-from test_crash_cases import ASK_EVERY_S, NODES, Clients, Trouble  # noqa: E402
+from test_crash_cases import NODES, REQUEST_INTERVAL_S, Clients, Disturbances  # noqa: E402
 
 from cloverwalk.fleet.messages import CrashCases  # noqa: E402
 from cloverwalk.gateway.content_hash import hash_content  # noqa: E402
@@ -37,15 +37,15 @@
         return True
 
     for node in world.nodes:
-        node.keeper.write_due = done  # type: ignore[method-assign]
+        node.crash_record_store.write_due = done  # type: ignore[method-assign]
 
 
 def each_alone(world: CoordinationWorld) -> None:
     """Each node counts what it sees itself."""
     for node in world.nodes:
-        node.cases.for_report = list  # type: ignore[method-assign]
-        node.cases.handle_report = lambda report, known: None  # type: ignore[method-assign]
-        node.cases.push = lambda others: None  # type: ignore[method-assign]
+        node.crash_records.records_for_report = list  # type: ignore[method-assign]
+        node.crash_records.handle_report = lambda report, entry: None  # type: ignore[method-assign]
+        node.crash_records.push = lambda get_peers: None  # type: ignore[method-assign]
 
 
 async def play(seed: int, prepare: Callable[[CoordinationWorld], None]) -> tuple[int, int, int]:
@@ -53,15 +53,15 @@
     world = CoordinationWorld(NODES)
     await world.start()
     clients = Clients(world)
-    trouble = Trouble(world, clients, seed)
+    trouble = Disturbances(world, clients, seed)
     began_at = world.now
     while world.now - began_at < SPAN_S:
         prepare(world)
         if trouble.random.random() < 0.15:
-            await trouble.strike()
-        trouble.note()
-        await clients.ask_guilty(trouble.random.choice(world.nodes))
-        await clients.pass_time(ASK_EVERY_S)
+            await trouble.replace()
+        trouble.record()
+        await clients.send_guilty(trouble.random.choice(world.nodes))
+        await clients.pass_time(REQUEST_INTERVAL_S)
     return len(clients.reached_at), clients.retries(), world.wire.bytes_by_kind[CrashCases]
 
 
--- a/bench/returning.py
+++ b/bench/returning.py
@@ -57,20 +57,20 @@
     async def measure(time: SimulatedTime) -> None:
         world = ReturningWorld(time, nodes, replicas, reads, WRITES_PER_S, first_run)
         await world.start_all()
-        await world.until(lambda one: one.serves, LONGEST_S)
+        await world.wait_until(lambda one: one.serves, LONGEST_S)
         await curio.sleep(SETTLE_S)
         refused = {node_host(number) for number in range(0, nodes, 3)}
-        refused |= world.core_hosts() if core else set()
+        refused |= world.leadership_hosts() if core else set()
         await world.kill_all()
         if refusal is not None:
             _refuse(world, refused, STATUS_BY_NAME[refusal], share)
-        world.store.forget_counts()
+        world.store.reset_counts()
         world.wire.sent.clear()
         began_at = time.now
         await world.start_all()
-        await world.until(lambda one: one.is_ready, LONGEST_S)
+        await world.wait_until(lambda one: one.is_ready, LONGEST_S)
         click.echo(f"last ready after   {time.now - began_at:6.2f} s")
-        await world.until(lambda one: one.serves, LONGEST_S)
+        await world.wait_until(lambda one: one.serves, LONGEST_S)
         click.echo(f"last served after  {time.now - began_at:6.2f} s")
         await curio.sleep(max(0.0, began_at + COUNTED_S - time.now))
         _print_counts(world)
--- a/src/cloverwalk/fleet/coordinator.py
+++ b/src/cloverwalk/fleet/coordinator.py
@@ -109,7 +109,7 @@
         self.must_hand_over: Callable[[], bool] = _never
         """Returns whether this node's machine is too loaded to coordinate."""
 
-        self._fullness_by_zone: dict[str, int] = {}
+        self._utilization_by_zone: dict[str, int] = {}
         self._utilization_updated_at = float("-inf")
         self._fleet_size = 0
         """Number of nodes as the coordinator reported it; 0 if unknown."""
@@ -295,7 +295,7 @@
 
     def _zone_utilization(self, node: str) -> int:
         entry = self.registry.by_name.get(node)
-        return 0 if entry is None else self._fullness_by_zone.get(entry.report.zone, 0)
+        return 0 if entry is None else self._utilization_by_zone.get(entry.report.zone, 0)
 
     def _is_store_available_to_other_nodes(self, node: str) -> bool:
         """Whether the store has recently answered a node other than ``node``."""
@@ -358,7 +358,7 @@
         if now - self._utilization_updated_at < UTILIZATION_INTERVAL_S:
             return
         self._utilization_updated_at = now
-        self._fullness_by_zone = median_by_zone(entry.report for entry in self.registry.live())
+        self._utilization_by_zone = median_by_zone(entry.report for entry in self.registry.live())
 
     def _ping_lost_nodes(self, now: float) -> None:
         """Send lost nodes the current leadership, since they may have restarted."""
--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -332,7 +332,7 @@
             self.is_leaving,
             has_lost_coordinator,
             self._coordinator.local_grants(now),
-            self._crash_records.for_report(),
+            self._crash_records.records_for_report(),
             self._crash_records.ledger.digest,
             item_timings=list(self._item_timings),
             corrections=self._pop_corrections(),
@@ -349,13 +349,13 @@
 
     # --- placement of online requests ---
 
-    async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
+    async def request_placement(self, request: PlacementRequest, until: float) -> PlacementResult:
         """Return a replica for an online request, or why there is none, by ``until``."""
-        result = await self._placement_client.request_placement(ask, until)
+        result = await self._placement_client.request_placement(request, until)
         self.on_placement()
         return result
 
-    async def send_ask(self, ask: PlacementRequest) -> Contact | None:
+    async def send_placement_request(self, request: PlacementRequest) -> Contact | None:
         """Send a placement request to the coordinator or a standby.
 
         Return the node it was sent to; None if this node has to decide.
@@ -363,7 +363,7 @@
         target = self._leader.target()
         if target is None or target.node == self._identity.node:
             return None
-        self._send_report(target, [ask])
+        self._send_report(target, [request])
         return target
 
     async def decide_locally(self, request: PlacementRequest) -> None:
--- a/src/cloverwalk/fleet/crash_record_store.py
+++ b/src/cloverwalk/fleet/crash_record_store.py
@@ -20,7 +20,7 @@
 from cloverwalk.store.types import CommitStatus, Put, Row, RowKey, Store, StoreError, Transaction
 from cloverwalk.telemetry.log import ServingLog
 
-CASE_TABLE = "crash"
+CRASH_RECORD_TABLE = "crash"
 CHECK_INTERVAL_S = 0.1
 """Interval at which the coordinator checks whether a row has to be written."""
 
@@ -35,7 +35,7 @@
 class StoredCrashRecord(msgspec.Struct, array_like=True):
     """Value of a row: a crash record as of a time of the store."""
 
-    case: CrashRecord
+    record: CrashRecord
     store_ms: float
 
 
@@ -86,7 +86,7 @@
     async def read(self) -> bool:
         """Merge the crash records of all rows; return whether the store has answered."""
         try:
-            page = await self._store.read_table(CASE_TABLE)
+            page = await self._store.read_table(CRASH_RECORD_TABLE)
         except StoreError:
             return False
         self._stored = {}
@@ -105,7 +105,7 @@
             key = row.row_key.key
             self._log.write(catalogue.CASE_INVALID, key=key, error=str(error)[:200])
             return None
-        record = stored.case
+        record = stored.record
         self._stored[record.content_hash] = len(record.crash_ages_ms)
         now = self._store_clock.now()
         # If the store's time is unknown, the record counts as new and expires later than needed.
@@ -148,4 +148,4 @@
 
 
 def _row_key(content: str) -> RowKey:
-    return RowKey(CASE_TABLE, "", content)
+    return RowKey(CRASH_RECORD_TABLE, "", content)
--- a/src/cloverwalk/fleet/crash_record_sync.py
+++ b/src/cloverwalk/fleet/crash_record_sync.py
@@ -56,7 +56,7 @@
         """Record the digest of the coordinator's crash records."""
         self._coordinator_digest = digest
 
-    def for_report(self) -> list[CrashRecord]:
+    def records_for_report(self) -> list[CrashRecord]:
         """Return the crash records that the coordinator may not have yet."""
         if not self.ledger.needs_sync:
             return []
@@ -73,26 +73,26 @@
 
     # --- the coordinator ---
 
-    def handle_report(self, report: Report, known: NodeEntry) -> None:
+    def handle_report(self, report: Report, entry: NodeEntry) -> None:
         """Merge a node's crash records, and send it all records if its digest differs."""
         self.merge(report.crash_records, report.node)
         now = self._clock()
         if (
             report.crash_digest == self.ledger.digest
-            or now - known.crash_records_sent_at < RESEND_INTERVAL_S
+            or now - entry.crash_records_sent_at < RESEND_INTERVAL_S
         ):
             return
-        known.crash_records_sent_at = now
-        self._transport.send(known.contact.host, CrashCases(self.ledger.shared_records(now)))
+        entry.crash_records_sent_at = now
+        self._transport.send(entry.contact.host, CrashCases(self.ledger.shared_records(now)))
 
-    def push(self, others: Callable[[], list[NodeEntry]]) -> None:
+    def push(self, get_peers: Callable[[], list[NodeEntry]]) -> None:
         """Send all nodes the records if they changed since the last call; called at each tick."""
         if self._sent_revision == self.ledger.revision:
             return
         self._sent_revision = self.ledger.revision
         now = self._clock()
         message = CrashCases(self.ledger.shared_records(now))
-        for entry in others():
+        for entry in get_peers():
             entry.crash_records_sent_at = now
             self._transport.send(entry.contact.host, message)
 
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -64,7 +64,7 @@
 SMALL_NODE_CLAIM_DELAY_S = 0.5
 """Additional delay before nodes with less than ``MIN_COORDINATOR_CORES`` claim the role."""
 
-VERIFY_EVERY_S = 1.0
+VERIFY_INTERVAL_S = 1.0
 MAX_HOLDER_STORE_AGE_MS = 2500
 """The first standby takes the role from a coordinator that the store has not answered for this
 time, if the store answered the standby within ``MAX_CLAIMANT_STORE_AGE_MS``."""
@@ -188,7 +188,7 @@
             self._leader.last_seen_at = self._leader.holder_last_seen_at = now
             self._scheduler.quotas.reset_after_pause(now)
         if self._coordinator.is_active:
-            if now - self._verified_at >= VERIFY_EVERY_S:
+            if now - self._verified_at >= VERIFY_INTERVAL_S:
                 self._verified_at = now
                 await self._verify()
         elif not self.is_leaving and self._should_claim(now):
@@ -284,10 +284,10 @@
         identity = self._identity
         return self._coordinator.registry.choose_standbys(identity.node, identity.zone, by_zone)
 
-    async def _write(self, expected: int, standbys: tuple[Contact, ...]) -> None:
+    async def _write(self, expected_version: int, standbys: tuple[Contact, ...]) -> None:
         role = RoleRow(self._identity.contact, self._identity.run, standbys)
         transaction = Transaction(
-            [Expectation(ROLE_KEY, expected)], [Put(ROLE_KEY, _encoder.encode(role))]
+            [Expectation(ROLE_KEY, expected_version)], [Put(ROLE_KEY, _encoder.encode(role))]
         )
         outcome = await self._store.commit(transaction, CLAIM_TIMEOUT_S)
         if outcome.status is CommitStatus.COMMITTED:
@@ -348,7 +348,7 @@
             return
         elif self._superseded_since is None:
             self._superseded_since = now
-        elif now - self._superseded_since >= VERIFY_EVERY_S and self._has_reporting_peers():
+        elif now - self._superseded_since >= VERIFY_INTERVAL_S and self._has_reporting_peers():
             await self._write(row.version, self._standbys())
 
     def _has_reporting_peers(self) -> bool:
--- a/src/cloverwalk/fleet/follower.py
+++ b/src/cloverwalk/fleet/follower.py
@@ -10,8 +10,8 @@
 from cloverwalk.store.types import HistoryLostError, RowPage, Store, StoreError
 from cloverwalk.telemetry.log import ServingLog
 
-FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 1.0
+MIN_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 1.0
 LONG_POLL_TIMEOUT_S = 2.5
 """How long a call waits for a change; short, since a lost answer is noticed only by its timeout."""
 
@@ -26,7 +26,7 @@
 class TableFollower:
     """Passes the rows of one table and their changes to callbacks.
 
-    ``on_whole`` gets every row of the table, ``on_changes`` the rows changed since. A call that
+    ``on_full_read`` gets every row of the table, ``on_changes`` the rows changed since. A call that
     succeeds confirms all earlier rows, even if nothing has changed. ``wait_until_needed`` returns
     when the table has to be followed; a node whose coordinator sends all changes needn't.
     """
@@ -36,7 +36,7 @@
         table: str,
         store: Store,
         health: StoreHealth,
-        on_whole: OnRows,
+        on_full_read: OnRows,
         on_changes: OnRows,
         interval_s: float,
         log: ServingLog,
@@ -48,14 +48,14 @@
         self._wait_until_needed = wait_until_needed
         self._store = store
         self._health = health
-        self._on_whole = on_whole
+        self._on_full_read = on_full_read
         self._on_changes = on_changes
         self._interval_s = interval_s
         self._log = log
         self._clock = clock
         self._random = random
         self._version: int | None = None
-        self._lost_since: float | None = None
+        self._failing_since: float | None = None
         self.confirmed_at = float("-inf")
         """When the last answered call began, in seconds of the monotonic clock."""
 
@@ -65,26 +65,26 @@
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        retry_s = FIRST_RETRY_S
+        retry_delay_s = MIN_RETRY_DELAY_S
         while True:
             await self._wait_until_needed()
             try:
                 await self._step()
-                retry_s = FIRST_RETRY_S
+                retry_delay_s = MIN_RETRY_DELAY_S
                 await curio.sleep(self._interval_s)
             except HistoryLostError:
                 self._version = None
                 self._log.write(catalogue.HISTORY_LOST, table=self.table)
             except StoreError as error:
                 self._record_failure(error)
-                await self._health.backoff(retry_s * 1000 * (0.5 + self._random.random()))
-                retry_s = min(LONGEST_RETRY_S, 2 * retry_s)
+                await self._health.backoff(retry_delay_s * 1000 * (0.5 + self._random.random()))
+                retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * retry_delay_s)
 
     async def _step(self) -> None:
         began_at = self._clock()
         if self._version is None:
             page = await self._store.read_table(self.table)
-            await self._on_whole(page)
+            await self._on_full_read(page)
         else:
             page = await self._store.changes(self.table, self._version, LONG_POLL_TIMEOUT_S)
             await self._on_changes(page)
@@ -93,12 +93,12 @@
 
     def _record_answer(self, began_at: float) -> None:
         self.confirmed_at = began_at
-        if self._lost_since is not None:
-            lost_s = round(self._clock() - self._lost_since, 3)
+        if self._failing_since is not None:
+            lost_s = round(self._clock() - self._failing_since, 3)
             self._log.write(catalogue.FEED_BACK, table=self.table, lost_s=lost_s)
-            self._lost_since = None
+            self._failing_since = None
 
     def _record_failure(self, error: StoreError) -> None:
-        if self._lost_since is None:
-            self._lost_since = self._clock()
+        if self._failing_since is None:
+            self._failing_since = self._clock()
             self._log.write(catalogue.FEED_LOST, table=self.table, code=error.code)
--- a/src/cloverwalk/fleet/placement_client.py
+++ b/src/cloverwalk/fleet/placement_client.py
@@ -65,7 +65,7 @@
 class PlacementRequestSender(Protocol):
     """Sends placement requests to the coordinator or a standby."""
 
-    async def send_ask(self, ask: PlacementRequest) -> Contact | None:
+    async def send_placement_request(self, request: PlacementRequest) -> Contact | None:
         """Send a placement request and return its receiver; None if this node has to decide."""
         ...
 
@@ -127,7 +127,7 @@
         for _ in range(MAX_PLACEMENT_ATTEMPTS):
             sent_at = self._clock()
             pending.event.clear()
-            target = await self._sender.send_ask(request)
+            target = await self._sender.send_placement_request(request)
             if target is None:
                 break
             await self._wait(pending, self._timeout_s())
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -188,7 +188,7 @@
     async def _deliver_locally(self, orders: object) -> None:
         await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
-    async def until_directory_needed(self) -> None:
+    async def wait_until_directory_needed(self) -> None:
         """Return when this node has to read the list of replicas itself."""
         while not self.coordinator.is_active:
             rest_s = self._knowledge.directory.confirmed_at + DIRECTORY_STALE_S - self._clock()
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -173,7 +173,7 @@
             self._log,
             self._clock,
             self._random,
-            self._fleet.until_directory_needed,
+            self._fleet.wait_until_directory_needed,
         )
 
     def _build_gateway(self) -> None:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -713,7 +713,7 @@
     Mutant(
         "serving: a claim of a node that nobody hears stands",
         "fleet/election.py",
-        "        elif now - self._superseded_since >= VERIFY_EVERY_S "
+        "        elif now - self._superseded_since >= VERIFY_INTERVAL_S "
         "and self._has_reporting_peers():",
         "        elif False:",
         COORDINATION + "test_isolated_node_does_not_keep_the_role_from_the_coordinator",
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -51,8 +51,8 @@
     """Carries datagrams; hosts and zones that are cut off neither send nor receive any."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[str, str, Datagram]] = []
-        self.silent: set[str] = set()
+        self.in_transit: list[tuple[str, str, Datagram]] = []
+        self.cut_hosts: set[str] = set()
         self.cut_zones: set[str] = set()
         """Zones that are cut off from each other zone."""
 
@@ -67,12 +67,16 @@
     def sender(self, host: str) -> "WireEnd":
         return WireEnd(self, host)
 
-    def put(self, source: str, host: str, message: Datagram) -> None:
+    def carry(self, source: str, host: str, message: Datagram) -> None:
         self.sent += 1
         self.placement_requests += (
             len(message.placement_requests) if isinstance(message, Report) else 0
         )
-        if source in self.silent or host in self.silent or type(message) in self.dropped_kinds:
+        if (
+            source in self.cut_hosts
+            or host in self.cut_hosts
+            or type(message) in self.dropped_kinds
+        ):
             return
         zones = {_zone_of(source), _zone_of(host)}
         if len(zones) > 1 and zones & self.cut_zones:
@@ -84,7 +88,7 @@
             self.directory_updates_to_drop -= 1
             return
         # Receivers get the message as it is after encoding and decoding.
-        self.waiting.append((source, host, decode_datagram(data)))
+        self.in_transit.append((source, host, decode_datagram(data)))
 
 
 def _zone_of(host: str) -> str:
@@ -100,7 +104,7 @@
         self._host = host
 
     def send(self, host: str, message: Datagram) -> None:
-        self._wire.put(self._host, host, message)
+        self._wire.carry(self._host, host, message)
 
 
 class FleetNode:
@@ -126,7 +130,7 @@
         self.leader = LeaderView(self.identity, world.now)
         transport = world.wire.sender(self.host)
         self.ledger = CrashLedger()
-        self.cases = CrashRecordSync(self.ledger, transport, log, clock)
+        self.crash_records = CrashRecordSync(self.ledger, transport, log, clock)
         self.scheduler = Scheduler(
             self.directory,
             self.configuration,
@@ -144,14 +148,14 @@
             self.configuration,
             self.directory,
             self.health,
-            self.cases,
+            self.crash_records,
             log,
             clock,
         )
-        self.keeper = CrashRecordStore(
-            self.cases, self.coordinator, self.store, self.health, store_clock, log, clock
+        self.crash_record_store = CrashRecordStore(
+            self.crash_records, self.coordinator, self.store, self.health, store_clock, log, clock
         )
-        self.link = CoordinatorClient(
+        self.client = CoordinatorClient(
             self.identity,
             self.leader,
             self.coordinator,
@@ -160,7 +164,7 @@
             self.configuration,
             self.directory,
             self.health,
-            self.cases,
+            self.crash_records,
             [f"h{seed:03d}" for seed in range(SEEDS)],
             log,
             clock,
@@ -170,7 +174,7 @@
             self.identity,
             self.leader,
             self.coordinator,
-            self.link,
+            self.client,
             self.scheduler,
             self.store,
             self.health,
@@ -180,7 +184,7 @@
         )
 
     async def _deliver(self, orders: Orders) -> None:
-        await self.link.handle_orders(orders, self.host)
+        await self.client.handle_orders(orders, self.host)
 
     async def handle_message(self, message: Datagram, source: str) -> None:
         match message:
@@ -189,7 +193,7 @@
             case Snapshot():
                 await self.election.handle_snapshot(message, source)
             case _:
-                await self.link.handle_message(message, source)
+                await self.client.handle_message(message, source)
 
     @property
     def follows(self) -> str:
@@ -239,14 +243,14 @@
         for node in self.nodes:
             self.load_replicas(node)
             await node.election._start()
-            await node.keeper.read()
+            await node.crash_record_store.read()
         await self.run(4 * self.STEP_S)
 
     async def deliver(self) -> None:
         """Deliver datagrams until none is in transit."""
-        while self.wire.waiting:
-            waiting, self.wire.waiting = self.wire.waiting, []
-            for source, host, message in waiting:
+        while self.wire.in_transit:
+            arriving, self.wire.in_transit = self.wire.in_transit, []
+            for source, host, message in arriving:
                 for node in self.nodes:
                     if node.host == host:
                         await node.handle_message(message, source)
@@ -257,17 +261,17 @@
             self._steps += 1
             self.now += self.STEP_S
             for node in list(self.nodes):
-                is_due = bool(self.lost_zones) and self.now >= node.link.report_due_at()
+                is_due = bool(self.lost_zones) and self.now >= node.client.report_due_at()
                 if is_due or (self._steps + node.number) % self.REPORT_STEPS == 0:
-                    await node.link._report()
+                    await node.client._report()
             await self.deliver()
             for node in list(self.nodes):
-                if node.host in self.wire.silent and node.host.startswith("dead"):
+                if node.host in self.wire.cut_hosts and node.host.startswith("dead"):
                     continue
                 await node.coordinator.tick()
                 await node.election.check(self.STEP_S)
                 if node.coordinator.is_active:
-                    await node.keeper.write_due()
+                    await node.crash_record_store.write_due()
             await self.deliver()
 
     def kill(self, node: FleetNode) -> None:
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -132,7 +132,7 @@
         put = Put(RowKey(table, "", key), json.dumps(document).encode())
         self.rows.apply(Transaction(puts=[put]))
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         """Reset all counters."""
         self.calls.clear()
         self.by_second.clear()
@@ -235,7 +235,7 @@
     """Carries datagrams between the nodes."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[str, str, bytes]] = []
+        self.in_transit: list[tuple[str, str, bytes]] = []
         self.receivers: dict[str, OnDatagram] = {}
         self.sent: Counter[str] = Counter()
         self.bytes_by_kind: Counter[str] = Counter()
@@ -243,8 +243,8 @@
     async def run(self) -> None:
         while True:
             await curio.sleep(DATAGRAM_TIME_S)
-            waiting, self.waiting = self.waiting, []
-            for source, host, data in waiting:
+            arriving, self.in_transit = self.in_transit, []
+            for source, host, data in arriving:
                 receiver = self.receivers.get(host)
                 if receiver is not None:
                     await receiver(decode_datagram(data), source)
@@ -263,7 +263,7 @@
         self._wire.sent[kind] += 1
         self._wire.bytes_by_kind[kind] += len(data)
         if len(data) <= MAX_DATAGRAM_BYTES:
-            self._wire.waiting.append((self._host, host, data))
+            self._wire.in_transit.append((self._host, host, data))
 
     async def receive(self, on_datagram: OnDatagram) -> None:
         self._wire.receivers[self._host] = on_datagram
@@ -340,7 +340,7 @@
             log,
             time,
             random,
-            self.fleet.until_directory_needed,
+            self.fleet.wait_until_directory_needed,
         )
         self._store_probe = StoreProbe(self.store, self.health, self.fleet)
         self._tasks: list[Any] = []
@@ -422,14 +422,16 @@
         """Whether a node is active as coordinator."""
         return any(entry.fleet.coordinator.is_active for entry in self.nodes if entry.name == node)
 
-    def core_hosts(self) -> set[str]:
+    def leadership_hosts(self) -> set[str]:
         """Return the hosts of the coordinator and its standbys."""
         (active,) = [node for node in self.nodes if node.fleet.coordinator.is_active]
         current = active.fleet.leader.current
         assert current is not None
         return {current.holder.host, *(standby.host for standby in current.standbys)}
 
-    async def until(self, condition: Callable[[ReturningNode], bool], timeout_s: float) -> float:
+    async def wait_until(
+        self, condition: Callable[[ReturningNode], bool], timeout_s: float
+    ) -> float:
         """Wait until a condition holds at every node; return the time that it took."""
         began_at = self.time.now
         while not all(condition(node) for node in self.nodes):
--- a/tests/serving/test_coordination.py
+++ b/tests/serving/test_coordination.py
@@ -66,7 +66,7 @@
 
 async def request_placement(world: CoordinationWorld, node: FleetNode) -> PlacementResult:
     """Request a placement; datagrams are delivered at once and time stands still."""
-    task = await curio.spawn(node.link.request_placement, REQUEST, world.now + 1.5)
+    task = await curio.spawn(node.client.request_placement, REQUEST, world.now + 1.5)
     while not task.terminated:
         await world.deliver()
         await curio.sleep(0.001)
@@ -151,7 +151,7 @@
         assert leadership is not None
         restarted = world.replace(old)
         # Other nodes still send the leadership that names the earlier process.
-        await restarted.link.update_leadership(leadership)
+        await restarted.client.update_leadership(leadership)
         await restarted.election._start()
         assert [node.identity.run for node in world.active] == [restarted.identity.run]
         assert restarted.leader.term > leadership.term
@@ -166,16 +166,16 @@
         world.nodes.append(starting)
         leadership = world.coordinator.leader.current
         assert leadership is not None
-        await starting.link.update_leadership(leadership)
+        await starting.client.update_leadership(leadership)
         world.wire.bytes_by_kind.clear()
         for _ in range(2):
             world.now += 0.1
-            await starting.link._report()
+            await starting.client._report()
             await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] == 0
         assert world.wire.bytes_by_kind[DirectoryUpdate] == 0
         await starting.health.record_failure()
-        await starting.link._report()
+        await starting.client._report()
         await world.deliver()
         assert world.wire.bytes_by_kind[ConfigurationCopy] > 0
         assert world.wire.bytes_by_kind[DirectoryUpdate] > 0
@@ -189,7 +189,7 @@
         await restarted.election._start()
         world.wire.bytes_by_kind.clear()
         for node in world.nodes:
-            await node.link._report()
+            await node.client._report()
         await world.deliver()
         world.load_replicas(restarted)
         await restarted.coordinator.tick()
@@ -204,10 +204,10 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         old = world.coordinator
-        world.wire.silent.add(old.host)
+        world.wire.cut_hosts.add(old.host)
         await world.run(3.0)
         assert len(world.active) == 2
-        world.wire.silent.clear()
+        world.wire.cut_hosts.clear()
         await world.run(3.0)
         assert world.coordinator is not old
         assert {node.follows for node in world.nodes} == {world.coordinator.name}
@@ -222,12 +222,12 @@
         await world.run(2.0)
         old = world.coordinator
         isolated = follower_node(world)
-        world.wire.silent.add(isolated.host)
+        world.wire.cut_hosts.add(isolated.host)
         await world.run(8.0)
         peers = [node for node in world.nodes if node is not isolated]
         assert {node.follows for node in peers} == {old.name}
         assert old.coordinator.is_active
-        world.wire.silent.clear()
+        world.wire.cut_hosts.clear()
         await world.run(4.0)
         assert world.coordinator.name == old.name
         assert {node.follows for node in world.nodes} == {old.name}
@@ -268,7 +268,7 @@
         standby = leadership.standbys[0].node
         requester = follower_node(world)
         assert (await request_placement(world, requester)).verdict is PlacementVerdict.SEND
-        world.wire.silent.add(old.host)
+        world.wire.cut_hosts.add(old.host)
         world.now += 1.0
         result = await request_placement(world, requester)
         assert result.verdict is PlacementVerdict.SEND
@@ -283,7 +283,7 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         requester = follower_node(world)
-        world.wire.silent.add(requester.host)
+        world.wire.cut_hosts.add(requester.host)
         world.now += 1.0
         results = [await request_placement(world, requester) for _ in range(6)]
         assert {result.verdict for result in results} == {PlacementVerdict.SEND}
@@ -297,12 +297,12 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         node = follower_node(world)
-        world.wire.silent.add(node.host)
+        world.wire.cut_hosts.add(node.host)
         for host in {peer.host for peer in world.nodes} - {node.host}:
             node.leader.mark_unresponsive(host)
         assert node.follows == ""
-        world.wire.silent.clear()
-        node.link._report_to_unresponsive_nodes()
+        world.wire.cut_hosts.clear()
+        node.client._report_to_unresponsive_nodes()
         await world.deliver()
         assert node.follows == world.coordinator.name
 
@@ -331,7 +331,7 @@
         requester = next(
             candidate for candidate in world.nodes if not candidate.coordinator.is_active
         )
-        task = await curio.spawn(requester.link.request_placement, REQUEST, world.now + 1.5)
+        task = await curio.spawn(requester.client.request_placement, REQUEST, world.now + 1.5)
         await curio.sleep(0)
         await task.cancel()
         await world.deliver()
@@ -366,19 +366,19 @@
 def test_orders_are_applied_once_and_only_from_the_followed_node() -> None:
     async def test(world: CoordinationWorld) -> None:
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
-        recorder = node.link.batch_handler = Recorder()
+        recorder = node.client.batch_handler = Recorder()
         holder = world.coordinator
         leadership = holder.leader.current
         assert leadership is not None
         sender = holder.identity.incarnation
         orders = Orders(leadership, sender, 50, 1, 0, 0, 0, True, grants={"r0": 2})
-        await node.link.handle_orders(orders, holder.host)
-        await node.link.handle_orders(orders, holder.host)
+        await node.client.handle_orders(orders, holder.host)
+        await node.client.handle_orders(orders, holder.host)
         earlier = Orders(leadership, sender, 49, 1, 0, 0, 0, True, grants={"r1": 1})
-        await node.link.handle_orders(earlier, holder.host)
+        await node.client.handle_orders(earlier, holder.host)
         assert recorder.grants == [{"r0": 2}]
         foreign = Orders(leadership, "other.0c", 70, 1, 0, 0, 0, True, grants={"r2": 1})
-        await node.link.handle_orders(foreign, "h-other")
+        await node.client.handle_orders(foreign, "h-other")
         assert recorder.grants == [{"r0": 2}]
 
     in_fleet(SMALL_FLEET_NODES, test)
@@ -388,12 +388,12 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         node = follower_node(world)
-        recorder = node.link.batch_handler = Recorder()
-        world.wire.silent.add(node.host)
+        recorder = node.client.batch_handler = Recorder()
+        world.wire.cut_hosts.add(node.host)
         for host in {peer.host for peer in world.nodes} - {node.host}:
             node.leader.mark_unresponsive(host)
-        node.link.waiting = {"model": [WaitingGroup(1, 5)]}
-        await node.link._report()
+        node.client.waiting = {"model": [WaitingGroup(1, 5)]}
+        await node.client._report()
         assert recorder.grants == []
         assert all(load.batch == 0 for load in node.scheduler.replica_loads().values())
 
@@ -403,7 +403,7 @@
 def test_takeover_orders_reach_only_the_named_process() -> None:
     async def test(world: CoordinationWorld) -> None:
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
-        recorder = node.link.batch_handler = Recorder()
+        recorder = node.client.batch_handler = Recorder()
         world.coordinator.coordinator.send_takeover(node.identity.incarnation, ["j1", "j2"])
         world.coordinator.coordinator.send_takeover(f"{node.name}.0z", ["j3"])
         await world.deliver()
@@ -524,7 +524,7 @@
     async def test(world: CoordinationWorld) -> None:
         await world.run(2.0)
         requester = follower_node(world)
-        world.wire.silent.add(requester.host)
+        world.wire.cut_hosts.add(requester.host)
         world.now += 1.0
         assert (await request_placement(world, requester)).verdict is PlacementVerdict.SEND
         assert 1 <= world.wire.placement_requests <= MAX_PLACEMENT_ATTEMPTS
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -33,7 +33,7 @@
 
 MAX_RETRIES = 3
 NODES = 5
-ASK_EVERY_S = 0.5
+REQUEST_INTERVAL_S = 0.5
 
 
 # --- one ledger ---
@@ -154,7 +154,7 @@
         """Time of the last restart, cut or message loss, by node."""
 
         self.refused_popular = 0
-        self.ends = 0
+        self.popular_crashes = 0
         """Number of replicas that ended while they ran the popular request."""
 
     def _may_send(self, node: FleetNode, content: str) -> bool:
@@ -167,12 +167,12 @@
         deciders = [
             peer
             for peer in self.world.nodes
-            if peer.name == node.follows and peer.host not in self.world.wire.silent
+            if peer.name == node.follows and peer.host not in self.world.wire.cut_hosts
         ]
-        decider = deciders[0] if deciders and node.host not in self.world.wire.silent else node
+        decider = deciders[0] if deciders and node.host not in self.world.wire.cut_hosts else node
         return decider.ledger.try_admit(content, now)
 
-    async def ask_guilty(self, node: FleetNode) -> None:
+    async def send_guilty(self, node: FleetNode) -> None:
         if self._may_send(node, GUILTY):
             now = self.world.now
             self.reached_at.append(now)
@@ -181,12 +181,12 @@
             node.ledger.note_crash(GUILTY, f"e{len(self.reached_at)}", now)
             await self._report(node)
 
-    async def ask_popular(self, node: FleetNode, has_crashed: bool) -> None:
+    async def send_popular(self, node: FleetNode, has_crashed: bool) -> None:
         if not self._may_send(node, POPULAR):
             self.refused_popular += 1
         elif has_crashed:
-            self.ends += 1
-            node.ledger.note_crash(POPULAR, f"p{self.ends}", self.world.now)
+            self.popular_crashes += 1
+            node.ledger.note_crash(POPULAR, f"p{self.popular_crashes}", self.world.now)
             await self._report(node)
         else:
             node.ledger.note_answer(POPULAR, self.world.now)
@@ -194,7 +194,7 @@
 
     async def _report(self, node: FleetNode) -> None:
         """Send a report, as a node does within milliseconds of the end of a request."""
-        await node.link._report()
+        await node.client._report()
         await self.world.deliver()
 
     async def pass_time(self, seconds: float) -> None:
@@ -202,8 +202,8 @@
         for _ in range(round(seconds / self.world.STEP_S)):
             await self.world.run(self.world.STEP_S)
             for node in self.world.nodes:
-                if node.link._report_requested.is_set():
-                    node.link._report_requested.clear()
+                if node.client._report_requested.is_set():
+                    node.client._report_requested.clear()
                     await self._report(node)
 
     def retries(self) -> int:
@@ -214,7 +214,7 @@
         return sum(at > third_at + SYNC_TIMEOUT_S for at in self.synchronized_at)
 
 
-class Trouble:
+class Disturbances:
     """Draws disturbances of a fleet: restarts, cuts, lost messages."""
 
     def __init__(self, world: CoordinationWorld, clients: Clients, seed: int) -> None:
@@ -222,10 +222,10 @@
         self.random = Random(seed)
         self._clients = clients
 
-    async def strike(self) -> None:
+    async def replace(self) -> None:
         """End the current disturbance and begin a random one, or none."""
         world, random = self.world, self.random
-        world.wire.silent.clear()
+        world.wire.cut_hosts.clear()
         world.wire.dropped_kinds.clear()
         match random.randrange(6):
             case 0:
@@ -233,16 +233,16 @@
             case 1:
                 await self._restart(random.choice(world.nodes))
             case 2:
-                world.wire.silent.add(random.choice(world.nodes).host)
+                world.wire.cut_hosts.add(random.choice(world.nodes).host)
             case 3:
                 world.wire.dropped_kinds.add(random.choice([CrashCases, Report]))
             case _:
                 pass
 
-    def note(self) -> None:
+    def record(self) -> None:
         """Record the nodes that are cut off or lose messages now."""
         for node in self.world.nodes:
-            if node.host in self.world.wire.silent or self.world.wire.dropped_kinds:
+            if node.host in self.world.wire.cut_hosts or self.world.wire.dropped_kinds:
                 self._clients.disturbed_at[node.name] = self.world.now
 
     async def _restart(self, node: FleetNode) -> None:
@@ -250,7 +250,7 @@
         self._clients.disturbed_at[restarted.name] = self.world.now
         self.world.load_replicas(restarted)
         await restarted.election._start()
-        await restarted.keeper.read()
+        await restarted.crash_record_store.read()
 
 
 @given(seed=st.integers(0, 10_000))
@@ -260,15 +260,15 @@
         world = CoordinationWorld(NODES)
         await world.start()
         clients = Clients(world)
-        trouble = Trouble(world, clients, seed)
+        disturbances = Disturbances(world, clients, seed)
         began_at = world.now
         while world.now - began_at < 20.0:
-            if trouble.random.random() < 0.15:
-                await trouble.strike()
-            trouble.note()
-            node = trouble.random.choice(world.nodes)
-            await clients.ask_guilty(node)
-            await clients.pass_time(ASK_EVERY_S)
+            if disturbances.random.random() < 0.15:
+                await disturbances.replace()
+            disturbances.record()
+            node = disturbances.random.choice(world.nodes)
+            await clients.send_guilty(node)
+            await clients.pass_time(REQUEST_INTERVAL_S)
         assert clients.retries() <= MAX_RETRIES, clients.reached_at
 
     curio.run(test)
@@ -296,10 +296,10 @@
         random = Random(seed)
         clients = Clients(world)
         for _ in range(ROUNDS):
-            await clients.ask_guilty(random.choice(world.nodes))
+            await clients.send_guilty(random.choice(world.nodes))
             for number, node in enumerate(random.sample(world.nodes, RUNS)):
-                await clients.ask_popular(node, has_crashed=number < crashed)
-            await clients.pass_time(ASK_EVERY_S)
+                await clients.send_popular(node, has_crashed=number < crashed)
+            await clients.pass_time(REQUEST_INTERVAL_S)
         assert clients.refused_popular <= max_refused
 
     curio.run(test)
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -14,7 +14,7 @@
 
 from cloverwalk.emulator.platform_replica import PlatformReplica
 from cloverwalk.emulator.replica_runs import Arrival, Misdeed
-from cloverwalk.fleet.crash_record_store import CASE_TABLE
+from cloverwalk.fleet.crash_record_store import CRASH_RECORD_TABLE
 from cloverwalk.gateway import crash_ledger
 from cloverwalk.gateway.content_hash import hash_content
 from cloverwalk.jobs import runner
@@ -133,7 +133,7 @@
 
     def stored(self) -> dict[str, bytes]:
         """Return the rows of contained requests."""
-        return self.world.store.rows.values(CASE_TABLE)
+        return self.world.store.rows.values(CRASH_RECORD_TABLE)
 
     def live_nodes(self) -> list[Any]:
         tasks = zip(self.world.nodes, self.world.node_tasks, strict=True)
--- a/tests/serving/test_fleet_processes.py
+++ b/tests/serving/test_fleet_processes.py
@@ -11,7 +11,7 @@
 
 from cloverwalk.platform import names
 
-READY_WITHIN_S = 60.0
+READY_TIMEOUT_S = 60.0
 NODES = 4
 
 
@@ -23,7 +23,7 @@
         self.nodes = nodes
 
     async def wait_until_ready(self, node: NodeProcess) -> None:
-        async with curio.timeout_after(READY_WITHIN_S):
+        async with curio.timeout_after(READY_TIMEOUT_S):
             while not await self._is_ready(node):
                 await curio.sleep(0.1)
 
@@ -49,7 +49,7 @@
         return answer.status == 200 and answer.is_whole
 
     async def wait_until_superseded(self, node: NodeProcess) -> None:
-        async with curio.timeout_after(READY_WITHIN_S):
+        async with curio.timeout_after(READY_TIMEOUT_S):
             while self.coordinator_name() == node.node:
                 await curio.sleep(0.05)
 
@@ -69,17 +69,19 @@
     in_world(main)
 
 
-@pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGSTOP])
-def test_requests_are_served_while_coordinator_is_killed_or_suspended(how: signal.Signals) -> None:
+@pytest.mark.parametrize("stop_signal", [signal.SIGKILL, signal.SIGSTOP])
+def test_requests_are_served_while_coordinator_is_killed_or_suspended(
+    stop_signal: signal.Signals,
+) -> None:
     async def test(fleet: ProcessFleet) -> None:
         lost = await fleet.coordinator()
         peers = [node for node in fleet.nodes if node is not lost]
         assert all([await fleet.is_served(node) for node in peers])
-        lost.send_signal(how)
+        lost.send_signal(stop_signal)
         assert all([await fleet.is_served(node) for node in peers for _ in range(3)])
         await fleet.wait_until_superseded(lost)
         assert all([await fleet.is_served(node) for node in peers])
-        if how is signal.SIGSTOP:
+        if stop_signal is signal.SIGSTOP:
             lost.send_signal(signal.SIGCONT)
             assert await fleet.is_served(lost)
 
@@ -99,7 +101,7 @@
         assert accepted.status == 202
         owner.restart()
         target = f"{names.JOB_PREFIX}j?since_revision=0"
-        async with curio.timeout_after(READY_WITHIN_S):
+        async with curio.timeout_after(READY_TIMEOUT_S):
             while True:
                 answer = await world.call("GET", target, address=holder.client_address)
                 if answer.status == 200 and len(json.loads(answer.body)["results"]) == 6:
--- a/tests/serving/test_fleet_quotas.py
+++ b/tests/serving/test_fleet_quotas.py
@@ -48,7 +48,7 @@
             await task.join()
 
     async def _send_request(self, node: FleetNode) -> None:
-        result = await node.link.request_placement(self.request, self.world.now)
+        result = await node.client.request_placement(self.request, self.world.now)
         self.verdicts.append(result.verdict)
         if result.verdict is PlacementVerdict.SEND:
             self.sent.append(self.world.now)
@@ -97,7 +97,7 @@
         hot, steady = Traffic(world, "hot", 16), Traffic(world, "steady", 1)
         await run_traffic(world, [hot, steady], 3.0)
         old = world.coordinator
-        world.wire.silent.add(old.host)
+        world.wire.cut_hosts.add(old.host)
         world.kill(old)
         await run_traffic(world, [hot, steady], 6.0)
         assert world.coordinator is not old
@@ -126,9 +126,9 @@
         hot = Traffic(world, "hot", 15)
         await run_traffic(world, [hot], 3.0)
         cut = [node for node in world.nodes if not node.coordinator.is_active][:5]
-        world.wire.silent.update(node.host for node in cut)
+        world.wire.cut_hosts.update(node.host for node in cut)
         await run_traffic(world, [hot], 3.0)
-        world.wire.silent.clear()
+        world.wire.cut_hosts.clear()
         await run_traffic(world, [hot], 4.0)
         assert hot.max_sent_in_window() <= MAX_SENT_IN_WINDOW
 
@@ -173,7 +173,7 @@
     async def test(world: CoordinationWorld) -> None:
         steady = Traffic(world, "steady", 1)
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
-        world.wire.silent.add(node.host)
+        world.wire.cut_hosts.add(node.host)
         world.now += 1.0
         await steady.step([node])
         assert steady.verdicts == [PlacementVerdict.SEND]
@@ -185,13 +185,13 @@
     async def test(world: CoordinationWorld) -> None:
         steady = Traffic(world, "steady", 1)
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
-        world.wire.silent.add(node.host)
+        world.wire.cut_hosts.add(node.host)
         world.now += 1.0
         await steady.step([node])
         assert steady.verdicts == [PlacementVerdict.SEND]
-        world.wire.silent.clear()
-        await node.link._report()
-        node.link._report_to_unresponsive_nodes()
+        world.wire.cut_hosts.clear()
+        await node.client._report()
+        node.client._report_to_unresponsive_nodes()
         await world.deliver()
         levels = world.coordinator.scheduler.quotas.bucket_levels(world.now)
         assert levels["steady"] <= STEADY.bucket_size - 1 + 0.5
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -224,7 +224,7 @@
         assert coordinator is not None
         roster = coordinator._fleet.coordinator.registry
         assert {one.report.utilization_percent for one in roster.live()} == {0}
-        assert coordinator._fleet.coordinator._fullness_by_zone == {}
+        assert coordinator._fleet.coordinator._utilization_by_zone == {}
         assert (await world.ask("/chat/a")).is_whole
 
     in_world(test)
@@ -250,10 +250,10 @@
             told[name] = percent
 
         for node in world.nodes:
-            node.link.on_zone_utilization = partial(note, node.name)
+            node.client.on_zone_utilization = partial(note, node.name)
         full_zone = world.nodes[0].identity.zone
         for node in world.nodes:
-            node.link.utilization_percent = 90 if node.identity.zone == full_zone else 20
+            node.client.utilization_percent = 90 if node.identity.zone == full_zone else 20
         await world.run(3.0)
         for node in world.nodes:
             if node is not world.coordinator:
@@ -270,13 +270,13 @@
         assert old.leader.current is not None
         first = old.leader.current.standbys[0].node
         standby = next(one for one in world.nodes if one.name == first)
-        old.link.utilization_percent = 100
-        standby.link.utilization_percent = FULL_PERCENT
+        old.client.utilization_percent = 100
+        standby.client.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         old.coordinator.must_hand_over = lambda: True
         await world.run(HAND_OVER_AFTER_S)
         assert world.coordinator is old
-        standby.link.utilization_percent = FULL_PERCENT - 1
+        standby.client.utilization_percent = FULL_PERCENT - 1
         await world.run(2.0)
         assert world.coordinator is standby
         assert {one.follows for one in world.nodes} == {first}
@@ -299,14 +299,14 @@
         assert heir is not None
         for node in world.nodes:
             if node.name in (names_before[0], heir.partition(".")[0]):
-                node.link.utilization_percent = FULL_PERCENT
+                node.client.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         standbys = roster.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [one.node for one in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
         assert assigner._heirs() == [one for one in heirs if not is_full(world, one)]
         for node in world.nodes:
-            node.link.utilization_percent = 99
+            node.client.utilization_percent = 99
         await world.run(1.5)
         assert assigner._heirs() == heirs
 
@@ -315,4 +315,4 @@
 
 def is_full(world: CoordinationWorld, incarnation: str) -> bool:
     name = incarnation.partition(".")[0]
-    return any(one.name == name and one.link.utilization_percent > 0 for one in world.nodes)
+    return any(one.name == name and one.client.utilization_percent > 0 for one in world.nodes)
--- a/tests/serving/test_item_slots.py
+++ b/tests/serving/test_item_slots.py
@@ -94,15 +94,15 @@
             revokes={REPLICA: -change} if change < 0 else {},
             grant_tokens={REPLICA: tokens} if tokens else {},
         )
-        await self.node.link.handle_orders(orders, self.coordinator.host)
+        await self.node.client.handle_orders(orders, self.coordinator.host)
         return self._number
 
     async def report(self) -> tuple[int, int]:
         """Have the node report; return its last applied order and how many items it counts."""
-        self.world.wire.waiting.clear()
-        await self.node.link._report()
+        self.world.wire.in_transit.clear()
+        await self.node.client._report()
         reports = [
-            message for _, _, message in self.world.wire.waiting if isinstance(message, Report)
+            message for _, _, message in self.world.wire.in_transit if isinstance(message, Report)
         ]
         load = reports[-1].loads.get(REPLICA)
         return reports[-1].last_applied_order, 0 if load is None else load.batch
@@ -134,7 +134,7 @@
         node.loads,
         cast(ItemCaller, caller),
         crash_detector,
-        node.link,
+        node.client,
         ignore,
         ignore,
         lambda: StoreTime(0.0, 0.0),
@@ -143,7 +143,7 @@
         ServingMetrics(),
         clock,
     )
-    node.link.batch_handler = runner
+    node.client.batch_handler = runner
     return runner
 
 
@@ -289,7 +289,7 @@
         for item_run in remaining:
             item_run.item.tokens = 100
         await owner.runner._report_waiting()
-        reported = [group for groups in owner.node.link.waiting.values() for group in groups]
+        reported = [group for groups in owner.node.client.waiting.values() for group in groups]
         assert [group.tokens for group in reported] == [100]
         before = owner.node.loads.by_replica[REPLICA].tokens
         await owner.order(2, tokens=100)
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -37,10 +37,10 @@
     link = world.nodes[0]._fleet.link
     place = link.request_placement
 
-    async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
+    async def answer(request: PlacementRequest, until: float) -> PlacementResult:
         verdict = verdicts.pop(0) if verdicts else None
         if verdict is None:
-            return await place(ask, until)
+            return await place(request, until)
         return PlacementResult(Placement(0, verdict, retry_after_s=0.3))
 
     link.request_placement = answer  # type: ignore[method-assign]
--- a/tests/serving/test_return.py
+++ b/tests/serving/test_return.py
@@ -23,9 +23,9 @@
 
 READS_PER_S = 6000.0
 WRITES_PER_S = 1200.0
-MIDDLE, LARGE = 30, 100
-REFUSED_SHARE = 0.7
-REFUSED_FOR_S = 6.0
+MEDIUM_FLEET_NODES, LARGE_FLEET_NODES = 30, 100
+REFUSED_FRACTION = 0.7
+REFUSAL_DURATION_S = 6.0
 
 
 async def restart_all_nodes(
@@ -34,26 +34,26 @@
     reads_per_s: float = READS_PER_S,
     refusal: int | None = None,
     within_s: float = SERVES_WITHIN_S,
-    is_core_refused: bool = False,
+    is_leadership_refused: bool = False,
 ) -> ReturningWorld:
     """Restart all nodes of a running fleet; with ``refusal`` the store refuses each third node."""
     world = ReturningWorld(time, nodes, 10 * nodes, reads_per_s, WRITES_PER_S)
     await world.start_all()
-    await world.until(lambda node: node.serves, 30.0)
+    await world.wait_until(lambda node: node.serves, 30.0)
     await curio.sleep(5.0)
-    core = world.core_hosts() if is_core_refused else set()
+    leadership_hosts = world.leadership_hosts() if is_leadership_refused else set()
     await world.kill_all()
     if refusal is not None:
-        refused = core | {node_host(number) for number in range(0, nodes, 3)}
+        refused = leadership_hosts | {node_host(number) for number in range(0, nodes, 3)}
         world.store.refuses = lambda host: refusal if host in refused else None
-    world.store.forget_counts()
+    world.store.reset_counts()
     began_at = time.now
     await world.start_all()
-    await world.until(lambda node: node.serves, began_at + within_s - time.now)
+    await world.wait_until(lambda node: node.serves, began_at + within_s - time.now)
     return world
 
 
-@pytest.mark.parametrize("nodes", [MIDDLE, LARGE])
+@pytest.mark.parametrize("nodes", [MEDIUM_FLEET_NODES, LARGE_FLEET_NODES])
 def test_all_nodes_serve_soon_after_restart_of_all_nodes(nodes: int) -> None:
     async def test(time: SimulatedTime) -> None:
         await restart_all_nodes(time, nodes)
@@ -64,7 +64,9 @@
 @pytest.mark.parametrize("refusal", [429, 503, RESET, SILENT])
 def test_nodes_that_the_store_refuses_serve_soon_after_restart(refusal: int) -> None:
     async def test(time: SimulatedTime) -> None:
-        await restart_all_nodes(time, MIDDLE, refusal=refusal, within_s=REFUSED_SERVES_WITHIN_S)
+        await restart_all_nodes(
+            time, MEDIUM_FLEET_NODES, refusal=refusal, within_s=REFUSED_SERVES_WITHIN_S
+        )
 
     in_simulated_time(test)
 
@@ -74,10 +76,10 @@
     async def test(time: SimulatedTime) -> None:
         await restart_all_nodes(
             time,
-            MIDDLE,
+            MEDIUM_FLEET_NODES,
             refusal=refusal,
             within_s=REFUSED_SERVES_WITHIN_S,
-            is_core_refused=True,
+            is_leadership_refused=True,
         )
 
     in_simulated_time(test)
@@ -85,17 +87,21 @@
 
 def test_store_recovery_broadcasts_are_rate_limited() -> None:
     async def test(time: SimulatedTime) -> None:
-        world = ReturningWorld(time, MIDDLE, MIDDLE, READS_PER_S, WRITES_PER_S)
+        world = ReturningWorld(
+            time, MEDIUM_FLEET_NODES, MEDIUM_FLEET_NODES, READS_PER_S, WRITES_PER_S
+        )
         random = Random("refusals")
-        throttled = {node_host(number) for number in range(0, MIDDLE, 3)}
+        throttled = {node_host(number) for number in range(0, MEDIUM_FLEET_NODES, 3)}
         world.store.refuses = lambda host: (
-            429 if host in throttled and random.random() < REFUSED_SHARE else None
+            429 if host in throttled and random.random() < REFUSED_FRACTION else None
         )
         await world.start_all()
-        await curio.sleep(REFUSED_FOR_S)
+        await curio.sleep(REFUSAL_DURATION_S)
         broadcasts = world.wire.sent["StoreReturned"]
         by_nodes = sum(world.store.calls.values())
-        by_coordinator = MIDDLE * (1 + REFUSED_FOR_S / MIN_STORE_RETURNED_INTERVAL_S)
+        by_coordinator = MEDIUM_FLEET_NODES * (
+            1 + REFUSAL_DURATION_S / MIN_STORE_RETURNED_INTERVAL_S
+        )
         assert 0 < broadcasts <= by_nodes + by_coordinator
 
     in_simulated_time(test)
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -378,14 +378,14 @@
         world.coordinator.scheduler.apply_slowdowns(figures, world.now)
         await world.run(3.0)
         told: list[Snapshot] = []
-        put = world.wire.put
+        put = world.wire.carry
 
         def watch(source: str, host: str, message: Datagram) -> None:
             if isinstance(message, Snapshot):
                 told.append(message)
             put(source, host, message)
 
-        world.wire.put = watch  # type: ignore[method-assign]
+        world.wire.carry = watch  # type: ignore[method-assign]
         await world.run(10.0)
         assert told
         assert not any(one.slowdowns for one in told)
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -51,16 +51,16 @@
     """Whether the last call of each table that a node has followed was refused."""
     feeds = (node._configuration_follower, node._replica_follower, node._batch.follower)
     followed = [feed for feed in feeds if feed.confirmed_at > float("-inf")]
-    return all(feed._lost_since is not None for feed in followed)
+    return all(feed._failing_since is not None for feed in followed)
 
 
 def test_a_node_that_learns_of_the_return_first_tells_its_peers(monkeypatch: object) -> None:
     async def test(world: FleetWorld) -> None:
         monkeypatch.setattr(store_probe, "PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(store_probe, "FAR_PROBE_EVERY_MS", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(follower, "FIRST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(follower, "LONGEST_RETRY_S", HOUR_MS)  # type: ignore[attr-defined]
-        monkeypatch.setattr(election, "VERIFY_EVERY_S", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(follower, "MIN_RETRY_DELAY_S", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(follower, "MAX_RETRY_DELAY_S", HOUR_MS)  # type: ignore[attr-defined]
+        monkeypatch.setattr(election, "VERIFY_INTERVAL_S", HOUR_MS)  # type: ignore[attr-defined]
         await world.start(replicas=1, nodes=3)
         await world.until(lambda: len(world.coordinator_roster()) == 3)
         world.store.is_busy = True
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -182,7 +182,7 @@
             old.scheduler.online_shares.charge(0, "hot", 1000.0, ["small"])
             old.scheduler.item_shares.charge(0, "small", 500.0, ["hot"])
         await world.run(0.5)
-        world.wire.silent.add(old.host)
+        world.wire.cut_hosts.add(old.host)
         world.kill(old)
         await world.run(4.0)
         new = world.coordinator.scheduler
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -173,7 +173,7 @@
         other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
         await other._configuration_follower._health.record_failure()
         other._configuration_follower._on_changes = nothing
-        other._configuration_follower._on_whole = nothing
+        other._configuration_follower._on_full_read = nothing
         await put(world, with_tenants(3, [SECOND]))
         index = world.nodes.index(other)
         assert (await world.ask("/chat/a", key=FIRST, node=index)).status == 401
@@ -275,14 +275,14 @@
         other = next(one for one in world.nodes if not one._fleet.coordinator.is_active)
         index = world.nodes.index(other)
         asked = 0
-        send_ask = other._fleet.link.send_ask
+        send_placement_request = other._fleet.link.send_placement_request
 
-        async def counting(ask: messages.PlacementRequest) -> messages.Contact | None:
+        async def counting(request: messages.PlacementRequest) -> messages.Contact | None:
             nonlocal asked
             asked += 1
-            return await send_ask(ask)
+            return await send_placement_request(request)
 
-        other._fleet.link.send_ask = counting  # type: ignore[method-assign]
+        other._fleet.link.send_placement_request = counting  # type: ignore[method-assign]
         answers = [await world.ask("/chat/a", key=FIRST, node=index) for _ in range(60)]
         refused = sum(one.status == 429 for one in answers)
         assert refused > 30
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -72,9 +72,9 @@
     """Give nodes waiting items and record the grants that they get."""
     recorders = []
     for node in nodes:
-        node.link.waiting = {"model": [WaitingGroup(1, 2)]}
+        node.client.waiting = {"model": [WaitingGroup(1, 2)]}
         recorders.append(Recorder())
-        node.link.batch_handler = recorders[-1]
+        node.client.batch_handler = recorders[-1]
     return recorders
 
 
@@ -163,7 +163,7 @@
         assert node.follows == first.name
         node.leader.mark_unresponsive(first.host)
         assert node.follows != first.name
-        node.link._report_to_unresponsive_nodes()
+        node.client._report_to_unresponsive_nodes()
         await world.deliver()
         assert node.follows == first.name
 
@@ -176,15 +176,15 @@
             candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
         )
         holder = world.coordinator
-        await node.link._report()
+        await node.client._report()
         await world.deliver()
         # The coordinator acknowledged a report just now, so it does not answer these.
         for pause_s in (0.1, 0.1, 0.15):
             world.now += pause_s
-            await node.link._report()
+            await node.client._report()
             await world.deliver()
         world.now += 0.3
-        await node.link._report()
+        await node.client._report()
         assert node.follows == holder.name
         await world.deliver()
         assert not node.leader.has_lost_coordinator
@@ -213,16 +213,16 @@
         node = next(
             candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
         )
-        await node.link._report()
+        await node.client._report()
         await world.deliver()
         world.now += 1.0
         world.wire.dropped_kinds.add(Orders)
-        await node.link._report()
+        await node.client._report()
         await world.deliver()
         world.wire.dropped_kinds.clear()
         for _ in range(3):
-            world.now = max(world.now, node.link.report_due_at())
-            await node.link._report()
+            world.now = max(world.now, node.client.report_due_at())
+            await node.client._report()
             await world.deliver()
             assert not node.leader.has_lost_coordinator
 
@@ -234,17 +234,17 @@
         node = next(
             candidate for candidate in zone_nodes(world, other_zone(world)) if candidate.follows
         )
-        world.wire.silent.add(node.host)
+        world.wire.cut_hosts.add(node.host)
         world.now += 1.0
-        await node.link._report()
-        assert node.link._unanswered_report is not None
+        await node.client._report()
+        assert node.client._unanswered_report is not None
         for contact in node.leader._contacts():
             node.leader.mark_unresponsive(contact.host)
         for _ in range(3):
             world.now += 1.0
-            await node.link._report()
-            assert node.link._unanswered_report is None
-            assert node.link.report_due_at() > world.now
+            await node.client._report()
+            assert node.client._unanswered_report is None
+            assert node.client.report_due_at() > world.now
 
     in_zones(test)
 
@@ -274,7 +274,7 @@
         (recorder,) = attach_recorders([node])
         orders = old.coordinator._make_orders(node.name, None, world.now)
         orders.sender, orders.number, orders.grants = "other.0c", 9, {"r0": 2}
-        await node.link.handle_orders(orders, "h-other")
+        await node.client.handle_orders(orders, "h-other")
         assert recorder.grants == []
 
     in_zones(test)
