--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -53,8 +53,8 @@
 """Minimum time between reports; changes within it go into one report."""
 
 RECENT_CONTACT_S = 0.3
-"""If orders came within this time, one timed out placement request doesn't mark the coordinator
-unresponsive."""
+"""A placement request without an answer doesn't mark its receiver unresponsive if orders arrived
+within this time before it was sent, or later."""
 
 REPORT_RETRY_DELAY_S = ACK_INTERVAL_S + 0.05
 """An unanswered report is repeated after this time. The coordinator acknowledges a node once per
@@ -260,7 +260,7 @@
             self._mark_unresponsive(unanswered.target)
 
     def _track_response(self, target: Contact) -> None:
-        """Wait for the response to a report, if the fleet tolerates the loss of a zone."""
+        """Start the response timeout of a report, if the fleet tolerates the loss of a zone."""
         if not self._coordinator.tolerates_zone_loss:
             return
         host, last_seen_at = self._target_last_seen
@@ -276,7 +276,7 @@
         """Report to the unresponsive nodes as well, since they may be back."""
         hosts = {contact.host for contact in self._leader.unresponsive_contacts()}
         if self._leader.has_never_contacted_leader:
-            # The nodes in the role row may be gone, or the store may refuse them and this node.
+            # The nodes in the role row may have ended, or the store may refuse them and this node.
             hosts.update(self._seeds)
         for host in sorted(hosts):
             self._transport.send(host, self._make_report(host, [], False))
@@ -371,7 +371,7 @@
         await self._report_to_self([request])
 
     def on_request_timeout(self, target: Contact, sent_at: float) -> None:
-        """Mark the target unresponsive unless it sent orders shortly before the request."""
+        """Mark the target unresponsive unless orders arrived within ``RECENT_CONTACT_S``."""
         if sent_at - self._orders_received_at > RECENT_CONTACT_S:
             self._mark_unresponsive(target)
 
--- a/src/cloverwalk/fleet/crash_record_store.py
+++ b/src/cloverwalk/fleet/crash_record_store.py
@@ -25,7 +25,7 @@
 """Interval at which the coordinator checks whether a row has to be written."""
 
 CALL_TIMEOUT_S = 1.5
-"""Timeout of a transaction, as long as the longest of other transactions."""
+"""Timeout of a transaction, equal to the longest timeout of other transactions."""
 
 RETRY_DELAY_MS = 300.0
 MAX_ROWS_PER_KIND = 50
--- a/src/cloverwalk/fleet/election.py
+++ b/src/cloverwalk/fleet/election.py
@@ -53,7 +53,7 @@
 STARTUP_LEADER_TIMEOUT_S = 2.0
 """The same for a process that has had no contact with them since its start. All processes may have
 restarted, with a store that refuses the coordinator and standbys. Longer than the 1.8 s after which
-the last standby claims."""
+the last of ``STANDBY_COUNT`` standbys claims."""
 
 STARTUP_LEADER_JITTER_S = 0.3
 """Claims of such processes are spread randomly over this time."""
@@ -65,6 +65,9 @@
 """Additional delay before nodes with less than ``MIN_COORDINATOR_CORES`` claim the role."""
 
 VERIFY_INTERVAL_S = 1.0
+"""Interval at which the coordinator checks the role row, and the minimum time from finding another
+holder in it to claiming the role back."""
+
 MAX_HOLDER_STORE_AGE_MS = 2500
 """The first standby takes the role from a coordinator that the store has not answered for this
 time, if the store answered the standby within ``MAX_CLAIMANT_STORE_AGE_MS``."""
--- a/src/cloverwalk/fleet/follower.py
+++ b/src/cloverwalk/fleet/follower.py
@@ -28,7 +28,7 @@
 
     ``on_full_read`` gets every row of the table, ``on_changes`` the rows changed since. A call that
     succeeds confirms all earlier rows, even if nothing has changed. ``wait_until_needed`` returns
-    when the table has to be followed; a node whose coordinator sends all changes needn't.
+    when the table has to be followed; a node whose coordinator sends all changes needn't follow it.
     """
 
     def __init__(
--- a/src/cloverwalk/fleet/messages.py
+++ b/src/cloverwalk/fleet/messages.py
@@ -2,7 +2,7 @@
 
 A node sends reports to the coordinator and receives orders. A report contains the node's whole
 state, so the next report makes up for a lost one. Orders are numbered; a report names the last
-order whose effect its figures contain.
+order whose effect its loads and waiting items contain.
 """
 
 import enum
@@ -100,8 +100,14 @@
     service: str
     size_bytes: int = 0
     own_tokens: int = 0
+    """Tokens of the part of its prompt that no other request shares."""
+
     shared_part: str = ""
+    """Id of the longest part of its prompt that other requests share; empty if there is none."""
+
     shared_tokens: int = 0
+    """Tokens of that part."""
+
     objective_left_ms: int = 0
     """Remaining time of the latency objective."""
 
@@ -347,6 +353,7 @@
     first_event_ms: float
     hold_ms: float
     wait_factor: float
+    """Actual wait for a slot relative to the expected one."""
 
 
 class SlowdownEstimate(Struct, array_like=True, frozen=True):
--- a/src/cloverwalk/fleet/placement_client.py
+++ b/src/cloverwalk/fleet/placement_client.py
@@ -1,7 +1,7 @@
-"""Sends placement requests for online requests and keeps them until they are answered.
+"""Sends placement requests for online requests and keeps them until they have a result.
 
-Each request is sent at most ``MAX_PLACEMENT_ATTEMPTS`` times, with a timeout of at most
-``MAX_PLACEMENT_TIMEOUT_S`` each; after that this node decides.
+After ``MAX_PLACEMENT_ATTEMPTS`` attempts without an answer, each with a timeout of at most
+``MAX_PLACEMENT_TIMEOUT_S``, this node decides. A queued request is sent again at intervals.
 """
 
 from collections.abc import Callable
--- a/src/cloverwalk/fleet/utilization.py
+++ b/src/cloverwalk/fleet/utilization.py
@@ -8,7 +8,8 @@
 def median_by_zone(reports: Iterable[Report]) -> dict[str, int]:
     """Return the lower median of the utilization of each zone's nodes, in percent, at least 1.
 
-    Nodes that don't measure their utilization and nodes that are leaving are not counted.
+    Zones are compared separately, since the clients of a zone connect to its nodes. Nodes that
+    don't measure their utilization and nodes that are leaving are not counted.
     """
     by_zone: dict[str, list[int]] = {}
     for report in reports:
--- a/tests/serving/coordination_world.py
+++ b/tests/serving/coordination_world.py
@@ -48,11 +48,13 @@
 
 
 class Wire:
-    """Carries datagrams; hosts and zones that are cut off neither send nor receive any."""
+    """Carries datagrams, except from and to hosts that are cut off and between zones that are."""
 
     def __init__(self) -> None:
         self.in_transit: list[tuple[str, str, Datagram]] = []
         self.cut_hosts: set[str] = set()
+        """Hosts that neither send nor receive any datagrams."""
+
         self.cut_zones: set[str] = set()
         """Zones that are cut off from each other zone."""
 
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -104,7 +104,7 @@
         self._bytes_per_s = bytes_per_s
         self._free_at = 0.0
 
-    def pass_s(self, size: int, now: float) -> float:
+    def transmit_time_s(self, size: int, now: float) -> float:
         """Return how long a message of ``size`` bytes takes if it is sent now."""
         self._free_at = max(now, self._free_at) + size / self._bytes_per_s
         return self._free_at - now
@@ -159,7 +159,7 @@
         bucket.take(self.time.now)
         status, answer = await self._answer(url.path, path, query, body)
         self.bytes_sent += len(answer)
-        await curio.sleep(self.link.pass_s(len(answer), self.time.now))
+        await curio.sleep(self.link.transmit_time_s(len(answer), self.time.now))
         return HttpResponse(status, {}, answer)
 
     async def _answer(
@@ -222,7 +222,9 @@
         try:
             async with curio.timeout_after(timeout_s):
                 response = await self._store.serve(self._host, method, path, body)
-                await curio.sleep(self._link.pass_s(len(response.body), self._store.time.now))
+                await curio.sleep(
+                    self._link.transmit_time_s(len(response.body), self._store.time.now)
+                )
         except curio.TaskTimeout as error:
             raise LostAnswerError("no answer in time") from error
         return response
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -151,7 +151,7 @@
         """The same, only of requests sent by nodes that had contact to the others."""
 
         self.disturbed_at: dict[str, float] = {}
-        """Time of the last restart, cut or message loss, by node."""
+        """Time of the last restart, isolation or message loss, by node."""
 
         self.refused_popular = 0
         self.popular_crashes = 0
@@ -215,7 +215,7 @@
 
 
 class Disturbances:
-    """Draws disturbances of a fleet: restarts, cuts, lost messages."""
+    """Disturbs a fleet at random by restarts, hosts that are cut off, and lost messages."""
 
     def __init__(self, world: CoordinationWorld, clients: Clients, seed: int) -> None:
         self.world = world
