--- a/src/cloverwalk/fleet/coordinator_client.py
+++ b/src/cloverwalk/fleet/coordinator_client.py
@@ -53,8 +53,8 @@
 """Minimum time between reports; changes within it go into one report."""
 
 RECENT_CONTACT_S = 0.3
-"""If orders came within this time, one timed out placement request doesn't mark the coordinator
-unresponsive."""
+"""A placement request without an answer doesn't mark its receiver unresponsive if orders arrived
+within this time before it was sent, or later."""
 
 REPORT_RETRY_DELAY_S = ACK_INTERVAL_S + 0.05
 """An unanswered report is repeated after this time. The coordinator acknowledges a node once per
@@ -260,7 +260,7 @@
             self._mark_unresponsive(unanswered.target)
 
     def _track_response(self, target: Contact) -> None:
-        """Wait for the response to a report, if the fleet tolerates the loss of a zone."""
+        """Start the response timeout of a report, if the fleet tolerates the loss of a zone."""
         if not self._coordinator.tolerates_zone_loss:
             return
         host, last_seen_at = self._target_last_seen
@@ -276,7 +276,7 @@
         """Report to the unresponsive nodes as well, since they may be back."""
         hosts = {contact.host for contact in self._leader.unresponsive_contacts()}
         if self._leader.has_never_contacted_leader:
-            # The nodes in the role row may be gone, or the store may refuse them and this node.
+            # The nodes in the role row may have ended, or the store may refuse them and this node.
             hosts.update(self._seeds)
         for host in sorted(hosts):
             self._transport.send(host, self._make_report(host, [], False))
@@ -332,7 +332,7 @@
             self.is_leaving,
             has_lost_coordinator,
             self._coordinator.local_grants(now),
-            self._crash_records.for_report(),
+            self._crash_records.records_for_report(),
             self._crash_records.ledger.digest,
             item_timings=list(self._item_timings),
             corrections=self._pop_corrections(),
@@ -349,13 +349,13 @@
 
     # --- placement of online requests ---
 
-    async def request_placement(self, ask: PlacementRequest, until: float) -> PlacementResult:
+    async def request_placement(self, request: PlacementRequest, until: float) -> PlacementResult:
         """Return a replica for an online request, or why there is none, by ``until``."""
-        result = await self._placement_client.request_placement(ask, until)
+        result = await self._placement_client.request_placement(request, until)
         self.on_placement()
         return result
 
-    async def send_ask(self, ask: PlacementRequest) -> Contact | None:
+    async def send_placement_request(self, request: PlacementRequest) -> Contact | None:
         """Send a placement request to the coordinator or a standby.
 
         Return the node it was sent to; None if this node has to decide.
@@ -363,7 +363,7 @@
         target = self._leader.target()
         if target is None or target.node == self._identity.node:
             return None
-        self._send_report(target, [ask])
+        self._send_report(target, [request])
         return target
 
     async def decide_locally(self, request: PlacementRequest) -> None:
@@ -371,7 +371,7 @@
         await self._report_to_self([request])
 
     def on_request_timeout(self, target: Contact, sent_at: float) -> None:
-        """Mark the target unresponsive unless it sent orders shortly before the request."""
+        """Mark the target unresponsive unless orders arrived within ``RECENT_CONTACT_S``."""
         if sent_at - self._orders_received_at > RECENT_CONTACT_S:
             self._mark_unresponsive(target)
 
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -192,7 +192,7 @@
     async def _deliver_locally(self, orders: object) -> None:
         await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
-    async def until_directory_needed(self) -> None:
+    async def wait_until_directory_needed(self) -> None:
         """Wait until this node has to read the replica list from the store itself."""
         while not self.coordinator.is_active:
             remaining_s = (
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -104,7 +104,7 @@
         self._bytes_per_s = bytes_per_s
         self._free_at = 0.0
 
-    def pass_s(self, size: int, now: float) -> float:
+    def transmit_time_s(self, size: int, now: float) -> float:
         """Return how long a message of ``size`` bytes takes if it is sent now."""
         self._free_at = max(now, self._free_at) + size / self._bytes_per_s
         return self._free_at - now
@@ -132,7 +132,7 @@
         put = Put(RowKey(table, "", key), json.dumps(document).encode())
         self.rows.apply(Transaction(puts=[put]))
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         """Reset all counters."""
         self.calls.clear()
         self.by_second.clear()
@@ -159,7 +159,7 @@
         bucket.take(self.time.now)
         status, answer = await self._answer(url.path, path, query, body)
         self.bytes_sent += len(answer)
-        await curio.sleep(self.link.pass_s(len(answer), self.time.now))
+        await curio.sleep(self.link.transmit_time_s(len(answer), self.time.now))
         return HttpResponse(status, {}, answer)
 
     async def _answer(
@@ -222,7 +222,9 @@
         try:
             async with curio.timeout_after(timeout_s):
                 response = await self._store.serve(self._host, method, path, body)
-                await curio.sleep(self._link.pass_s(len(response.body), self._store.time.now))
+                await curio.sleep(
+                    self._link.transmit_time_s(len(response.body), self._store.time.now)
+                )
         except curio.TaskTimeout as error:
             raise LostAnswerError("no answer in time") from error
         return response
@@ -235,7 +237,7 @@
     """Carries datagrams between the nodes."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[str, str, bytes]] = []
+        self.in_transit: list[tuple[str, str, bytes]] = []
         self.receivers: dict[str, OnDatagram] = {}
         self.sent: Counter[str] = Counter()
         self.bytes_by_kind: Counter[str] = Counter()
@@ -243,8 +245,8 @@
     async def run(self) -> None:
         while True:
             await curio.sleep(DATAGRAM_TIME_S)
-            waiting, self.waiting = self.waiting, []
-            for source, host, data in waiting:
+            arriving, self.in_transit = self.in_transit, []
+            for source, host, data in arriving:
                 receiver = self.receivers.get(host)
                 if receiver is not None:
                     await receiver(decode_datagram(data), source)
@@ -263,7 +265,7 @@
         self._wire.sent[kind] += 1
         self._wire.bytes_by_kind[kind] += len(data)
         if len(data) <= MAX_DATAGRAM_BYTES:
-            self._wire.waiting.append((self._host, host, data))
+            self._wire.in_transit.append((self._host, host, data))
 
     async def receive(self, on_datagram: OnDatagram) -> None:
         self._wire.receivers[self._host] = on_datagram
@@ -340,7 +342,7 @@
             log,
             time,
             random,
-            self.fleet.until_directory_needed,
+            self.fleet.wait_until_directory_needed,
         )
         self._store_probe = StoreProbe(self.store, self.health, self.fleet)
         self._tasks: list[Any] = []
@@ -422,14 +424,16 @@
         """Whether a node is active as coordinator."""
         return any(entry.fleet.coordinator.is_active for entry in self.nodes if entry.name == node)
 
-    def core_hosts(self) -> set[str]:
+    def leadership_hosts(self) -> set[str]:
         """Return the hosts of the coordinator and its standbys."""
         (active,) = [node for node in self.nodes if node.fleet.coordinator.is_active]
         current = active.fleet.leader.current
         assert current is not None
         return {current.holder.host, *(standby.host for standby in current.standbys)}
 
-    async def until(self, condition: Callable[[ReturningNode], bool], timeout_s: float) -> float:
+    async def wait_until(
+        self, condition: Callable[[ReturningNode], bool], timeout_s: float
+    ) -> float:
         """Wait until a condition holds at every node; return the time that it took."""
         began_at = self.time.now
         while not all(condition(node) for node in self.nodes):
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -223,7 +223,7 @@
         assert coordinator is not None
         registry = coordinator._fleet.coordinator.registry
         assert {node.report.utilization_percent for node in registry.live()} == {0}
-        assert coordinator._fleet.coordinator._fullness_by_zone == {}
+        assert coordinator._fleet.coordinator._utilization_by_zone == {}
         assert (await world.ask("/chat/a")).is_whole
 
     in_world(test)
@@ -249,10 +249,10 @@
             percent_by_node[name] = percent
 
         for node in world.nodes:
-            node.link.on_zone_utilization = partial(record_percent, node.name)
+            node.client.on_zone_utilization = partial(record_percent, node.name)
         full_zone = world.nodes[0].identity.zone
         for node in world.nodes:
-            node.link.utilization_percent = 90 if node.identity.zone == full_zone else 20
+            node.client.utilization_percent = 90 if node.identity.zone == full_zone else 20
         await world.run(3.0)
         for node in world.nodes:
             if node is not world.coordinator:
@@ -269,13 +269,13 @@
         assert old_coordinator.leader.current is not None
         first_standby = old_coordinator.leader.current.standbys[0].node
         standby = next(node for node in world.nodes if node.name == first_standby)
-        old_coordinator.link.utilization_percent = 100
-        standby.link.utilization_percent = FULL_PERCENT
+        old_coordinator.client.utilization_percent = 100
+        standby.client.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         old_coordinator.coordinator.must_hand_over = lambda: True
         await world.run(HAND_OVER_AFTER_S)
         assert world.coordinator is old_coordinator
-        standby.link.utilization_percent = FULL_PERCENT - 1
+        standby.client.utilization_percent = FULL_PERCENT - 1
         await world.run(2.0)
         assert world.coordinator is standby
         assert {node.follows for node in world.nodes} == {first_standby}
@@ -299,7 +299,7 @@
         assert heir is not None
         for node in world.nodes:
             if node.name in (names_before[0], heir.partition(".")[0]):
-                node.link.utilization_percent = FULL_PERCENT
+                node.client.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         standbys = registry.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [node.node for node in standbys]
@@ -308,7 +308,7 @@
             heir_incarnation for heir_incarnation in heirs if not is_full(world, heir_incarnation)
         ]
         for node in world.nodes:
-            node.link.utilization_percent = 99
+            node.client.utilization_percent = 99
         await world.run(1.5)
         assert assigner._owner_candidates() == heirs
 
@@ -317,4 +317,4 @@
 
 def is_full(world: CoordinationWorld, incarnation: str) -> bool:
     name = incarnation.partition(".")[0]
-    return any(node.name == name and node.link.utilization_percent > 0 for node in world.nodes)
+    return any(node.name == name and node.client.utilization_percent > 0 for node in world.nodes)
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -36,10 +36,10 @@
     coordinator_client = world.nodes[0]._fleet.link
     original_request = coordinator_client.request_placement
 
-    async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
+    async def answer(request: PlacementRequest, until: float) -> PlacementResult:
         verdict = verdicts.pop(0) if verdicts else None
         if verdict is None:
-            return await original_request(ask, until)
+            return await original_request(request, until)
         return PlacementResult(Placement(0, verdict, retry_after_s=0.3))
 
     coordinator_client.request_placement = answer  # type: ignore[method-assign]
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -392,14 +392,14 @@
         world.coordinator.scheduler.apply_slowdowns(estimates, world.now)
         await world.run(3.0)
         snapshots: list[Snapshot] = []
-        put = world.wire.put
+        put = world.wire.carry
 
         def watch(source: str, host: str, message: Datagram) -> None:
             if isinstance(message, Snapshot):
                 snapshots.append(message)
             put(source, host, message)
 
-        world.wire.put = watch  # type: ignore[method-assign]
+        world.wire.carry = watch  # type: ignore[method-assign]
         await world.run(10.0)
         assert snapshots
         assert not any(snapshot.slowdowns for snapshot in snapshots)
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -188,7 +188,7 @@
             old.scheduler.online_shares.charge(0, "hot", 1000.0, ["small"])
             old.scheduler.item_shares.charge(0, "small", 500.0, ["hot"])
         await world.run(0.5)
-        world.wire.silent.add(old.host)
+        world.wire.cut_hosts.add(old.host)
         world.kill(old)
         await world.run(4.0)
         new = world.coordinator.scheduler
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -183,7 +183,7 @@
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await follower._configuration_follower._health.record_failure()
         follower._configuration_follower._on_changes = ignore_page
-        follower._configuration_follower._on_whole = ignore_page
+        follower._configuration_follower._on_full_read = ignore_page
         await put_configuration(world, with_tenants(3, [SECOND_KEY]))
         index = world.nodes.index(follower)
         assert (await world.ask("/chat/a", key=FIRST_KEY, node=index)).status == 401
@@ -291,14 +291,14 @@
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         index = world.nodes.index(follower)
         request_count = 0
-        send_request = follower._fleet.link.send_ask
+        send_request = follower._fleet.link.send_placement_request
 
-        async def counting_send(ask: messages.PlacementRequest) -> messages.Contact | None:
+        async def counting_send(request: messages.PlacementRequest) -> messages.Contact | None:
             nonlocal request_count
             request_count += 1
-            return await send_request(ask)
+            return await send_request(request)
 
-        follower._fleet.link.send_ask = counting_send  # type: ignore[method-assign]
+        follower._fleet.link.send_placement_request = counting_send  # type: ignore[method-assign]
         answers = [await world.ask("/chat/a", key=FIRST_KEY, node=index) for _ in range(60)]
         refused = sum(answer.status == 429 for answer in answers)
         assert refused > 30
