--- a/src/cloverwalk/scheduling/admission.py
+++ b/src/cloverwalk/scheduling/admission.py
@@ -31,21 +31,23 @@
 INITIAL_OVERLOAD_S = 1.2
 OVERLOAD_LEARNING_WEIGHT = 0.3
 LONG_OVERLOAD_FRACTION = 0.5
-"""An overload longer than the average is expected to last this fraction of its elapsed time
-more."""
+"""Lower bound of the remaining time of an overload, as a fraction of its elapsed time; it applies
+when the overload has lasted for nearly the average time or longer."""
 
 OVERLOAD_END_DELAY_S = 0.5
 """An overload ends when all requests could be placed in time for this long."""
 
 MIN_RETRY_ELAPSED_S = 0.2
-"""A request with this much less time than others of its route counts as a retry."""
+"""A request counts as a retry if its remaining time is shorter by more than this than the longest
+that was seen on its route."""
 
 AHEAD_QUEUE_FRACTION = 0.5
 """Fraction of the queue that a tenant ahead of its fair share may fill while others wait. Free
 slots are not restricted."""
 
 MAX_QUEUE_WAIT_S = 1.5
-"""A request that is queued for this time is sent to the best replica, whatever its load."""
+"""A request that is queued for this time is sent to the best replica, whatever its load, or refused
+if no replica has enough memory for it."""
 
 
 class PlacementVerdict(enum.Enum):
@@ -97,7 +99,7 @@
     objective_ms: float
 
     max_wait_ms: float
-    """Longest queue that its route may build up, so that more urgent routes stay in time."""
+    """Longest wait that its route may build up, so that more urgent routes stay in time."""
 
     @property
     def is_in_time(self) -> bool:
@@ -124,7 +126,7 @@
 
 
 def max_wait_ms(route: Route, priority: int, routes: Sequence[Route], times: ServiceTimes) -> float:
-    """Return the longest queue that a request of a route and priority may join.
+    """Return the longest wait at which a request of a route and priority may join a queue.
 
     Requests must not fill a queue in which those of more urgent routes would be late.
     """
--- a/src/cloverwalk/scheduling/batch.py
+++ b/src/cloverwalk/scheduling/batch.py
@@ -231,7 +231,7 @@
     def _in_share_order(self, claims: list[_Claim]) -> Iterator[_Claim]:
         """Yield claims by band, then by their tenants' fair shares, then by due time.
 
-        The caller grants and charges the yielded claim, or blocks it, before it asks for the next
+        The caller grants and charges the yielded claim, or blocks it, before it takes the next
         one. Slots usually run out within the first band, so later bands are sorted only when they
         are reached.
         """
@@ -359,7 +359,7 @@
             now=now,
         )
         slowdown = self._replicas.current_slowdowns.get(replica_id, 1.0)
-        self._replicas.note_reading(replica_id, slowdown * claim.group.prefill_ms, now)
+        self._replicas.record_prefill(replica_id, slowdown * claim.group.prefill_ms, now)
         self._replicas.record_sent(claim.node, replica_id, now)
 
     def _keep_remaining(self, claim: _Claim) -> None:
--- a/src/cloverwalk/scheduling/batch_limits.py
+++ b/src/cloverwalk/scheduling/batch_limits.py
@@ -16,8 +16,8 @@
 """Lower bound of the same: a grant, a connection and a revoke take some milliseconds each."""
 
 MAX_PREFILL_BACKLOG_MS = 60.0
-"""A replica with more prompts to prefill gets no items, since online requests would wait for
-them."""
+"""A replica with a longer prefill backlog gets no items, since online requests would wait for
+it."""
 
 
 def reserved_slots(arrivals_per_s: float, prefill_ms: float) -> int:
@@ -33,10 +33,12 @@
     return round(arrivals_per_s * min_run_ms / 1000)
 
 
-def batch_room(slots: int, in_flight: InFlight) -> int:
+def free_item_slots(slots: int, in_flight: InFlight) -> int:
     """Return how many more items fit into the free slots of a replica.
 
-    >>> batch_room(16, InFlight(online=2, batch=3)), batch_room(16, InFlight(online=15, batch=3))
+    >>> free_item_slots(16, InFlight(online=2, batch=3)), free_item_slots(
+    ...     16, InFlight(online=15, batch=3)
+    ... )
     (11, 0)
     """
     return max(0, slots - in_flight.total)
--- a/src/cloverwalk/scheduling/fair_share_reporter.py
+++ b/src/cloverwalk/scheduling/fair_share_reporter.py
@@ -19,7 +19,7 @@
     """Requests that were throttled since the last report."""
 
     by_tenant: dict[str, int]
-    others: int
+    unnamed_count: int
     """Throttled requests of tenants that are not named."""
 
     invalid_count: int
--- a/src/cloverwalk/scheduling/fair_shares.py
+++ b/src/cloverwalk/scheduling/fair_shares.py
@@ -98,7 +98,7 @@
         return {tenant: int(ahead_ms / STEP_MS) for tenant, ahead_ms in ahead.items()}
 
     def is_ahead(self, rank: int, tenant: str) -> bool:
-        """Whether a tenant has clearly exceeded its fair share lately."""
+        """Whether a tenant is ahead of its fair share by at least ``AHEAD_THRESHOLD_MS``."""
         return self.ahead_ms(rank, tenant) >= AHEAD_THRESHOLD_MS
 
     # --- charges ---
--- a/src/cloverwalk/scheduling/features.py
+++ b/src/cloverwalk/scheduling/features.py
@@ -1,8 +1,8 @@
 """Optional parts of the scheduling policy, and why each is on or off.
 
 A feature is on only where the configuration, the settings or the reports of replicas call for it;
-elsewhere requests are served as if it did not exist. Every decision of a feature asks ``Features``,
-so one place shows an operator what is in force.
+elsewhere requests are served as if it did not exist. Every decision checks ``Features``, so one
+place shows an operator what is in force.
 """
 
 import enum
@@ -52,7 +52,7 @@
     >>> features = Features(ConfigurationHolder(), is_memory_scarce=True)
     >>> features.is_on(Feature.REPLICA_MEMORY), features.is_on(Feature.REPLICA_PACE)
     (False, False)
-    >>> features.note_told_pace("s")
+    >>> features.record_reported_slowdown("s")
     >>> features.is_on(Feature.REPLICA_PACE)
     True
     """
@@ -74,7 +74,7 @@
         self._cached_for: Configuration | None = None
         self.on_change: Callable[[FeatureState], None] = _ignore_change
 
-    def note_told_pace(self, service: str) -> None:
+    def record_reported_slowdown(self, service: str) -> None:
         """Record that a replica of a service has reported its slowdown."""
         if service in self._services_with_slowdown:
             return
@@ -83,7 +83,7 @@
         self.notify_changes()
 
     def is_on(self, feature: Feature) -> bool:
-        """Whether a feature is on; cached, since each decision asks several times."""
+        """Whether a feature is on; cached, since each decision checks several times."""
         current = self._configuration.current
         if current is not self._cached_for:
             self._cached_for = current
--- a/src/cloverwalk/scheduling/local_grants.py
+++ b/src/cloverwalk/scheduling/local_grants.py
@@ -33,7 +33,7 @@
         self._granted_at = now
 
     def report(self, now: float) -> LocalGrants | None:
-        """Return the counts to report; None where nothing was granted lately."""
+        """Return the counts to report; None if nothing was granted for ``GRANT_REPORT_TTL_S``."""
         if self._counts and now - self._granted_at > GRANT_REPORT_TTL_S:
             self._counts = Counter()
             self._series += 1
--- a/src/cloverwalk/scheduling/online.py
+++ b/src/cloverwalk/scheduling/online.py
@@ -212,7 +212,7 @@
             return None
         self._place(queued, chosen, wait_ms, now)
         prefill_ms = expected_prefill_ms(chosen, candidates, demand)
-        self._replicas.note_reading(chosen.replica.replica_id, prefill_ms, now)
+        self._replicas.record_prefill(chosen.replica.replica_id, prefill_ms, now)
         return chosen.replica.replica_id
 
     def _queue_for_memory(self, queued: QueuedRequest, now: float) -> str | None:
@@ -354,7 +354,7 @@
         )
         self._replicas.record_sent(queued.node, replica_id, now)
         if queued.request.content:
-            self._replicas.note_sent_suspect(replica_id, queued.request.content, now)
+            self._replicas.record_sent_crash_suspect(replica_id, queued.request.content, now)
 
     def _charge(self, queued: QueuedRequest) -> None:
         """Charge the tenant for the slot time that the request is expected to take."""
--- a/src/cloverwalk/scheduling/overload_order.py
+++ b/src/cloverwalk/scheduling/overload_order.py
@@ -7,8 +7,8 @@
 """
 
 MIN_WAIT_FRACTION = 0.5
-"""Fraction of the expected wait that is certain: running requests do not end evenly, and the
-expected wait is an average."""
+"""Fraction of an expected wait or start time that is certain: running requests do not end evenly,
+and the expected times are averages."""
 
 
 OrderKey = tuple[bool, float, float]
--- a/src/cloverwalk/scheduling/queued_requests.py
+++ b/src/cloverwalk/scheduling/queued_requests.py
@@ -44,7 +44,11 @@
     zone: str
     request: PlacementRequest
     asked_at: float
+    """When it was first received (monotonic clock, seconds)."""
+
     last_asked_at: float
+    """When its node last repeated it (monotonic clock, seconds)."""
+
     queue: QueueKey
     """Its queue; it stays the same if the node repeats the number for another tenant."""
 
@@ -164,7 +168,7 @@
     def is_first(self, queued: QueuedRequest, now: float) -> bool:
         """Whether no request that could use a free slot goes before this one.
 
-        A request that waits for memory can't use one and blocks nobody.
+        A request that waits for memory can't use one and does not block others.
         """
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             return all(
@@ -187,7 +191,7 @@
         return (self._queue_order(queued.queue), queued.order_key_at(now))
 
     def in_order(self, now: float) -> Iterator[QueuedRequest]:
-        """Yield queued requests in order; the caller places each before it asks for the next."""
+        """Yield queued requests in order; the caller places each before it takes the next."""
         if not self._features.is_on(Feature.OVERLOAD_ORDER):
             yield from sorted(self._by_id.values(), key=QueuedRequest.age_key)
             return
--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -53,7 +53,7 @@
     """The quota is used up."""
 
     UNKNOWN = "unknown"
-    """This node can't tell and may not grant more."""
+    """This node does not know the count and may not grant more."""
 
 
 @attrs.frozen
@@ -101,7 +101,7 @@
         self._random = random
         self._accounts: dict[str, _Account] = {}
         self._is_coordinator = False
-        self._share = 0.0
+        self._fleet_fraction = 0.0
         self._limits_version = 0
         self._role_since = 0.0
         """Start of the current role of this node (monotonic clock, seconds)."""
@@ -145,17 +145,17 @@
     def set_fleet_fraction(self, reporting_nodes: int, nodes: int) -> None:
         """Set the fraction of the fleet that this node decides for; ``nodes`` is 0 if unknown."""
         fraction = min(1.0, reporting_nodes / nodes) if nodes > 0 else 0.0
-        if fraction != self._share:
+        if fraction != self._fleet_fraction:
             self._set_fraction(fraction)
 
     def _set_fraction(self, fraction: float) -> None:
-        self._share = fraction
+        self._fleet_fraction = fraction
         self._limits_version += 1
 
     @property
     def knows_fleet(self) -> bool:
         """Whether the fleet fraction of this node is known."""
-        return self._share > 0
+        return self._fleet_fraction > 0
 
     # --- tokens of a request ---
 
@@ -252,14 +252,14 @@
 
     def _rate_per_s(self, tenant: Tenant) -> float:
         role_fraction = 1.0 if self._is_coordinator else LOCAL_RATE_FRACTION
-        return role_fraction * self._share * tenant.rate_per_s
+        return role_fraction * self._fleet_fraction * tenant.rate_per_s
 
     def _depth(self, tenant: Tenant, now: float) -> float:
         if self._is_coordinator:
-            return max(1.0, self._share * tenant.bucket_size)
+            return max(1.0, self._fleet_fraction * tenant.bucket_size)
         if tenant.name in self._near_limit_names or now - self._near_limit_at > NEAR_LIMIT_TTL_S:
-            return self._share * self._unknown_count_level(tenant)
-        return self._share * self._unknown_count_level(tenant) / INDEPENDENT_FLEET_FRACTION
+            return self._fleet_fraction * self._unknown_count_level(tenant)
+        return self._fleet_fraction * self._unknown_count_level(tenant) / INDEPENDENT_FLEET_FRACTION
 
     def _unknown_count_level(self, tenant: Tenant) -> float:
         return UNKNOWN_COUNT_FRACTION * self._bounds.tolerance(tenant)
--- a/src/cloverwalk/scheduling/replica_view.py
+++ b/src/cloverwalk/scheduling/replica_view.py
@@ -5,7 +5,7 @@
 
 from cloverwalk.fleet.messages import PlacementRequest
 from cloverwalk.gateway.replicas import Replica, ReplicaDirectory
-from cloverwalk.scheduling.batch_limits import batch_room, items_to_preempt, may_prefill_more
+from cloverwalk.scheduling.batch_limits import free_item_slots, items_to_preempt, may_prefill_more
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.replica_load_tracker import ReplicaLoadTracker
 from cloverwalk.scheduling.replica_memory import ReplicaMemory
@@ -43,8 +43,12 @@
         self._random = random
         self._directory = directory
         self._load_tracker = load_tracker
-        self._suspects: dict[str, set[str]] = {}
+        self._suspects_by_node: dict[str, set[str]] = {}
+        """Replicas that failed at each node, as it last reported."""
+
         self._prefill_until: dict[str, float] = {}
+        """When each replica is expected to have prefilled all prompts sent to it (seconds)."""
+
         self.current_slowdowns: Mapping[str, float] = {}
         """Current slowdown by replica; empty while slowdowns do not count."""
 
@@ -65,16 +69,16 @@
         self._node_zones[node] = zone
 
     def record_suspects(
-        self, node: str, suspects: list[str], now: float, *, has_returned: bool = False
+        self, node: str, suspects: list[str], now: float, *, has_coordinator: bool = False
     ) -> None:
         """Record the replicas that failed at a node; new ones are suspected for all nodes.
 
-        The first report of a node that ``has_returned`` after it lost the coordinator is no
-        evidence about zones: its failures date from a partition that has just ended.
+        ``has_coordinator`` means that the coordinator answers the node. The first report of such a
+        node is no evidence about zones: its failures may date from a partition that has just ended.
         """
-        is_stale = has_returned and node not in self._suspects
-        previous = self._suspects.get(node, set())
-        self._suspects[node] = set(suspects)
+        is_stale = has_coordinator and node not in self._suspects_by_node
+        previous = self._suspects_by_node.get(node, set())
+        self._suspects_by_node[node] = set(suspects)
         self._directory.add_peer_suspects(suspects, now)
         for replica_id in suspects:
             if replica_id not in previous:
@@ -90,25 +94,25 @@
         zone_replicas = sum(
             candidate.zone == replica.zone for candidate in self._directory.usable(replica.service)
         )
-        self._reachability.note_failure(zone, replica.zone, replica_id, zone_replicas, now)
+        self._reachability.record_failure(zone, replica.zone, replica_id, zone_replicas, now)
 
     def record_answer(self, node: str, replica_id: str, now: float) -> None:
         """Record that a replica answered a request of a node."""
         self._directory.clear_suspicion(replica_id)
         replica = self._directory.find(replica_id)
         if replica is not None:
-            self._reachability.note_answer(self._node_zones.get(node, ""), replica.zone, now)
+            self._reachability.record_answer(self._node_zones.get(node, ""), replica.zone, now)
 
     def remove_node(self, node: str) -> None:
         """Remove a node's zone and suspects."""
-        self._suspects.pop(node, None)
+        self._suspects_by_node.pop(node, None)
         self._node_zones.pop(node, None)
 
     # --- unreachable zones ---
 
     def has_unreachable_zone(self, node: str) -> bool:
         """Whether some zone is unreachable from the node's zone."""
-        return self._reachability.has_shut(self._node_zones.get(node, ""))
+        return self._reachability.has_unreachable_zone(self._node_zones.get(node, ""))
 
     def reachable(self, node: str, replicas: list[Replica], now: float) -> list[Replica]:
         """Return the replicas in zones that a node can reach or where a probe is due."""
@@ -123,7 +127,7 @@
         """Record that work of a node was sent to a replica; it may be a probe of its zone."""
         replica = self._directory.find(replica_id)
         if replica is not None:
-            self._reachability.note_sent(self._node_zones.get(node, ""), replica.zone, now)
+            self._reachability.record_sent(self._node_zones.get(node, ""), replica.zone, now)
 
     def _reachable_with_free_slot(
         self, node: str, replicas: list[Replica], now: float
@@ -140,7 +144,7 @@
 
     # --- prefills ---
 
-    def note_reading(self, replica_id: str, prefill_ms: float, now: float) -> None:
+    def record_prefill(self, replica_id: str, prefill_ms: float, now: float) -> None:
         """Record a sent prompt; a replica prefills one prompt after the other."""
         begins_at = max(now, self._prefill_until.get(replica_id, now))
         self._prefill_until[replica_id] = begins_at + prefill_ms / 1000
@@ -151,7 +155,7 @@
 
     # --- crash suspects ---
 
-    def note_sent_suspect(self, replica_id: str, content: str, now: float) -> None:
+    def record_sent_crash_suspect(self, replica_id: str, content: str, now: float) -> None:
         """Record that a crash suspect was sent to a replica."""
         for other_id, sent in list(self._sent_crash_suspects.items()):
             recent = [entry for entry in sent if now - entry[0] < CRASH_SUSPECT_TTL_S]
@@ -160,8 +164,8 @@
                 del self._sent_crash_suspects[other_id]
         self._sent_crash_suspects.setdefault(replica_id, []).append((now, content))
 
-    def _other_suspects(self, replica_id: str, content: str, now: float) -> int:
-        """Return how many other crash suspects were sent to a replica lately."""
+    def _other_crash_suspects(self, replica_id: str, content: str, now: float) -> int:
+        """Return how many other crash suspects were sent to a replica within the TTL."""
         if not content:
             return 0
         sent = self._sent_crash_suspects.get(replica_id, [])
@@ -177,7 +181,7 @@
         usable = self._reachable_with_free_slot(node, self._directory.usable(request.service), now)
         usable = list(self._memory.with_memory_for_online(self.sample(usable), request.tokens, now))
         fresh = [replica for replica in usable if replica.replica_id not in request.avoid]
-        suspects = self._suspects.get(node, set())
+        suspects = self._suspects_by_node.get(node, set())
         slowdowns = self.current_slowdowns
         return [
             Candidate(
@@ -187,7 +191,7 @@
                 or self._directory.is_suspect(replica.replica_id, now),
                 self._directory.is_peer_suspect(replica.replica_id, now),
                 self.prefill_ms(replica.replica_id, now),
-                self._other_suspects(replica.replica_id, request.content, now),
+                self._other_crash_suspects(replica.replica_id, request.content, now),
                 slowdowns.get(replica.replica_id, 1.0),
             )
             for replica in fresh or usable
@@ -241,13 +245,13 @@
         return self._directory.find(replica_id)
 
     def free_slots(self, replica: Replica, now: float) -> int:
-        """Return how many items have a free slot at a replica; none if it failed lately."""
+        """Return how many more items have a slot at a replica; 0 while it is suspected."""
         replica_id = replica.replica_id
         if self._directory.is_suspect(replica_id, now) or self._directory.is_peer_suspect(
             replica_id, now
         ):
             return 0
-        return batch_room(replica.slots, self._load_tracker.total(replica_id, now))
+        return free_item_slots(replica.slots, self._load_tracker.total(replica_id, now))
 
     @property
     def count(self) -> int:
--- a/src/cloverwalk/scheduling/scheduler.py
+++ b/src/cloverwalk/scheduling/scheduler.py
@@ -94,8 +94,8 @@
         changed = self.load_tracker.record_report(node, report.loads, report.last_applied_order)
         self._batch.record_waiting(node, report.zone, report.waiting)
         self._replicas.record_zone(node, report.zone)
-        has_returned = not report.has_lost_coordinator
-        self._replicas.record_suspects(node, report.suspects, now, has_returned=has_returned)
+        has_coordinator = not report.has_lost_coordinator
+        self._replicas.record_suspects(node, report.suspects, now, has_coordinator=has_coordinator)
         self._update_slowdowns(now)
         for number in report.withdrawn:
             self._online.withdraw(node, number, now)
@@ -147,7 +147,7 @@
         if replica is None:
             return
         if timing.slowdown_percent > 0:
-            self.features.note_told_pace(replica.service)
+            self.features.record_reported_slowdown(replica.service)
         if not self._uses_slowdowns:
             return
         # The answer has just ended, so the tracker no longer counts it.
@@ -163,7 +163,7 @@
         for replica_id in estimates:
             replica = self._directory.find(replica_id)
             if replica is not None:
-                self.features.note_told_pace(replica.service)
+                self.features.record_reported_slowdown(replica.service)
         # No node reports to a standby, so removed replicas are dropped here.
         self._update_slowdowns(now)
         self.slowdowns.apply(estimates, now)
--- a/src/cloverwalk/scheduling/selection.py
+++ b/src/cloverwalk/scheduling/selection.py
@@ -16,6 +16,8 @@
 from cloverwalk.gateway.replicas import Replica
 
 SUSPECT_COST_MS = 10_000.0
+"""Cost of a replica that failed recently; far above the other costs, so it is the last choice."""
+
 PEER_SUSPECT_COST_MS = 60.0
 """Cost of a replica that failed at another node: about that of a full replica. Without it a dead
 replica, which has no load, would be the cheapest."""
@@ -38,7 +40,7 @@
 PREEMPTION_COST_MS = 20.0
 """Cost of preempting an item: its prompt is prefilled again at another replica."""
 
-OTHER_SUSPECT_COST_MS = 40.0
+OTHER_CRASH_SUSPECT_COST_MS = 40.0
 """Cost of each other crash suspect recently sent to the replica, for a crash suspect. Requests
 whose replica ended are retried at the same moment, and a replica that has just started is the
 cheapest for all of them; one harmful request would then end the replicas of the others. Exceeds the
@@ -64,7 +66,7 @@
     prefill_ms: float = 0.0
     """Time that the replica needs for the prompts sent to it and not prefilled yet."""
 
-    other_suspects: int = 0
+    other_crash_suspects: int = 0
     """Other crash suspects recently sent to the replica; counted for a crash suspect only."""
 
     slowdown: float = 1.0
@@ -106,8 +108,8 @@
     'z1'
     >>> choose([Candidate(near, full, False), Candidate(far, idle, False)], demand).replica.zone
     'z2'
-    >>> reading = Candidate(near, InFlight(online=1), False, prefill_ms=300.0)
-    >>> choose([reading, Candidate(far, idle, False)], demand).replica.zone
+    >>> prefilling = Candidate(near, InFlight(online=1), False, prefill_ms=300.0)
+    >>> choose([prefilling, Candidate(far, idle, False)], demand).replica.zone
     'z2'
     """
     if not candidates:
@@ -147,7 +149,7 @@
     cost += PEER_SUSPECT_COST_MS if candidate.is_peer_suspect else 0.0
     in_flight = candidate.in_flight
     cost += candidate.prefill_ms
-    cost += OTHER_SUSPECT_COST_MS * candidate.other_suspects
+    cost += OTHER_CRASH_SUSPECT_COST_MS * candidate.other_crash_suspects
     used = in_flight.online / replica.slots
     cost += slowdown * LOAD_COST_MS * used
     if used > HIGH_LOAD_THRESHOLD:
--- a/src/cloverwalk/scheduling/service_times.py
+++ b/src/cloverwalk/scheduling/service_times.py
@@ -38,23 +38,23 @@
         self.value += max(self.weight, 1 / self._count) * (measured - self.value)
 
     def replace(self, value: float) -> None:
-        """Replace the average by one of another node, with the weight of a settled average."""
+        """Replace the average by one of another node, with the weight of an average of many."""
         self.value = value
         self._count = round(1 / self.weight)
 
 
-def _hold() -> RunningAverage:
+def _initial_hold_average() -> RunningAverage:
     return RunningAverage(INITIAL_HOLD_MS, LEARNING_WEIGHT)
 
 
-def _start() -> RunningAverage:
+def _initial_start_average() -> RunningAverage:
     return RunningAverage(INITIAL_START_MS, LEARNING_WEIGHT)
 
 
 @attrs.define
 class _RouteTimes:
-    hold: RunningAverage = attrs.Factory(_hold)
-    start: RunningAverage = attrs.Factory(_start)
+    hold: RunningAverage = attrs.Factory(_initial_hold_average)
+    start: RunningAverage = attrs.Factory(_initial_start_average)
     wait_factor: float = 1.0
 
 
--- a/src/cloverwalk/scheduling/slot_time.py
+++ b/src/cloverwalk/scheduling/slot_time.py
@@ -33,7 +33,7 @@
     """Items wait, but the replica is busy with prefills."""
 
     SUSPECTED = "suspected"
-    """Items wait, but the replica failed lately."""
+    """Items wait, but the replica is suspected of a failure."""
 
     DRAINING = "draining"
     """The replica takes no new work."""
--- a/src/cloverwalk/scheduling/slowdown.py
+++ b/src/cloverwalk/scheduling/slowdown.py
@@ -4,9 +4,9 @@
 product of a baseline, which depends on the kind of machine, and a short-term deviation, which
 depends on other work on that machine. The baseline is estimated from answers: their time per event,
 compared with other replicas of the service at a similar load. The deviation is what a replica
-reports, relative to its average report, so its own idea of normal does not matter. If reports have
-not improved the forecast lately, the latest measurements are used instead. A deviation fades with
-its age, and counts only if it means slower than the baseline.
+reports, relative to its average report, so a constant factor in all its reports does not matter.
+If reports do not improve the forecast, the latest measurements are used instead. A deviation fades
+with its age, and counts only if it means slower than the baseline.
 """
 
 import math
@@ -129,8 +129,8 @@
         """Whether the replica's reports count."""
         if self.answers < MIN_TRUST_ANSWERS:
             return True
-        quiet = max(self.error, self.reported_error) < NOISE_ERROR
-        return quiet or self.reported_error < MAX_ERROR_RATIO * self.error
+        is_within_noise = max(self.error, self.reported_error) < NOISE_ERROR
+        return is_within_noise or self.reported_error < MAX_ERROR_RATIO * self.error
 
     def is_expired(self, now: float) -> bool:
         """Whether only the baseline still counts."""
@@ -151,8 +151,8 @@
 
     def update_measured(self, deviation: float, now: float) -> None:
         """Update the measured deviation; the earlier one has faded in the meantime."""
-        before = _remaining_weight(now - self.measured_at, MEASURED_TTL_S) * self.measured
-        self.measured = before + SHORT_TERM_WEIGHT * _limited(deviation - before)
+        faded_deviation = _remaining_weight(now - self.measured_at, MEASURED_TTL_S) * self.measured
+        self.measured = faded_deviation + SHORT_TERM_WEIGHT * _limited(deviation - faded_deviation)
         self.measured_at = now
 
     def slowdown(self, now: float) -> float:
--- a/src/cloverwalk/scheduling/zone_reachability.py
+++ b/src/cloverwalk/scheduling/zone_reachability.py
@@ -17,24 +17,26 @@
 crash takes the replicas of one machine, and a request that ends replicas is sent to two or
 three."""
 
-LEAST_FAILED_REPLICAS = 2
-"""Lower bound for zones with fewer replicas: all of them must fail, and at least this many."""
+MIN_FAILED_REPLICAS = 2
+"""Lower bound for zones with fewer than ``FAILED_REPLICAS``: all of them must fail, and at least
+this many."""
 
-WINDOW_S = 1.0
-"""Time within which they must fail; longer than a connection attempt to an unresponsive host."""
+FAILURE_WINDOW_S = 1.0
+"""Time within which the replicas must fail; longer than a connection attempt to an unresponsive
+host."""
 
 MIN_UNRESPONSIVE_NODES = 3
 """Nodes of a zone that must be unresponsive together; fewer may have failed one by one."""
 
-SILENT_S = 1.3
-"""Time without a report from any node of a zone. Each reports at least once a second; the rest
-allows for delays."""
+UNRESPONSIVE_TIMEOUT_S = 1.3
+"""The nodes of a zone are unresponsive after this time without a report from any of them. Each
+reports at least once a second; the remaining time allows for delays."""
 
-PROBE_EVERY_S = 0.5
+PROBE_INTERVAL_S = 0.5
 """Time between two probes of an unreachable zone, which are single requests. Each may cost its
 caller a connection timeout."""
 
-JUDGED_S = 2.0
+PROBE_SUCCESS_S = 2.0
 """A probe without a failure for this time has succeeded, since a connection to an unresponsive host
 fails within a second."""
 
@@ -45,13 +47,13 @@
     FAILURES = "failures"
     """Several of the zone's replicas failed and none answered."""
 
-    SILENCE = "silence"
+    UNRESPONSIVE = "silence"
     """None of its nodes reports."""
 
     ANSWER = "answer"
     """One of its replicas answered."""
 
-    HEARD = "heard"
+    REPORTED = "heard"
     """One of its nodes reported."""
 
     NO_FAILURE = "no_failure"
@@ -90,12 +92,14 @@
 
     >>> zones = ZoneReachability()
     >>> for number in range(FAILED_REPLICAS):
-    ...     zones.note_failure("a", "b", f"r{number}", 30, now=1.0)
-    >>> zones.has_shut("a"), zones.may_send("a", "b", 1.2), zones.may_send("a", "b", 1.6)
+    ...     zones.record_failure("a", "b", f"r{number}", 30, now=1.0)
+    >>> zones.has_unreachable_zone("a"), zones.may_send("a", "b", 1.2), zones.may_send(
+    ...     "a", "b", 1.6
+    ... )
     (True, False, True)
     >>> zones.may_send("b", "a", 1.2)
     True
-    >>> zones.note_answer("a", "b", 1.7)
+    >>> zones.record_answer("a", "b", 1.7)
     >>> zones.may_send("a", "b", 1.7)
     True
     """
@@ -107,7 +111,7 @@
 
     # --- observations ---
 
-    def note_failure(
+    def record_failure(
         self, source: str, zone: str, replica_id: str, replicas: int, now: float
     ) -> None:
         """Record a failure; the zone has ``replicas`` usable replicas of the service."""
@@ -116,40 +120,43 @@
         link = self._links.setdefault((source, zone), _Link())
         link.first_probe_at = None
         link.failed_at = {
-            key: at for key, at in link.failed_at.items() if 0 <= now - at <= WINDOW_S
+            key: at for key, at in link.failed_at.items() if 0 <= now - at <= FAILURE_WINDOW_S
         }
         link.failed_at[replica_id] = now
-        needed = max(LEAST_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
+        needed = max(MIN_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
         if not link.is_unreachable and len(link.failed_at) >= needed:
-            self._set(source, zone, False, Evidence.FAILURES, now)
+            self._set_reachable(source, zone, False, Evidence.FAILURES, now)
 
-    def note_answer(self, source: str, zone: str, now: float) -> None:
+    def record_answer(self, source: str, zone: str, now: float) -> None:
         """Record that a replica answered a node of ``source``."""
         link = self._links.get((source, zone))
         if link is None:
             return
         link.failed_at.clear()
         if link.is_unreachable:
-            self._set(source, zone, True, Evidence.ANSWER, now)
+            self._set_reachable(source, zone, True, Evidence.ANSWER, now)
 
     def record_last_seen(
-        self, source: str, zone: str, heard_at: Sequence[float], now: float
+        self, source: str, zone: str, last_seen_at: Sequence[float], now: float
     ) -> None:
         """Record when the known nodes of a zone were last seen from ``source``."""
         link = self._links.get((source, zone))
-        is_unresponsive = len(heard_at) >= MIN_UNRESPONSIVE_NODES and now - max(heard_at) > SILENT_S
+        is_unresponsive = (
+            len(last_seen_at) >= MIN_UNRESPONSIVE_NODES
+            and now - max(last_seen_at) > UNRESPONSIVE_TIMEOUT_S
+        )
         if is_unresponsive:
             if link is None or not link.is_unresponsive:
                 self._mark_unresponsive(source, zone, now)
         elif link is not None and link.is_unresponsive:
             link.is_unresponsive = False
             if link.is_unreachable:
-                self._set(source, zone, True, Evidence.HEARD, now)
+                self._set_reachable(source, zone, True, Evidence.REPORTED, now)
 
     def _mark_unresponsive(self, source: str, zone: str, now: float) -> None:
         link = self._links.setdefault((source, zone), _Link())
         if not link.is_unreachable:
-            self._set(source, zone, False, Evidence.SILENCE, now)
+            self._set_reachable(source, zone, False, Evidence.UNRESPONSIVE, now)
         link.is_unresponsive = True
 
     # --- results ---
@@ -159,7 +166,7 @@
         """Number of unreachable links."""
         return len(self._unreachable)
 
-    def has_shut(self, source: str) -> bool:
+    def has_unreachable_zone(self, source: str) -> bool:
         """Whether some zone is unreachable from ``source``."""
         return bool(self._unreachable) and any(
             unreachable_from == source for unreachable_from, _ in self._unreachable
@@ -169,9 +176,9 @@
         """Whether a zone is reachable or due for a probe."""
         if (source, zone) not in self._unreachable:
             return True
-        return now - self._links[source, zone].probed_at >= PROBE_EVERY_S
+        return now - self._links[source, zone].probed_at >= PROBE_INTERVAL_S
 
-    def note_sent(self, source: str, zone: str, now: float) -> None:
+    def record_sent(self, source: str, zone: str, now: float) -> None:
         """Record that a request was sent; to an unreachable zone it is a probe."""
         if (source, zone) not in self._unreachable:
             return
@@ -185,10 +192,10 @@
         for source, zone in sorted(self._unreachable):
             link = self._links[source, zone]
             sent_at = link.first_probe_at
-            if sent_at is not None and now - sent_at >= JUDGED_S:
-                self._set(source, zone, True, Evidence.NO_FAILURE, now)
+            if sent_at is not None and now - sent_at >= PROBE_SUCCESS_S:
+                self._set_reachable(source, zone, True, Evidence.NO_FAILURE, now)
 
-    def _set(
+    def _set_reachable(
         self, source: str, zone: str, is_reachable: bool, evidence: Evidence, now: float
     ) -> None:
         link = self._links[source, zone]
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -130,7 +130,7 @@
         self._log.write(
             catalogue.TENANTS_HELD_BACK,
             tenants=throttled.by_tenant,
-            others=throttled.others,
+            others=throttled.unnamed_count,
             bad_figures=throttled.invalid_count,
         )
 
--- a/tests/serving/test_replica_memory.py
+++ b/tests/serving/test_replica_memory.py
@@ -45,16 +45,16 @@
     return fleet
 
 
-def ask(fleet: Fleet, node: int, tokens: int) -> int:
-    """Send a placement request of this many tokens; the node reports them where it is sent."""
-    number = fleet.ask(node, tokens=tokens)
+def place_with_tokens(fleet: Fleet, node: int, tokens: int) -> int:
+    """Send a placement request of this many tokens; if it is placed, the node reports them."""
+    number = fleet.request_placement(node, tokens=tokens)
     placement = fleet.nodes[node].placements[number]
     if placement.verdict is PlacementVerdict.SEND:
         tokens_by_replica = fleet.nodes[node].tokens
         tokens_by_replica[placement.replica_id] = (
             tokens_by_replica.get(placement.replica_id, 0) + tokens
         )
-        fleet.tell(node)
+        fleet.report_state(node)
     return number
 
 
@@ -66,7 +66,7 @@
 def test_no_burst_of_long_requests_fills_a_replica_beyond_its_memory(sizes: list[int]) -> None:
     fleet = small_fleet()
     for number, size in enumerate(sizes):
-        ask(fleet, number % 3, size)
+        place_with_tokens(fleet, number % 3, size)
         assert all(tokens_at(fleet, key) <= LIMIT for key in ("r0", "r1"))
     sent = sum(sum(node.tokens.values()) for node in fleet.nodes)
     assert sum(tokens_at(fleet, key) for key in ("r0", "r1")) == sent
@@ -74,37 +74,39 @@
 
 def test_request_larger_than_any_replica_is_refused_at_once() -> None:
     fleet = small_fleet()
-    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT + 1)) is PlacementVerdict.TOO_LARGE
-    assert fleet.verdict(0, fleet.ask(0, tokens=LIMIT)) is PlacementVerdict.SEND
+    assert (
+        fleet.verdict(0, fleet.request_placement(0, tokens=LIMIT + 1)) is PlacementVerdict.TOO_LARGE
+    )
+    assert fleet.verdict(0, fleet.request_placement(0, tokens=LIMIT)) is PlacementVerdict.SEND
 
 
 def test_request_without_free_memory_is_queued_until_some_is_free() -> None:
     fleet = small_fleet(replicas=1)
-    ask(fleet, 0, LIMIT)
-    number = fleet.ask(1, tokens=500)
+    place_with_tokens(fleet, 0, LIMIT)
+    number = fleet.request_placement(1, tokens=500)
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
     fleet.nodes[0].online, fleet.nodes[0].tokens = {}, {}
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
 def test_long_request_waiting_for_memory_does_not_block_a_shorter_one() -> None:
     fleet = small_fleet(replicas=1)
-    ask(fleet, 0, 8_000)
-    long, short = fleet.ask(1, tokens=5_000), fleet.ask(2, tokens=3_000)
+    place_with_tokens(fleet, 0, 8_000)
+    long, short = fleet.request_placement(1, tokens=5_000), fleet.request_placement(2, tokens=3_000)
     assert fleet.verdict(1, long) is fleet.verdict(2, short) is PlacementVerdict.QUEUE
     fleet.nodes[0].online, fleet.nodes[0].tokens = {"r0": 1}, {"r0": 6_000}
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.verdict(1, long) is PlacementVerdict.QUEUE
     assert fleet.verdict(2, short) is PlacementVerdict.SEND
 
 
 def test_request_without_free_memory_is_refused_after_the_longest_wait() -> None:
     fleet = small_fleet(replicas=1)
-    ask(fleet, 0, LIMIT)
-    number = fleet.ask(1, tokens=500)
+    place_with_tokens(fleet, 0, LIMIT)
+    number = fleet.request_placement(1, tokens=500)
     fleet.now += MAX_QUEUE_WAIT_S
-    fleet.tell(1)
+    fleet.report_state(1)
     assert fleet.verdict(1, number) is PlacementVerdict.NO_REPLICA
 
 
@@ -113,7 +115,7 @@
     report = fleet.nodes[0].report()
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
     fleet.scheduler.handle_report(report, fleet.now)
-    number = fleet.ask(1, tokens=5_000)
+    number = fleet.request_placement(1, tokens=5_000)
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
     tracker = fleet.scheduler.load_tracker
     assert tracker.total("r0", fleet.now).batch == 2
@@ -150,7 +152,7 @@
 def test_new_coordinator_counts_the_memory_use_of_the_previous_one() -> None:
     fleet = small_fleet(replicas=1)
     fleet.scheduler.load_tracker.apply_snapshot({"r0": NodeLoad(2, 0, 9_500, 0)}, fleet.now)
-    assert fleet.verdict(0, fleet.ask(0, tokens=1_000)) is PlacementVerdict.QUEUE
+    assert fleet.verdict(0, fleet.request_placement(0, tokens=1_000)) is PlacementVerdict.QUEUE
 
 
 def test_new_coordinator_can_preempt_items_for_memory() -> None:
@@ -159,7 +161,7 @@
     report.loads = {"r0": NodeLoad(0, 4, 8_000, 8_000)}
     before.scheduler.handle_report(report, before.now)
     after.scheduler.load_tracker.apply_snapshot(before.scheduler.replica_loads(), after.now)
-    assert after.verdict(1, after.ask(1, tokens=5_000)) is PlacementVerdict.SEND
+    assert after.verdict(1, after.request_placement(1, tokens=5_000)) is PlacementVerdict.SEND
 
 
 @pytest.mark.parametrize("is_ordered", [False, True])
@@ -168,11 +170,11 @@
 ) -> None:
     fleet = small_fleet(replicas=1)
     if is_ordered:
-        fleet.scheduler.features.note_told_pace("model")
-    ask(fleet, 0, 8_000)
-    long = fleet.ask(1, tokens=5_000, objective_left_ms=-200)
+        fleet.scheduler.features.record_reported_slowdown("model")
+    place_with_tokens(fleet, 0, 8_000)
+    long = fleet.request_placement(1, tokens=5_000, objective_left_ms=-200)
     fleet.now += 0.01
-    late = fleet.ask(2, tokens=500, objective_left_ms=-100)
+    late = fleet.request_placement(2, tokens=500, objective_left_ms=-100)
     assert fleet.verdict(1, long) is PlacementVerdict.QUEUE
     assert fleet.verdict(2, late) is PlacementVerdict.SEND
 
@@ -181,8 +183,8 @@
 def test_memory_affects_no_decision_while_the_feature_is_off(sizes: list[int]) -> None:
     with_tokens, without = small_fleet(is_scarce=False), small_fleet(is_scarce=False)
     for size in sizes:
-        with_tokens.ask(0, tokens=size)
-        without.ask(0)
+        with_tokens.request_placement(0, tokens=size)
+        without.request_placement(0)
     placements = [fleet.nodes[0].placements for fleet in (with_tokens, without)]
     assert placements[0] == placements[1]
 
@@ -209,7 +211,7 @@
     fleet.nodes[0].online, fleet.nodes[0].tokens = {"r0": 1}, {"r0": 9_000}
     fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", remaining_ms=2000, tokens=5_000)]
     for _ in range(3):
-        fleet.tell(0)
+        fleet.report_state(0)
     assert fleet.work("r0") == (1, 0)
     assert (shares.ahead_ms(0, "hot"), shares.slot_ms.total()) == before
 
@@ -219,9 +221,9 @@
     tenants: tuple[Tenant, ...],
 ) -> None:
     fleet = small_fleet(replicas=1, tenants=tenants)
-    ask(fleet, 0, 8_000)
-    large = fleet.ask(1, tokens=5_000, tenant="a")
+    place_with_tokens(fleet, 0, 8_000)
+    large = fleet.request_placement(1, tokens=5_000, tenant="a")
     fleet.now += 0.01
-    late = fleet.ask(2, tokens=500, tenant="b", deadline_ms=3000, objective_left_ms=1)
+    late = fleet.request_placement(2, tokens=500, tenant="b", deadline_ms=3000, objective_left_ms=1)
     assert fleet.verdict(1, large) is PlacementVerdict.QUEUE
     assert fleet.verdict(2, late) is PlacementVerdict.SEND
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -122,11 +122,11 @@
     entry = msgspec.structs.replace(fleet.directory.all()[0], version=2, started_ms=5)
     fleet.directory.put(entry)
     replicas = fleet.scheduler._replicas
-    replicas.note_reading(entry.replica_id, 500.0, fleet.now)
-    replicas.note_sent_suspect(entry.replica_id, CONTENT, fleet.now)
+    replicas.record_prefill(entry.replica_id, 500.0, fleet.now)
+    replicas.record_sent_crash_suspect(entry.replica_id, CONTENT, fleet.now)
     fleet.directory.put(msgspec.structs.replace(entry, version=3, started_ms=9))
     assert replicas.prefill_ms(entry.replica_id, fleet.now) == 0
-    assert replicas._other_suspects(entry.replica_id, "d" * 20, fleet.now) == 0
+    assert replicas._other_crash_suspects(entry.replica_id, "d" * 20, fleet.now) == 0
 
 
 # --- requests and items that were there ---
--- a/tests/serving/test_scheduler.py
+++ b/tests/serving/test_scheduler.py
@@ -65,7 +65,9 @@
     suspects: list[str] = attrs.Factory(list)
 
     def report(
-        self, asks: list[PlacementRequest] | None = None, served: list[RequestTiming] | None = None
+        self,
+        placement_requests: list[PlacementRequest] | None = None,
+        request_timings: list[RequestTiming] | None = None,
     ) -> Report:
         self.sequence += 1
         replicas = {*self.online, *self.batch}
@@ -86,9 +88,9 @@
             loads,
             {POOL: list(self.waiting)} if self.waiting else {},
             list(self.suspects),
-            asks or [],
+            placement_requests or [],
             [],
-            served or [],
+            request_timings or [],
         )
 
 
@@ -117,27 +119,28 @@
             Random(1),
         )
         self.nodes = [FakeNode(f"n{number}", f"z{1 + number % zones}") for number in range(nodes)]
-        self._asked = 0
+        self._last_number = 0
 
-    def ask(self, node: int, route: str = "chat", **more: object) -> int:
+    def request_placement(self, node: int, route: str = "chat", **more: object) -> int:
         """Send a placement request of a node; return its number."""
-        self._asked += 1
+        self._last_number += 1
         fields: dict[str, object] = {
             "objective_left_ms": 300,
             "deadline_ms": 5000,
             "time_left_ms": 5000,
             **more,
         }
-        request = PlacementRequest(self._asked, route, "model", **fields)  # type: ignore[arg-type]
+        request = PlacementRequest(self._last_number, route, "model", **fields)  # type: ignore[arg-type]
         self.scheduler.handle_report(self.nodes[node].report([request]), self.now)
-        self.obey()
-        return self._asked
+        self.apply_decisions()
+        return self._last_number
 
-    def tell(self, node: int) -> None:
+    def report_state(self, node: int) -> None:
+        """Send a node's report to the scheduler, and apply the decisions."""
         self.scheduler.handle_report(self.nodes[node].report(), self.now)
-        self.obey()
+        self.apply_decisions()
 
-    def obey(self) -> None:
+    def apply_decisions(self) -> None:
         """Have every node carry out its decisions."""
         by_name = {fake_node.name: fake_node for fake_node in self.nodes}
         for name, decided in self.scheduler.pop_decisions().items():
@@ -177,8 +180,8 @@
     fleet = Fleet(replicas=3)
     fleet.nodes[0].waiting = [WaitingGroup(5, 20)]
     fleet.nodes[1].waiting = [WaitingGroup(4, 20)]
-    fleet.tell(0)
-    fleet.tell(1)
+    fleet.report_state(0)
+    fleet.report_state(1)
     assert sum(fleet.work(f"r{number}")[1] for number in range(3)) == 3 * SLOTS
     assert max(fleet.work(f"r{number}")[1] for number in range(3)) == SLOTS
 
@@ -186,12 +189,12 @@
 def test_items_due_sooner_get_the_next_free_slot_whichever_node_has_them() -> None:
     fleet = Fleet(replicas=1)
     fleet.nodes[0].waiting = [WaitingGroup(9, 20)]
-    fleet.tell(0)
+    fleet.report_state(0)
     fleet.nodes[1].waiting = [WaitingGroup(3, 2)]
-    fleet.tell(1)
+    fleet.report_state(1)
     assert fleet.nodes[1].batch == {}
     fleet.nodes[0].batch["r0"] -= 3
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.nodes[1].batch == {"r0": 2}
     assert fleet.nodes[0].batch == {"r0": 6}
 
@@ -199,43 +202,43 @@
 def test_item_returns_to_the_replica_with_its_cached_prompt() -> None:
     fleet = Fleet(replicas=4)
     fleet.nodes[0].waiting = [WaitingGroup(5, 1, "r3")]
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.nodes[0].batch == {"r3": 1}
 
 
 def test_online_requests_use_free_slots_before_items_are_preempted() -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].batch = {"r0": SLOTS, "r1": SLOTS - 2}
-    fleet.tell(0)
+    fleet.report_state(0)
     for _ in range(2):
-        fleet.ask(1)
+        fleet.request_placement(1)
     assert fleet.work("r1") == (2, SLOTS - 2)
     assert fleet.work("r0") == (0, SLOTS)
 
 
 @given(st.lists(st.integers(0, 2), min_size=1, max_size=16))
-def test_one_item_is_preempted_per_online_request_and_no_more(askers: list[int]) -> None:
+def test_one_item_is_preempted_per_online_request_and_no_more(requesting_nodes: list[int]) -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].batch = {"r0": SLOTS, "r1": 5}
     fleet.nodes[2].batch = {"r1": 3}
     for node in range(3):
-        fleet.tell(node)
-    for node in askers:
-        fleet.ask(node)
+        fleet.report_state(node)
+    for node in requesting_nodes:
+        fleet.request_placement(node)
     for replica in ("r0", "r1"):
         online, batch = fleet.work(replica)
         assert online + batch == SLOTS
-    assert fleet.work("r0")[0] + fleet.work("r1")[0] == len(askers)
+    assert fleet.work("r0")[0] + fleet.work("r1")[0] == len(requesting_nodes)
 
 
 def test_request_beyond_the_slots_is_refused_with_a_retry_time_and_its_retry_is_queued() -> None:
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
-        fleet.ask(0)
-    first = fleet.ask(1, objective_left_ms=SHORT_OBJECTIVE_MS)
+        fleet.request_placement(0)
+    first = fleet.request_placement(1, objective_left_ms=SHORT_OBJECTIVE_MS)
     assert fleet.verdict(1, first) is PlacementVerdict.RETRY_LATER
     assert fleet.nodes[1].placements[first].retry_after_s > 0
-    again = fleet.ask(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
+    again = fleet.request_placement(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
     assert fleet.verdict(1, again) is PlacementVerdict.QUEUE
 
 
@@ -243,29 +246,31 @@
     """Return a fleet without a free slot, and the number of a request that is queued for node 1."""
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
-        fleet.ask(0)
-    fleet.ask(2, objective_left_ms=SHORT_OBJECTIVE_MS)
-    return fleet, fleet.ask(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
+        fleet.request_placement(0)
+    fleet.request_placement(2, objective_left_ms=SHORT_OBJECTIVE_MS)
+    return fleet, fleet.request_placement(1, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
 
 
 def test_queued_request_gets_the_next_slot_before_any_item() -> None:
     fleet, number = fleet_with_queued_request()
     fleet.nodes[2].waiting = [WaitingGroup(1, 4)]
-    fleet.tell(2)
+    fleet.report_state(2)
     fleet.nodes[0].online["r0"] -= 1
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
     assert fleet.nodes[2].batch == {}
 
 
 def test_queued_requests_are_placed_by_rank_then_age() -> None:
     fleet, first = fleet_with_queued_request()
-    fleet.ask(2, route="patient", objective_left_ms=SHORT_OBJECTIVE_MS)
-    second = fleet.ask(1, route="patient", deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
-    third = fleet.ask(2, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
+    fleet.request_placement(2, route="patient", objective_left_ms=SHORT_OBJECTIVE_MS)
+    second = fleet.request_placement(
+        1, route="patient", deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS
+    )
+    third = fleet.request_placement(2, deadline_ms=3000, objective_left_ms=SHORT_OBJECTIVE_MS)
     for expected in ((1, first), (2, third), (1, second)):
         fleet.nodes[0].online["r0"] -= 1
-        fleet.tell(0)
+        fleet.report_state(0)
         placed = [
             (node, number)
             for node in range(3)
@@ -280,7 +285,7 @@
     fleet.now += MAX_QUEUE_WAIT_S
     request = PlacementRequest(number, "chat", "model", deadline_ms=3000, time_left_ms=1500)
     fleet.scheduler.handle_report(fleet.nodes[1].report([request]), fleet.now)
-    fleet.obey()
+    fleet.apply_decisions()
     assert fleet.verdict(1, number) is PlacementVerdict.SEND
 
 
@@ -289,7 +294,7 @@
     fleet.now += QUEUED_REQUEST_TTL_S + 0.1
     fleet.scheduler.tick(fleet.now)
     fleet.nodes[0].online["r0"] -= 1
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
     assert fleet.work("r0") == (SLOTS - 1, 0)
 
@@ -300,20 +305,20 @@
     report.withdrawn = [number]
     fleet.scheduler.handle_report(report, fleet.now)
     fleet.nodes[0].online["r0"] -= 1
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.verdict(1, number) is PlacementVerdict.QUEUE
 
 
 def test_slots_of_a_removed_node_are_granted_again() -> None:
     fleet = Fleet(replicas=1)
     for _ in range(SLOTS):
-        fleet.ask(0)
+        fleet.request_placement(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 3)]
-    fleet.tell(1)
+    fleet.report_state(1)
     assert fleet.nodes[1].batch == {}
     fleet.nodes[0].online = {}
     fleet.scheduler.remove_node("n0", fleet.now + 5.0)
-    fleet.obey()
+    fleet.apply_decisions()
     assert fleet.nodes[1].batch == {"r0": 3}
 
 
@@ -324,50 +329,52 @@
     fleet = Fleet(replicas=2, nodes=2)
     for _ in range(40):
         fleet.now += 0.02
-        number = fleet.ask(0)
+        number = fleet.request_placement(0)
         replica = fleet.nodes[0].placements[number].replica_id
         fleet.nodes[0].online[replica] -= 1
-        fleet.tell(0)
+        fleet.report_state(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 30, prefill_ms=prefill_ms)]
-    fleet.tell(1)
+    fleet.report_state(1)
     granted = sum(fleet.work(key)[1] for key in ("r0", "r1"))
     assert 2 * SLOTS - max_reserved <= granted <= 2 * SLOTS - min_reserved
     fleet.now += 5.0
-    fleet.tell(1)
+    fleet.report_state(1)
     assert sum(fleet.work(key)[1] for key in ("r0", "r1")) == 2 * SLOTS
 
 
 def test_long_prompt_counts_until_it_is_prefilled() -> None:
     fleet = Fleet(replicas=2)
-    long = fleet.ask(0, own_tokens=50_000)
+    long = fleet.request_placement(0, own_tokens=50_000)
     busy = fleet.nodes[0].placements[long].replica_id
     free = {"r0": "r1", "r1": "r0"}[busy]
-    assert [fleet.nodes[1].placements[fleet.ask(1)].replica_id for _ in range(3)] == [free] * 3
+    assert [fleet.nodes[1].placements[fleet.request_placement(1)].replica_id for _ in range(3)] == [
+        free
+    ] * 3
     fleet.now += 1.1
-    replicas = {fleet.nodes[1].placements[fleet.ask(1)].replica_id for _ in range(3)}
+    replicas = {fleet.nodes[1].placements[fleet.request_placement(1)].replica_id for _ in range(3)}
     assert busy in replicas
 
 
 def test_replica_that_failed_at_one_node_is_avoided_for_all_nodes() -> None:
     fleet = Fleet(replicas=2)
     fleet.nodes[0].suspects = ["r0"]
-    fleet.tell(0)
-    numbers = [fleet.ask(1) for _ in range(4)]
+    fleet.report_state(0)
+    numbers = [fleet.request_placement(1) for _ in range(4)]
     assert {fleet.nodes[1].placements[number].replica_id for number in numbers} == {"r1"}
     fleet.nodes[2].waiting = [WaitingGroup(1, 30)]
-    fleet.tell(2)
+    fleet.report_state(2)
     assert "r0" not in fleet.nodes[2].batch
     fleet.nodes[0].suspects = []
     timing = RequestTiming("chat", "r0", 50, 300, 0)
-    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
-    fleet.obey()
+    fleet.scheduler.handle_report(fleet.nodes[0].report(request_timings=[timing]), fleet.now)
+    fleet.apply_decisions()
     # Some slots are reserved for requests like the earlier ones.
     assert fleet.nodes[2].batch["r0"] >= SLOTS - 2
 
 
 def test_request_without_a_usable_replica_is_refused() -> None:
     fleet = Fleet(replicas=0)
-    assert fleet.verdict(0, fleet.ask(0)) is PlacementVerdict.NO_REPLICA
+    assert fleet.verdict(0, fleet.request_placement(0)) is PlacementVerdict.NO_REPLICA
 
 
 # --- load tracker ---
@@ -431,9 +438,9 @@
         return total(tracker, replica_id, now)
 
     monkeypatch.setattr(ReplicaLoadTracker, "total", counting)
-    fleet.ask(0)
+    fleet.request_placement(0)
     fleet.nodes[1].waiting = [WaitingGroup(1, 5, prefill_ms=5)]
-    fleet.tell(1)
+    fleet.report_state(1)
     assert reads <= 3 * (MAX_SAMPLED_REPLICAS + 5)
 
 
@@ -446,7 +453,7 @@
         fleet.nodes[0].waiting = [
             WaitingGroup(1, replicas * SLOTS - sum(fleet.nodes[0].batch.values()) + 1)
         ]
-        fleet.tell(0)
+        fleet.report_state(0)
     assert sum(fleet.nodes[0].batch.values()) >= 0.99 * replicas * SLOTS
 
 
@@ -454,8 +461,8 @@
     replicas = 4 * MAX_SAMPLED_REPLICAS
     fleet = Fleet(replicas=replicas)
     fleet.nodes[1].online = {f"r{number}": SLOTS for number in range(0, replicas, 2)}
-    fleet.tell(1)
-    numbers = [fleet.ask(0) for _ in range(50)]
+    fleet.report_state(1)
+    numbers = [fleet.request_placement(0) for _ in range(50)]
     chosen = [fleet.nodes[0].placements[number].replica_id for number in numbers]
     assert all(int(replica_id[1:]) % 2 == 1 for replica_id in chosen)
     assert len(set(chosen)) > 45
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -139,15 +139,15 @@
     fast = fleet.ids[:3]
     fleet.answer_in_turn(dict.fromkeys(fast, 0.6))
     baselines = [fleet.scheduler.slowdowns.baseline(replica_id) for replica_id in fleet.ids]
-    ratios = [replica_id / baselines[8] for replica_id in baselines[:3]]
-    assert all(0.5 < replica_id < 0.75 for replica_id in ratios)
+    ratios = [baseline / baselines[8] for baseline in baselines[:3]]
+    assert all(0.5 < ratio < 0.75 for ratio in ratios)
     fleet.now += 2.0
     sent = fleet.place(36)
-    by_id = [sent.count(replica_id) for replica_id in fleet.ids]
+    sent_counts = [sent.count(replica_id) for replica_id in fleet.ids]
     assert len(sent) == 36
-    assert min(by_id[:3]) > max(by_id[3:])
-    assert min(by_id) > 0
-    assert max(by_id) <= SLOTS
+    assert min(sent_counts[:3]) > max(sent_counts[3:])
+    assert min(sent_counts) > 0
+    assert max(sent_counts) <= SLOTS
 
 
 def test_slow_replica_gets_requests_while_the_others_are_full() -> None:
@@ -491,7 +491,7 @@
     cost = selection.SUSPECT_COST_MS if candidate.is_suspect else 0.0
     cost += selection.PEER_SUSPECT_COST_MS if candidate.is_peer_suspect else 0.0
     cost += candidate.prefill_ms
-    cost += selection.OTHER_SUSPECT_COST_MS * candidate.other_suspects
+    cost += selection.OTHER_CRASH_SUSPECT_COST_MS * candidate.other_crash_suspects
     cost += selection.LOAD_COST_MS * used
     threshold = selection.HIGH_LOAD_THRESHOLD
     cost += selection.HIGH_LOAD_COST_MS * max(0.0, used - threshold) / (1 - threshold)
--- a/tests/serving/test_tenant_shares.py
+++ b/tests/serving/test_tenant_shares.py
@@ -21,16 +21,16 @@
     """Return a fleet whose slots are all in use by requests of one tenant."""
     fleet = Fleet(replicas=1, tenants=tenants)
     for _ in range(SLOTS):
-        fleet.ask(0, tenant="hot")
+        fleet.request_placement(0, tenant="hot")
     # The first late request of a route is refused; later ones count as retries and are queued.
-    fleet.ask(2, objective_left_ms=LATE_MS, tenant="hot")
+    fleet.request_placement(2, objective_left_ms=LATE_MS, tenant="hot")
     return fleet
 
 
 def queue_request(
     fleet: Fleet, tenant: str, node: int = 1, objective_left_ms: int = LATE_MS
 ) -> int:
-    number = fleet.ask(
+    number = fleet.request_placement(
         node,
         deadline_ms=3000,
         time_left_ms=3000,
@@ -50,7 +50,7 @@
         if placement.verdict is PlacementVerdict.SEND
     }
     fleet.nodes[0].online["r0"] -= 1
-    fleet.tell(0)
+    fleet.report_state(0)
     after = {
         number
         for node in fleet.nodes
@@ -91,22 +91,28 @@
     for _ in range(8):
         # Long requests of one tenant put it far ahead of the others.
         timing = RequestTiming("chat", "r0", 50, 9000, 0, tenant="hot")
-        fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
+        fleet.scheduler.handle_report(fleet.nodes[0].report(request_timings=[timing]), fleet.now)
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
     assert fleet.scheduler.online_shares.is_ahead(0, "hot")
     fleet.scheduler.times.apply_estimate("chat", 50.0, 500.0, 1.0)
     small = queue_request(fleet, "small")
     fields: dict[str, Any] = {"deadline_ms": 5000, "objective_left_ms": 300}
     fleet.nodes[0].online["r0"] = SLOTS + 2
-    fleet.tell(0)
-    refused = fleet.ask(1, tenant="hot", **fields)
+    fleet.report_state(0)
+    refused = fleet.request_placement(1, tenant="hot", **fields)
     assert fleet.verdict(1, refused) is not PlacementVerdict.SEND
-    assert fleet.verdict(1, fleet.ask(1, tenant="other", **fields)) is PlacementVerdict.SEND
+    assert (
+        fleet.verdict(1, fleet.request_placement(1, tenant="other", **fields))
+        is PlacementVerdict.SEND
+    )
     fleet.nodes[1].online["r0"] -= 1
     report = fleet.nodes[1].report()
     report.withdrawn = [small]
     fleet.scheduler.handle_report(report, fleet.now)
-    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **fields)) is PlacementVerdict.SEND
+    assert (
+        fleet.verdict(1, fleet.request_placement(1, tenant="hot", **fields))
+        is PlacementVerdict.SEND
+    )
 
 
 def test_while_a_tenant_is_ahead_each_other_tenant_may_queue_one_request() -> None:
@@ -114,8 +120,13 @@
     for _ in range(4):
         fleet.scheduler.online_shares.charge(0, "hot", 2000.0, ["small"])
     late: dict[str, Any] = {"objective_left_ms": LATE_MS}
-    assert fleet.verdict(1, fleet.ask(1, tenant="hot", **late)) is PlacementVerdict.RETRY_LATER
-    verdicts = [fleet.verdict(1, fleet.ask(1, tenant="small", **late)) for _ in range(2)]
+    assert (
+        fleet.verdict(1, fleet.request_placement(1, tenant="hot", **late))
+        is PlacementVerdict.RETRY_LATER
+    )
+    verdicts = [
+        fleet.verdict(1, fleet.request_placement(1, tenant="small", **late)) for _ in range(2)
+    ]
     assert verdicts == [PlacementVerdict.QUEUE, PlacementVerdict.RETRY_LATER]
 
 
@@ -134,8 +145,10 @@
 def test_request_that_will_miss_its_deadline_is_refused_without_a_retry_time() -> None:
     fleet = busy_fleet()
     fleet.nodes[0].online["r0"] = 40 * SLOTS
-    fleet.tell(0)
-    number = fleet.ask(1, deadline_ms=3000, time_left_ms=3000, objective_left_ms=300, tenant="hot")
+    fleet.report_state(0)
+    number = fleet.request_placement(
+        1, deadline_ms=3000, time_left_ms=3000, objective_left_ms=300, tenant="hot"
+    )
     placement = fleet.nodes[1].placements[number]
     assert (placement.verdict, placement.retry_after_s) == (PlacementVerdict.RETRY_LATER, 0.0)
 
@@ -158,7 +171,7 @@
 def test_unused_slot_time_of_an_item_is_credited() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
     fleet.nodes[0].waiting = [WaitingGroup(1, 2, tenant="hot", remaining_ms=2000)]
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.scheduler.item_shares.ahead_ms(0, "hot") > 0
     report = fleet.nodes[0].report()
     report.corrections = [WorkCorrection("hot", 0, -4000)]
@@ -174,7 +187,7 @@
     fleet.nodes[0].waiting = [
         WaitingGroup(step, count, tenant=TENANTS[step % 3].name) for step, count in enumerate(items)
     ]
-    fleet.tell(0)
+    fleet.report_state(0)
     assert sum(fleet.work(f"r{number}")[1] for number in range(2)) == min(sum(items), 2 * SLOTS)
 
 
@@ -227,8 +240,8 @@
 
 def test_request_without_a_tenant_is_charged_its_actual_slot_time() -> None:
     fleet = Fleet(replicas=1, tenants=TENANTS)
-    fleet.ask(0, tenant="")
+    fleet.request_placement(0, tenant="")
     before_ms = fleet.scheduler.online_shares.ahead_ms(0, "")
     timing = RequestTiming("chat", "r0", 50, round(before_ms) + 700, 0)
-    fleet.scheduler.handle_report(fleet.nodes[0].report(served=[timing]), fleet.now)
+    fleet.scheduler.handle_report(fleet.nodes[0].report(request_timings=[timing]), fleet.now)
     assert fleet.scheduler.online_shares.ahead_ms(0, "") == before_ms + 700
--- a/tests/serving/test_zone_loss.py
+++ b/tests/serving/test_zone_loss.py
@@ -19,11 +19,11 @@
 from cloverwalk.scheduling.features import Feature, Features
 from cloverwalk.scheduling.zone_reachability import (
     FAILED_REPLICAS,
-    JUDGED_S,
-    LEAST_FAILED_REPLICAS,
-    PROBE_EVERY_S,
-    SILENT_S,
-    WINDOW_S,
+    FAILURE_WINDOW_S,
+    MIN_FAILED_REPLICAS,
+    PROBE_INTERVAL_S,
+    PROBE_SUCCESS_S,
+    UNRESPONSIVE_TIMEOUT_S,
     Evidence,
     ReachabilityChange,
     ZoneReachability,
@@ -121,10 +121,12 @@
         assert len({node.follows for node in cut}) == 1
         # Both sides together grant at most the whole quota.
         fractions = [
-            node.scheduler.quotas._share for node in world.nodes if node.coordinator.is_active
+            node.scheduler.quotas._fleet_fraction
+            for node in world.nodes
+            if node.coordinator.is_active
         ]
         serving = [node for node in cut if node.leader.serves_zone]
-        fractions += [node.scheduler.quotas._share for node in serving]
+        fractions += [node.scheduler.quotas._fleet_fraction for node in serving]
         assert len(fractions) == 2
         assert sum(fractions) <= 1.0
         world.wire.cut_zones.clear()
@@ -313,7 +315,7 @@
     reachability: ZoneReachability, count: int, now: float, replicas: int = 30
 ) -> None:
     for number in range(count):
-        reachability.note_failure("a", "b", f"r{number}", replicas, now)
+        reachability.record_failure("a", "b", f"r{number}", replicas, now)
 
 
 def test_failed_replicas_make_zone_unreachable_and_an_answer_reachable() -> None:
@@ -323,9 +325,9 @@
     record_failures(reachability, FAILED_REPLICAS, 1.0)
     assert not reachability.may_send("a", "b", 1.1)
     assert reachability.may_send("c", "b", 1.1) and reachability.may_send("b", "a", 1.1)
-    reachability.note_sent("a", "b", 1.0 + PROBE_EVERY_S)
-    assert not reachability.may_send("a", "b", 1.1 + PROBE_EVERY_S)
-    reachability.note_answer("a", "b", 2.0)
+    reachability.record_sent("a", "b", 1.0 + PROBE_INTERVAL_S)
+    assert not reachability.may_send("a", "b", 1.1 + PROBE_INTERVAL_S)
+    reachability.record_answer("a", "b", 2.0)
     assert changes == [
         ReachabilityChange("a", "b", False, Evidence.FAILURES),
         ReachabilityChange("a", "b", True, Evidence.ANSWER),
@@ -335,31 +337,31 @@
 def test_successful_probe_makes_zone_reachable_and_failed_probe_does_not() -> None:
     reachability = ZoneReachability()
     record_failures(reachability, FAILED_REPLICAS, 1.0)
-    reachability.note_sent("a", "b", 2.0)
-    reachability.note_failure("a", "b", "r9", 30, 2.4)
-    reachability.tick(2.0 + JUDGED_S)
-    assert reachability.has_shut("a")
-    reachability.note_sent("a", "b", 5.0)
-    reachability.tick(5.0 + JUDGED_S)
-    assert not reachability.has_shut("a")
+    reachability.record_sent("a", "b", 2.0)
+    reachability.record_failure("a", "b", "r9", 30, 2.4)
+    reachability.tick(2.0 + PROBE_SUCCESS_S)
+    assert reachability.has_unreachable_zone("a")
+    reachability.record_sent("a", "b", 5.0)
+    reachability.tick(5.0 + PROBE_SUCCESS_S)
+    assert not reachability.has_unreachable_zone("a")
 
 
 def test_zone_without_reports_is_unreachable_until_a_node_reports() -> None:
     reachability = ZoneReachability()
     last_seen = [10.0, 10.2, 10.4]
     reachability.record_last_seen("a", "b", last_seen[:2], 20.0)
-    reachability.record_last_seen("a", "b", last_seen, 10.3 + SILENT_S)
-    assert not reachability.has_shut("a")
+    reachability.record_last_seen("a", "b", last_seen, 10.3 + UNRESPONSIVE_TIMEOUT_S)
+    assert not reachability.has_unreachable_zone("a")
     reachability.record_last_seen("a", "b", last_seen, 12.0)
-    assert reachability.has_shut("a")
-    reachability.note_answer("a", "b", 12.1)
+    assert reachability.has_unreachable_zone("a")
+    reachability.record_answer("a", "b", 12.1)
     reachability.record_last_seen("a", "b", last_seen, 12.2)
-    assert not reachability.has_shut("a")
+    assert not reachability.has_unreachable_zone("a")
     reachability.record_last_seen("a", "b", [*last_seen, 12.3], 12.3)
     reachability.record_last_seen("a", "b", [*last_seen, 12.3], 14.0)
-    assert reachability.has_shut("a")
+    assert reachability.has_unreachable_zone("a")
     reachability.record_last_seen("a", "b", [*last_seen, 14.1], 14.1)
-    assert not reachability.has_shut("a")
+    assert not reachability.has_unreachable_zone("a")
 
 
 _events = st.lists(
@@ -381,21 +383,23 @@
     reachability = ZoneReachability()
     now = 0.0
     failed: dict[tuple[str, str], dict[int, float]] = {}
-    needed = max(LEAST_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
+    needed = max(MIN_FAILED_REPLICAS, min(FAILED_REPLICAS, replicas))
     for source, zone, number, is_answer, pause_s in events:
         now += pause_s
         failed_at = failed.setdefault((source, zone), {})
-        was_open = reachability.may_send(source, zone, now) and not reachability.has_shut(source)
+        was_open = reachability.may_send(
+            source, zone, now
+        ) and not reachability.has_unreachable_zone(source)
         if is_answer:
             failed_at.clear()
-            reachability.note_answer(source, zone, now)
+            reachability.record_answer(source, zone, now)
             assert reachability.may_send(source, zone, now)
             continue
         failed_at[number] = now
-        reachability.note_failure(source, zone, f"r{number}", replicas, now)
-        recent = [at for at in failed_at.values() if now - at <= WINDOW_S]
+        reachability.record_failure(source, zone, f"r{number}", replicas, now)
+        recent = [at for at in failed_at.values() if now - at <= FAILURE_WINDOW_S]
         if was_open and (len(recent) < needed or source == zone):
-            assert not reachability.has_shut(source)
+            assert not reachability.has_unreachable_zone(source)
     assert reachability.may_send("a", "a", now) and reachability.may_send("b", "b", now)
 
 
@@ -410,10 +414,10 @@
     )
     fleet.scheduler._replicas._features = features
     fleet.scheduler._online._features = features
-    fleet.tell(0)
+    fleet.report_state(0)
     other_zone_replicas = [f"r{number}" for number in range(replicas) if number % 2]
     fleet.nodes[0].suspects = other_zone_replicas[:FAILED_REPLICAS]
-    fleet.tell(0)
+    fleet.report_state(0)
     return fleet
 
 
@@ -423,36 +427,36 @@
 
 def test_requests_and_items_avoid_unreachable_zone_while_others_have_free_slots() -> None:
     fleet = cut_fleet()
-    chosen = [sent_to(fleet, 0, fleet.ask(0)) for _ in range(60)]
+    chosen = [sent_to(fleet, 0, fleet.request_placement(0)) for _ in range(60)]
     assert all(number % 2 == 0 for number in chosen)
     fleet.nodes[0].waiting = [WaitingGroup(1, 3, "r15")]
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.nodes[0].batch
     assert all(int(key[1:]) % 2 == 0 for key in fleet.nodes[0].batch)
     # Nodes of the other zone still use its replicas.
-    assert sent_to(fleet, 1, fleet.ask(1)) % 2 == 1
+    assert sent_to(fleet, 1, fleet.request_placement(1)) % 2 == 1
 
 
 def test_failures_of_returning_node_keep_zone_reachable() -> None:
     fleet = cut_fleet(replicas=20)
     assert fleet.scheduler.reachability.unreachable_count == 1
     fleet.scheduler.remove_node("n0", fleet.now)
-    fleet.scheduler.reachability.note_answer("z1", "z2", fleet.now)
+    fleet.scheduler.reachability.record_answer("z1", "z2", fleet.now)
     fleet.nodes[0].suspects = [f"r{number}" for number in range(11, 20, 2)]
-    fleet.tell(0)
+    fleet.report_state(0)
     assert fleet.scheduler.reachability.unreachable_count == 0
 
 
 def test_unreachable_zone_is_tried_if_no_other_has_free_slots() -> None:
     fleet = cut_fleet()
     fleet.nodes[0].online = {f"r{number}": 8 for number in range(0, 20, 2)}
-    number = fleet.ask(0, must_place=True)
+    number = fleet.request_placement(0, must_place=True)
     assert sent_to(fleet, 0, number) % 2 == 1
 
 
 def test_zone_is_not_avoided_if_zone_loss_is_not_tolerated() -> None:
     fleet = cut_fleet(lost_zones=0)
-    chosen = [sent_to(fleet, 0, fleet.ask(0)) for _ in range(60)]
+    chosen = [sent_to(fleet, 0, fleet.request_placement(0)) for _ in range(60)]
     assert any(number % 2 for number in chosen)
 
 
@@ -460,7 +464,7 @@
     """Return a fleet of two zones with one replica each; 6 of 8 slots of the nearer are busy."""
     fleet = cut_fleet(lost_zones, replicas=2)
     fleet.nodes[0].suspects = []
-    fleet.tell(0)
+    fleet.report_state(0)
     fleet.scheduler._replicas._directory.clear_suspicion("r1")
     fleet.scheduler._replicas._directory._heard.clear()
     holder = fleet.scheduler._online._configuration
@@ -483,7 +487,7 @@
     is_resumable: bool, lost_zones: int, left_ms: int, expected: int
 ) -> None:
     fleet = stream_fleet(is_resumable, lost_zones)
-    number = fleet.ask(0, objective_left_ms=left_ms, must_place=True)
+    number = fleet.request_placement(0, objective_left_ms=left_ms, must_place=True)
     assert sent_to(fleet, 0, number) == expected
 
 
--- a/tests/unit/test_fair_shares.py
+++ b/tests/unit/test_fair_shares.py
@@ -116,8 +116,8 @@
     shares.charge(0, "a", 2000.0, ["b"])
     shares.correct(0, "a", -1500.0)
     assert shares.ahead_ms(0, "a") == 500.0
-    for bad in (float("nan"), -1.0, 1e12):
-        shares.charge(0, "a", bad, ["b"])
+    for invalid_ms in (float("nan"), -1.0, 1e12):
+        shares.charge(0, "a", invalid_ms, ["b"])
     assert (shares.ahead_ms(0, "a"), shares.invalid_count) == (500.0, 3)
 
 
@@ -127,20 +127,20 @@
 BURST_FACTOR = 1.9
 USUAL_PER_S = 9.0
 OBJECTIVE_S = 0.3
-PATIENCE_S = 5.0
+DEADLINE_S = 5.0
 
 
 @attrs.frozen
 class Waiter:
-    asked_at: float
+    arrived_at: float
     work_s: float
 
     def key(self, now: float) -> OrderKey:
         late_at, hopeless_at = (
-            self.asked_at + OBJECTIVE_S,
-            self.asked_at + PATIENCE_S,
+            self.arrived_at + OBJECTIVE_S,
+            self.arrived_at + DEADLINE_S,
         )
-        return order_key(self.asked_at, late_at, hopeless_at, now)
+        return order_key(self.arrived_at, late_at, hopeless_at, now)
 
 
 def arrivals(until: float) -> list[Waiter]:
@@ -154,27 +154,27 @@
 
 def total_worth(order: str) -> tuple[float, int]:
     """Serve one slot in an order; return the worth and the number of large requests in time."""
-    coming, waiting = arrivals(60.0), list[Waiter]()
-    now, gained, large_in_time = 0.0, 0.0, 0
+    upcoming, waiting = arrivals(60.0), list[Waiter]()
+    now, worth, large_in_time = 0.0, 0.0, 0
     keys = {
-        "arrival": lambda waiter: waiter.asked_at,
+        "arrival": lambda waiter: waiter.arrived_at,
         "shortest": lambda waiter: waiter.work_s,
         "order": lambda waiter: waiter.key(now),
     }
-    while coming or waiting:
-        while coming and coming[0].asked_at <= now:
-            waiting.append(coming.pop(0))
-        waiting = [waiter for waiter in waiting if now - waiter.asked_at <= PATIENCE_S]
+    while upcoming or waiting:
+        while upcoming and upcoming[0].arrived_at <= now:
+            waiting.append(upcoming.pop(0))
+        waiting = [waiter for waiter in waiting if now - waiter.arrived_at <= DEADLINE_S]
         if not waiting:
-            now = coming[0].asked_at if coming else now
+            now = upcoming[0].arrived_at if upcoming else now
             continue
         first = min(waiting, key=keys[order])
         waiting.remove(first)
-        is_in_time = now - first.asked_at <= OBJECTIVE_S
-        gained += 1.0 if is_in_time else 0.15
+        is_in_time = now - first.arrived_at <= OBJECTIVE_S
+        worth += 1.0 if is_in_time else 0.15
         large_in_time += is_in_time and first.work_s > 0.1
         now += first.work_s
-    return gained, large_in_time
+    return worth, large_in_time
 
 
 def test_in_bursts_requests_in_time_go_before_late_ones_and_large_ones_do_not_starve() -> None:
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -70,8 +70,8 @@
     assert _use(free, waiting=1)[SlotUse.IDLE] == 1
     suspected = ReplicaUse("s", 4, 0, 0, is_suspected=True)
     assert _use(suspected, waiting=9) == {SlotUse.SUSPECTED: 4}
-    reading = ReplicaUse("s", 4, 0, 0, may_prefill=False)
-    assert _use(reading, waiting=9) == {SlotUse.READING: 4}
+    prefilling = ReplicaUse("s", 4, 0, 0, may_prefill=False)
+    assert _use(prefilling, waiting=9) == {SlotUse.READING: 4}
     assert _use(ReplicaUse("s", 4, 0, 1, is_draining=True), 9)[SlotUse.DRAINING] == 3
 
 
@@ -170,9 +170,9 @@
     fleet = Fleet(replicas=2)
     reported: list[dict[SlotUse, float]] = []
     reporter = SlotTimeReporter(fleet.scheduler, reported.append)
-    fleet.ask(0)
+    fleet.request_placement(0)
     fleet.nodes[1].waiting = [WaitingGroup(5, 3)]
-    fleet.tell(1)
+    fleet.report_state(1)
     for tick in range(60):
         reporter.tick(fleet.now + tick * 0.05)
     assert len(reported) == 2
--- a/tests/unit/test_outside_figures.py
+++ b/tests/unit/test_outside_figures.py
@@ -124,7 +124,7 @@
     holder = ConfigurationHolder()
     features = Features(holder)
     assert not features.is_on(Feature.OVERLOAD_ORDER)
-    features.note_told_pace("s")
+    features.record_reported_slowdown("s")
     assert features.is_on(Feature.OVERLOAD_ORDER) and not features.is_on(Feature.FAIR_SHARES)
     holder.update_if_newer(Configuration(1, (), {}, ClientLimits(), tenants=()))
     assert features.is_on(Feature.FAIR_SHARES)
--- a/tests/unit/test_quotas.py
+++ b/tests/unit/test_quotas.py
@@ -69,7 +69,7 @@
     quotas = coordinating(holder(limited), now=-100.0)
     now, sent = 0.0, []
     waiting: list[tuple[float, bool]] = []
-    for pause_s, count, wait_s, leaves in bursts:
+    for pause_s, count, wait_s, is_withdrawn in bursts:
         now += pause_s
         for due in [due for due in waiting if due[0] <= now]:
             waiting.remove(due)
@@ -80,7 +80,7 @@
                 sent.append(now)
         for _ in range(count):
             if quotas.reserve("quiz", now) is QuotaVerdict.TAKEN:
-                waiting.append((now + wait_s, leaves))
+                waiting.append((now + wait_s, is_withdrawn))
         for due in [due for due in waiting if due[0] <= now and not due[1]]:
             waiting.remove(due)
             quotas.spend("quiz", now)
@@ -118,6 +118,7 @@
     nodes: int
     independent: int
     reports: bool
+    """Whether the coordinator receives local grants; otherwise it notices the missing nodes."""
 
     def sends(self, limited: Tenant, per_step: int, seed: int) -> list[float]:
         configuration = holder(limited)
@@ -241,5 +242,5 @@
     quotas = coordinating(holder(limited), now=-100.0)
     assert quotas.reserve("quiz", 0.0) is QuotaVerdict.TAKEN
     quotas.reset_after_pause(4.0)
-    given_out = sum(quotas.reserve("quiz", 4.0) is QuotaVerdict.TAKEN for _ in range(100))
-    assert given_out <= BOUNDS.tolerance(limited)
+    granted = sum(quotas.reserve("quiz", 4.0) is QuotaVerdict.TAKEN for _ in range(100))
+    assert granted <= BOUNDS.tolerance(limited)
--- a/tests/unit/test_serving_parts.py
+++ b/tests/unit/test_serving_parts.py
@@ -15,7 +15,7 @@
 from cloverwalk.platform import names
 from cloverwalk.platform.codec import PlatformCodec
 from cloverwalk.platform.documents import decode_configuration
-from cloverwalk.scheduling.batch_limits import batch_room, items_to_preempt, reserved_slots
+from cloverwalk.scheduling.batch_limits import free_item_slots, items_to_preempt, reserved_slots
 from cloverwalk.scheduling.selection import Candidate, Demand, choose
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
@@ -68,7 +68,7 @@
 
 @given(st.integers(1, 40), st.integers(0, 60), st.integers(0, 60))
 def test_batch_takes_every_free_slot(slots: int, online: int, batch: int) -> None:
-    assert batch_room(slots, InFlight(online, batch)) == max(0, slots - online - batch)
+    assert free_item_slots(slots, InFlight(online, batch)) == max(0, slots - online - batch)
 
 
 @given(st.floats(0.0, 30_000.0))
