--- a/src/cloverwalk/scheduling/quotas.py
+++ b/src/cloverwalk/scheduling/quotas.py
@@ -1,9 +1,10 @@
 """Tenants' quotas, enforced over the whole fleet. A policy without I/O.
 
 A token is taken when a request is placed, so counting needs no messages of its own. The coordinator
-counts for all nodes that report to it. A node that decides by itself while no coordinator answers
-may grant only a part of each quota, in proportion to its fraction of the fleet, and reports these
-local grants. A quota therefore holds whichever nodes are cut off, and for however long.
+counts for all nodes that report to it. A node that decides while no coordinator answers, for itself
+or for other nodes that have lost the coordinator, may grant only a part of each quota, in
+proportion to their fraction of the fleet, and reports these local grants. A quota therefore holds
+whichever nodes are cut off, and for however long.
 
 The tokens of a window never exceed what the quota allows plus the tolerance:
 
@@ -38,8 +39,8 @@
 missing nodes, it grants their part as well."""
 
 NEAR_LIMIT_FRACTION = 0.5
-"""A tenant whose bucket is below this level may be near its limit; the coordinator sends its name
-to the nodes."""
+"""A tenant whose bucket is filled to less than this fraction may be near its limit; the coordinator
+sends its name to the nodes."""
 
 NEAR_LIMIT_TTL_S = 5.0
 """How long a node uses the names of tenants near their limits."""
--- a/src/cloverwalk/scheduling/slowdown.py
+++ b/src/cloverwalk/scheduling/slowdown.py
@@ -5,8 +5,8 @@
 depends on other work on that machine. The baseline is estimated from answers: their time per event,
 compared with other replicas of the service at a similar load. The deviation is what a replica
 reports, relative to its average report, so a constant factor in all its reports does not matter.
-If reports do not improve the forecast, the latest measurements are used instead. A deviation fades
-with its age, and counts only if it means slower than the baseline.
+If recent reports did not improve the forecast, the latest measurements are used instead. A
+deviation fades with its age, and counts only if it means slower than the baseline.
 """
 
 import math
--- a/src/cloverwalk/scheduling/slowdown_replication.py
+++ b/src/cloverwalk/scheduling/slowdown_replication.py
@@ -44,7 +44,7 @@
     def due(self, baselines: Mapping[str, float], standbys: list[str], now: float) -> list[str]:
         """Return the replicas to send now; ``baselines`` are logarithms.
 
-        After a change of standbys, all baselines that differ from 1.0 are sent.
+        After a change of standbys, all baselines that differ clearly from 1.0 are sent.
         """
         if standbys != self._standbys:
             self._standbys = standbys
