--- a/src/cloverwalk/cli/soak.py
+++ b/src/cloverwalk/cli/soak.py
@@ -11,7 +11,7 @@
 from cloverwalk.cli.errors import EXIT_REFUSED, EXIT_USAGE, CommandError
 from cloverwalk.soak.draw import draw_plan
 from cloverwalk.soak.errors import SoakInputError, SoakStartError
-from cloverwalk.soak.plan import LONGEST_MINUTES, MOST_NODES, Plan, load_plan
+from cloverwalk.soak.plan import MAX_MINUTES, MAX_NODES, Plan, load_plan
 from cloverwalk.soak.report import HEADINGS, summary_lines, table_row
 from cloverwalk.soak.run import Soak, SoakResult
 
@@ -28,7 +28,7 @@
 @click.command()
 @click.option(
     "--minutes",
-    type=click.FloatRange(0, LONGEST_MINUTES, min_open=True),
+    type=click.FloatRange(0, MAX_MINUTES, min_open=True),
     default=1.0,
     show_default=True,
     help="How long faults go on; start and healing come on top.",
@@ -67,7 +67,7 @@
     try:
         plans = _plans(minutes, seed, seed_range, nodes, schedule_path)
         for plan in plans:
-            check_room(plan.nodes)
+            check_memory(plan.nodes)
     except SoakInputError as error:
         raise CommandError(str(error), EXIT_USAGE) from error
     if show:
@@ -92,8 +92,8 @@
 def _plans(
     minutes: float, seed: int, seed_range: str | None, nodes: int, schedule_path: Path | None
 ) -> list[Plan]:
-    if nodes > MOST_NODES:
-        raise SoakInputError(f"--nodes: {nodes} is more than {MOST_NODES}")
+    if nodes > MAX_NODES:
+        raise SoakInputError(f"--nodes: {nodes} is more than {MAX_NODES}")
     if schedule_path is not None:
         return [load_plan(schedule_path)]
     if seed_range is None:
@@ -104,7 +104,7 @@
     return [draw_plan(one, nodes, minutes) for one in range(int(found[1]), int(found[2]) + 1)]
 
 
-def check_room(nodes: int) -> None:
+def check_memory(nodes: int) -> None:
     """Raise SoakInputError when the machine has no memory for so many processes."""
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     most = int(memory * MEMORY_SHARE / NODE_BYTES)
--- a/src/cloverwalk/soak/check_jobs.py
+++ b/src/cloverwalk/soak/check_jobs.py
@@ -20,6 +20,8 @@
 from cloverwalk.soak.violations import Versions, Violation
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""If every submission was answered with one of these, no item of the job may run."""
+
 MAX_CANCEL_DELAY_S = 3.0
 """An item may still start this long after ending its job was answered; the platform's rule."""
 
@@ -31,7 +33,11 @@
 class _Item:
     fact: ItemFact
     failures: int = 0
+    """Runs that a replica answered 500."""
+
     is_impossible: bool = False
+    """Whether a replica answered 422."""
+
     is_finished: bool = False
     is_dead_letter: bool = False
     runs: int = 0
@@ -42,12 +48,18 @@
     sent: JobSent
     items: dict[str, _Item]
     statuses: list[int] = attrs.Factory(list)
+    """Statuses of the answers to its submissions."""
+
     submissions: int = 0
     is_accepted: bool = False
     end_sent_at: float | None = None
     ended_at: float | None = None
     results: dict[int, ResultFact] = attrs.Factory(dict)
+    """Listed results by position."""
+
     positions: dict[str, int] = attrs.Factory(dict)
+    """Positions of listed results by item id."""
+
     final_reads: int = 0
 
     @property
@@ -139,7 +151,7 @@
         )
         max_tokens = job.sent.max_queued_tokens * (1 + QUEUED_TOKENS_OVERSHOOT)
         if queued_tokens > max_tokens:
-            message = f"{queued_tokens} tokens are queued at its 202, the limit is {max_tokens:g}"
+            message = f"accepted with {queued_tokens} tokens queued, the limit is {max_tokens:g}"
             yield Violation(at, "waiting tokens", job.sent.job, message)
 
     # --- runs ---
@@ -264,8 +276,8 @@
             yield Violation(read.at, "results", read.item, "its body was returned changed")
         if read.status not in (404, 410) or not job.is_accepted:
             return
-        may_be_listed = item.is_finished or not self._find_dead_letter_problem(job, item, read.at)
-        if not may_be_listed:
+        may_have_ended = item.is_finished or not self._find_dead_letter_problem(job, item, read.at)
+        if not may_have_ended:
             message = f"{read.status} for the body of an item that no replica has finished"
             yield Violation(read.at, "lost", read.item, message)
 
--- a/src/cloverwalk/soak/check_nodes.py
+++ b/src/cloverwalk/soak/check_nodes.py
@@ -123,7 +123,11 @@
         self._slack = slack
         self._sent: dict[str, _SentRequest] = {}
         self._runs: dict[str, list[tuple[float, float]]] = {}
-        self._reported: dict[str, float] = {}
+        """When each run started and its request was sent, by tenant."""
+
+        self._last_reported_at: dict[str, float] = {}
+        """When the last violation was reported, by tenant."""
+
         self.peak_quota_use: dict[str, float] = {}
         """Highest share of a window's limit that was used, by tenant."""
 
@@ -154,9 +158,9 @@
         self.peak_quota_use[sent.tenant] = max(
             self.peak_quota_use.get(sent.tenant, 0.0), count / limit
         )
-        is_new = run.at - self._reported.get(sent.tenant, float("-inf")) > self._window_s
+        is_new = run.at - self._last_reported_at.get(sent.tenant, float("-inf")) > self._window_s
         if count > limit and is_new:
-            self._reported[sent.tenant] = run.at
+            self._last_reported_at[sent.tenant] = run.at
             message = f"{count} requests ran in {self._window_s:g} s, the limit is {limit:g}"
             yield Violation(run.at, "quota", sent.tenant, message)
 
--- a/src/cloverwalk/soak/check_requests.py
+++ b/src/cloverwalk/soak/check_requests.py
@@ -21,12 +21,15 @@
 from cloverwalk.soak.violations import Disturbances, Versions, Violation
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""A whole answer with one of these promises that no replica ran the request."""
+
 MAX_RUN_AFTER_DISCONNECT_S = 5.0
 """How long a run may go on after its client disconnected, if nothing is disturbed. The platform's
 rule is half a second; the margin allows for a busy machine."""
 
 MAX_CHECKED_DURATION_S = 2.5
-"""Longer answers are left out: a stream is aborted at its client's deadline of 3 s."""
+"""Answers that took longer are not checked for cuts by a planned stop, since a stream is aborted at
+its client's deadline of 3 s."""
 
 
 @attrs.define
--- a/src/cloverwalk/soak/connection.py
+++ b/src/cloverwalk/soak/connection.py
@@ -90,7 +90,7 @@
         body: bytes,
         sent_share: float = 1.0,
     ) -> Answer:
-        """Send a request and read its answer, which ``answer`` has as far as it was received.
+        """Send a request and read its answer; ``answer`` has what was received so far.
 
         ``sent_share`` is the share of the request's bytes that are sent.
         """
--- a/src/cloverwalk/soak/draw.py
+++ b/src/cloverwalk/soak/draw.py
@@ -62,16 +62,16 @@
             (9.0, self._herd_actions),
             (8.0, self._restart_actions),
         )
-        for mean_s, draw in series:
-            at_s = FAULT_FREE_START_S + self._random.uniform(0, mean_s)
+        for mean_interval_s, draw in series:
+            at_s = FAULT_FREE_START_S + self._random.uniform(0, mean_interval_s)
             while at_s < self._duration_s - 1.0:
                 if at_s % (FAULT_PHASE_S + CALM_PHASE_S) < FAULT_PHASE_S:
                     actions += [action for action in draw(at_s) if action.at_s < self._duration_s]
-                at_s += max(0.3, self._random.expovariate(1 / mean_s))
+                at_s += max(0.3, self._random.expovariate(1 / mean_interval_s))
         return actions
 
-    def _draw_time(self, min_s: float, max_s: float) -> float:
-        return round(self._random.uniform(min_s, max_s), 2)
+    def _draw_value(self, min_value: float, max_value: float) -> float:
+        return round(self._random.uniform(min_value, max_value), 2)
 
     def _draw_targets(self, count: int) -> list[int]:
         """Return mostly one number below ``count``, else several or all."""
@@ -90,8 +90,8 @@
 
     def _draw_downtime_s(self, kind: ActionKind) -> float:
         if kind is ActionKind.NODE_FREEZE:
-            return self._random.choice((self._draw_time(0.2, 1.5), self._draw_time(1.5, 7.0)))
-        return self._draw_time(0.1, 3.0)
+            return self._random.choice((self._draw_value(0.2, 1.5), self._draw_value(1.5, 7.0)))
+        return self._draw_value(0.1, 3.0)
 
     def _two_signals(self, at_s: float) -> list[Action]:
         """Return two signals to one node in quick succession."""
@@ -105,7 +105,7 @@
                 (ActionKind.NODE_TERM, ActionKind.NODE_TERM),
             )
         )
-        second_at_s = round(at_s + self._draw_time(0.05, 2.0), 2)
+        second_at_s = round(at_s + self._draw_value(0.05, 2.0), 2)
         return [
             Action(at_s, first, node, self._draw_downtime_s(first)),
             Action(second_at_s, second, node, self._draw_downtime_s(second)),
@@ -114,7 +114,7 @@
     def _rolling_stop(self, at_s: float) -> list[Action]:
         """Return planned stops of half of the nodes, one after another."""
         nodes = self._random.sample(range(self._nodes), max(1, self._nodes // 2))
-        interval_s = self._draw_time(0.3, 4.0)
+        interval_s = self._draw_value(0.3, 4.0)
         return [
             Action(round(at_s + n * interval_s, 2), ActionKind.NODE_TERM, [node], 0.3)
             for n, node in enumerate(nodes)
@@ -123,12 +123,12 @@
     def _store_actions(self, at_s: float) -> list[Action]:
         kind = self._random.choice(STORE_KINDS)
         amounts = {
-            ActionKind.STORE_SLOW: self._draw_time(0.05, 1.0),
-            ActionKind.STORE_LATE: self._draw_time(0.1, 2.0),
-            ActionKind.STORE_LOSE: self._draw_time(0.1, 0.7),
-            ActionKind.STORE_REFUSE: self._draw_time(0.1, 0.9),
+            ActionKind.STORE_SLOW: self._draw_value(0.05, 1.0),
+            ActionKind.STORE_LATE: self._draw_value(0.1, 2.0),
+            ActionKind.STORE_LOSE: self._draw_value(0.1, 0.7),
+            ActionKind.STORE_REFUSE: self._draw_value(0.1, 0.9),
         }
-        duration_s = 0.0 if kind is ActionKind.STORE_FORGET else self._draw_time(0.5, 6.0)
+        duration_s = 0.0 if kind is ActionKind.STORE_FORGET else self._draw_value(0.5, 6.0)
         return [Action(round(at_s, 2), kind, [], duration_s, amounts.get(kind, 0.0))]
 
     def _link_actions(self, at_s: float) -> list[Action]:
@@ -136,8 +136,8 @@
         link = self._random.choice(LINKS)
         targets = self._draw_targets(self._replicas if link == "replicas" else self._nodes)
         has_duration = kind in (ActionKind.LINK_DELAY, ActionKind.LINK_CUT)
-        duration_s = self._draw_time(0.3, 5.0) if has_duration else 0.0
-        amount = self._draw_time(0.02, 0.6) if kind is ActionKind.LINK_DELAY else 0.0
+        duration_s = self._draw_value(0.3, 5.0) if has_duration else 0.0
+        amount = self._draw_value(0.02, 0.6) if kind is ActionKind.LINK_DELAY else 0.0
         direction = self._random.choice(DIRECTIONS) if kind is ActionKind.LINK_CUT else ""
         return [Action(round(at_s, 2), kind, targets, duration_s, amount, link, direction)]
 
@@ -147,15 +147,15 @@
         if kind is ActionKind.REPLICA_MISDEED:
             targets = self._draw_targets(self._replicas)
             misdeed = self._random.choice(MISDEEDS)
-            share, duration_s = self._draw_time(0.1, 0.8), self._draw_time(1.0, 6.0)
+            share, duration_s = self._draw_value(0.1, 0.8), self._draw_value(1.0, 6.0)
             return [Action(at_s, kind, targets, duration_s, share, misdeed)]
         target = [self._random.randrange(self._replicas)]
-        return [Action(at_s, kind, target, self._draw_time(0.5, 4.0))]
+        return [Action(at_s, kind, target, self._draw_value(0.5, 4.0))]
 
     def _restart_actions(self, at_s: float) -> list[Action]:
         target = [self._random.randrange(self._replicas)]
         kind = self._random.choice(RESTART_KINDS)
-        return [Action(round(at_s, 2), kind, target, self._draw_time(0.5, 4.0))]
+        return [Action(round(at_s, 2), kind, target, self._draw_value(0.5, 4.0))]
 
     def _operator_actions(self, at_s: float) -> list[Action]:
         kind = self._random.choice(OPERATOR_KINDS)
@@ -163,7 +163,7 @@
         name = self._random.choice(names_of_kind(kind))
         if kind is ActionKind.QUOTA_CHANGE:
             return [Action(at_s, kind, amount=self._random.choice((2.0, 6.0, 12.0)), name=name)]
-        duration_s = self._draw_time(1.0, 9.0) if kind is ActionKind.ROUTE_REMOVE else 0.0
+        duration_s = self._draw_value(1.0, 9.0) if kind is ActionKind.ROUTE_REMOVE else 0.0
         return [Action(at_s, kind, [], duration_s, name=name)]
 
     def _herd_actions(self, at_s: float) -> list[Action]:
--- a/src/cloverwalk/soak/events.py
+++ b/src/cloverwalk/soak/events.py
@@ -37,7 +37,7 @@
 
 
 class ConfigurationWritten(SoakEvent, frozen=True):
-    """The store acknowledged a version of the configuration."""
+    """The operator writes a version of the configuration; recorded just before the store has it."""
 
     version: int
     routes: list[RouteFact]
@@ -190,7 +190,10 @@
     body: str
     tenant: str | None
     has_key: bool
+    """Whether the API key was passed on to the replica."""
+
     last_event: int | None = None
+    """Number of the event after which it was asked to resume, None for a run from the start."""
 
 
 class RunEnded(SoakEvent, frozen=True):
--- a/src/cloverwalk/soak/faults.py
+++ b/src/cloverwalk/soak/faults.py
@@ -92,12 +92,12 @@
     async def run(self) -> None:
         """Run the schedule; return when its duration has passed and all actions ended."""
         started_at = self._history.now()
-        async with curio.TaskGroup() as steps:
+        async with curio.TaskGroup() as action_tasks:
             for action in self._plan.actions:
                 remaining_s = started_at + action.at_s - self._history.now()
                 if remaining_s > 0:
                     await curio.sleep(remaining_s)
-                await steps.spawn(self._run_action, action)
+                await action_tasks.spawn(self._run_action, action)
             remaining_s = started_at + self._plan.duration_s - self._history.now()
             await curio.sleep(max(0.0, remaining_s))
 
@@ -124,11 +124,11 @@
         if action.kind in STORE_KINDS:
             return self._disturb_store
         handlers = {
-            ActionKind.REPLICA_MISDEED: self._disturb_replicas,
-            ActionKind.REPLICA_CRASH: self._end_replicas,
-            ActionKind.REPLICA_DRAIN: self._end_replicas,
-            ActionKind.REPLICA_RESTART: self._end_replicas,
-            ActionKind.ENTRY_ODD: self._end_replicas,
+            ActionKind.REPLICA_MISDEED: self._run_misdeed,
+            ActionKind.REPLICA_CRASH: self._change_replicas,
+            ActionKind.REPLICA_DRAIN: self._change_replicas,
+            ActionKind.REPLICA_RESTART: self._change_replicas,
+            ActionKind.ENTRY_ODD: self._change_replicas,
             ActionKind.KEY_REPLACE: self._change_configuration,
             ActionKind.QUOTA_CHANGE: self._change_configuration,
             ActionKind.ROUTE_REMOVE: self._change_configuration,
@@ -174,13 +174,13 @@
         await curio.sleep(action.duration_s)
         self._store.end(fault)
 
-    async def _disturb_replicas(self, fault: int, action: Action) -> None:
+    async def _run_misdeed(self, fault: int, action: Action) -> None:
         misdeed = Misdeed[action.name]
         self._replicas.begin_misdeed(fault, action.targets, misdeed, action.amount)
         await curio.sleep(action.duration_s)
         self._replicas.end_misdeed(fault)
 
-    async def _end_replicas(self, fault: int, action: Action) -> None:
+    async def _change_replicas(self, fault: int, action: Action) -> None:
         methods = {
             ActionKind.REPLICA_CRASH: self._replicas.crash,
             ActionKind.REPLICA_DRAIN: self._replicas.drain,
--- a/src/cloverwalk/soak/job_clients.py
+++ b/src/cloverwalk/soak/job_clients.py
@@ -145,7 +145,10 @@
                 await tasks.spawn(self.submit_and_follow, self._maker.make(random, tenant), random)
 
     async def submit_and_follow(self, job: Job, random: Random) -> None:
-        """Submit a job and read its results until it is listed whole or ended."""
+        """Submit a job and read its results until it is listed whole or ended.
+
+        It is followed for ``MAX_FOLLOW_S`` at most, and no longer than clients run.
+        """
         self.jobs.append(job)
         await self._submit(job, random)
         if not job.is_accepted:
@@ -218,8 +221,8 @@
     ) -> Answer:
         """Read the results of a job from a position on."""
         target = f"{names.JOB_PREFIX}{job.job_id}?since_revision={position}"
-        wait = [] if is_last else [(names.WAIT_MS.decode(), "1000")]
-        answer = await self._call(job, node, "GET", target, wait)
+        wait_headers = [] if is_last else [(names.WAIT_MS.decode(), "1000")]
+        answer = await self._call(job, node, "GET", target, wait_headers)
         page = _Page(0, [], 0)
         if answer.status == 200:
             page = _page_decoder.decode(answer.body)
@@ -246,7 +249,7 @@
         self._history.record(ItemRead(job=job.job_id, item=item, status=answer.status, body=body))
 
     async def end(self, job: Job, random: Random) -> None:
-        """End a job; repeat the request until it is answered 200 or 404."""
+        """End a job; retry up to ``MAX_TRIES`` times until it is answered 200 or 404."""
         job.is_end_requested = True
         for _ in range(MAX_TRIES):
             self._history.record(JobEndSent(job=job.job_id))
--- a/src/cloverwalk/soak/plan.py
+++ b/src/cloverwalk/soak/plan.py
@@ -14,8 +14,10 @@
 )
 from cloverwalk.soak.errors import SoakInputError
 
-MOST_NODES = 36
-LONGEST_MINUTES = 240.0
+MAX_NODES = 36
+"""Maximum number of nodes, and also of replicas."""
+
+MAX_MINUTES = 240.0
 
 
 class ActionKind(enum.StrEnum):
@@ -68,8 +70,11 @@
     ActionKind.REPLICA_CRASH,
     ActionKind.REPLICA_DRAIN,
 )
+"""A kind that is listed twice is drawn twice as often."""
+
 RESTART_KINDS = (ActionKind.REPLICA_RESTART, ActionKind.REPLICA_RESTART, ActionKind.ENTRY_ODD)
-"""Replicas that restart with the same id, and entries that another writer corrupts."""
+"""Replicas that restart with the same id, and entries that another writer corrupts; restarts are
+drawn twice as often."""
 
 OPERATOR_KINDS = (
     ActionKind.KEY_REPLACE,
@@ -79,7 +84,11 @@
 )
 HERD_KINDS = (ActionKind.HERD_REQUESTS, ActionKind.HERD_JOBS)
 LINKS = ("clients", "replicas", "store")
+"""Proxy groups: connections of clients to nodes, and of nodes to replicas and to the store."""
+
 DIRECTIONS = ("there", "back", "both")
+"""To the server, to the client, both."""
+
 MISDEEDS = (
     "CUT",
     "STUTTER",
@@ -149,12 +158,15 @@
 
 def check_plan(plan: Plan, source: str) -> None:
     """Raise SoakInputError if a value of a schedule is out of range or unknown."""
-    if not 1 <= plan.nodes <= MOST_NODES:
-        raise SoakInputError(f"{source}: nodes: {plan.nodes} is not 1 to {MOST_NODES}")
-    if not 2 <= plan.replicas <= MOST_NODES:
-        raise SoakInputError(f"{source}: replicas: {plan.replicas} is not 2 to {MOST_NODES}")
-    if not 0 < plan.duration_s <= LONGEST_MINUTES * 60:
-        raise SoakInputError(f"{source}: duration_s: {plan.duration_s:g} is not a valid duration")
+    if not 1 <= plan.nodes <= MAX_NODES:
+        raise SoakInputError(f"{source}: nodes: {plan.nodes} is not 1 to {MAX_NODES}")
+    if not 2 <= plan.replicas <= MAX_NODES:
+        raise SoakInputError(f"{source}: replicas: {plan.replicas} is not 2 to {MAX_NODES}")
+    if not 0 < plan.duration_s <= MAX_MINUTES * 60:
+        raise SoakInputError(
+            f"{source}: duration_s: {plan.duration_s:g} is not above 0 and at most"
+            f" {MAX_MINUTES * 60:g}"
+        )
     for number, action in enumerate(plan.actions):
         problem = _find_problem(action, plan)
         if problem:
--- a/src/cloverwalk/soak/processes.py
+++ b/src/cloverwalk/soak/processes.py
@@ -27,9 +27,13 @@
 
 QUOTA_WINDOW_S = 5.0
 QUOTA_OVERSHOOT = 0.1
+"""Share by which a tenant may exceed the limit of a window."""
+
 QUOTA_SLACK = 20.0
+"""Requests that a tenant may run in a window beyond that."""
+
 JOB_STATUS_TTL_S = 7_200.0
-"""How long jobs stay readable after they ended."""
+"""How long jobs stay readable after they ended; all of them are read once more after the faults."""
 
 DEFAULT_RESTART_DELAY_S = 0.2
 
@@ -160,8 +164,8 @@
             assert self._process is not None
             status = self._process.returncode
             was_asked = self.is_end_requested
-            gone = NodeGone(node=self.name, pid=self.pid, status=status, was_asked=was_asked)
-            self._history.record(gone)
+            exit_event = NodeGone(node=self.name, pid=self.pid, status=status, was_asked=was_asked)
+            self._history.record(exit_event)
             await curio.sleep(self.restart_delay_s)
 
     async def _wait_until_exited(self) -> None:
--- a/src/cloverwalk/soak/violations.py
+++ b/src/cloverwalk/soak/violations.py
@@ -99,7 +99,7 @@
         return not any(span.affects(node) for span in self._disturbances_within(start, until))
 
     def is_connection_calm(self, since: float, until: float, node: str) -> bool:
-        """Whether nothing disturbed a node or its connections; other faults do not count."""
+        """Like ``is_calm``, but faults of the store and of replicas do not count."""
         start = since - RECOVERY_S
         if self._absent_since.get(node, until + 1) <= until:
             return False
@@ -107,7 +107,10 @@
         return all(span.kind.startswith(NON_CONNECTION_KIND_PREFIXES) for span in spans)
 
     def is_calm_everywhere(self, since: float, until: float) -> bool:
-        """Whether nothing disturbed any part of the fleet in a period."""
+        """Whether nothing disturbed the fleet from ``RECOVERY_S`` before ``since`` to ``until``.
+
+        No node may be stopping or down now, either.
+        """
         start = since - RECOVERY_S
         if self._absent_since or any(start <= signal.at <= until for signal in self._signals):
             return False
@@ -136,7 +139,8 @@
         self.written: list[ConfigurationWritten] = []
         self._reported: dict[str, int] = {}
         self.floors: list[tuple[float, int]] = [(0.0, 0)]
-        """Times and the lowest version that any node had reported from then on."""
+        """Times, and the lowest reported version of all running nodes from then on. A node that was
+        started and has not reported yet counts with version 0."""
 
     def handle(self, event: object) -> None:
         """Update the versions by an event."""
@@ -170,7 +174,7 @@
                 return
 
     def floor_at(self, at: float) -> int:
-        """Return the lowest version that any node had reported at a time."""
+        """Return the lowest reported version of all running nodes at a time."""
         floor = 0
         for since, version in reversed(self.floors):
             if since <= at:
