--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,7 +1,9 @@
 """The docs agree with the code."""
 
 import ast
+import pkgutil
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
 from cloverwalk.core.catalogue import CATALOGUE
@@ -10,6 +12,12 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DOCS = ROOT / "docs"
+PACKAGE = ROOT / "src" / "cloverwalk"
+FOLDERS = "|".join(sorted(init.parent.name for init in PACKAGE.glob("*/__init__.py")))
+SOURCE_PATH = re.compile(
+    rf"(?<![\w./-])(?:(?:src|tests|bench|deploy)/[\w*./-]*|(?:{FOLDERS})/[\w*/]+\.py)"
+)
+DOTTED_NAME = re.compile(rf"(?<![\w./-])(?:cloverwalk|{FOLDERS})\.(?!toml\b)\w+(?:\.\w+)*")
 
 
 def test_the_events_page_is_the_catalogue() -> None:
@@ -66,6 +74,31 @@
             assert (page.parent / target).exists(), f"{page.name}: {target}"
 
 
+def test_names_of_the_code_on_the_pages_exist() -> None:
+    named = sorted(set(_code_names()))
+    assert len(named) > 100
+    assert [f"{page}: {name}" for page, name in named if not _exists(name)] == []
+
+
+def _code_names() -> Iterator[tuple[str, str]]:
+    """Yield the source paths and dotted names in backticks, each with its page."""
+    for page in [*DOCS.rglob("*.md"), *ROOT.glob("*.md")]:
+        text = re.sub(r"^```.*?^```$", "", page.read_text("utf-8"), flags=re.M | re.S)
+        for span in re.findall(r"`([^`]+)`", text):
+            for name in [*SOURCE_PATH.findall(span), *DOTTED_NAME.findall(span)]:
+                yield str(page.relative_to(ROOT)), name.rstrip(".")
+
+
+def _exists(name: str) -> bool:
+    if "/" in name:
+        return any(any(folder.glob(name)) for folder in (ROOT, PACKAGE))
+    try:
+        pkgutil.resolve_name(f"cloverwalk.{name.removeprefix('cloverwalk.')}")
+    except (ImportError, AttributeError):
+        return False
+    return True
+
+
 def test_every_packaged_scenario_loads() -> None:
     assert {"parish", "channel", "overload", "zone-cut", "store-outage", "engine-loss"} <= set(
         scenario_names()
