--- a/src/cloverwalk/core/catalogue.py
+++ b/src/cloverwalk/core/catalogue.py
@@ -123,7 +123,7 @@
     119,
     "node_full",
     _W,
-    "The machine is nearly full, and fuller than its zone; the fields give the use by resource.",
+    "The machine is near its capacity and busier than its zone; the fields give the use in percent.",
 )
 NODE_TAKES_AGAIN = _event(120, "node_takes_again", _I, "The machine has capacity again.")
 FULLNESS_INVALID = _event(
@@ -144,10 +144,13 @@
     116,
     "zone_unreachable",
     _W,
-    "A zone can't be reached from another zone, as seen by this node.",
+    "A zone can't be reached from another zone, as seen by this node; the evidence is given.",
 )
 ZONE_REACHABLE = _event(
-    117, "zone_reachable", _I, "A zone that was unreachable is reachable again, or is tried again."
+    117,
+    "zone_reachable",
+    _I,
+    "An unreachable zone counts as reachable again; the evidence is given.",
 )
 ZONE_SERVED = _event(
     230,
@@ -240,7 +243,7 @@
     330,
     "replica_pace_changed",
     _I,
-    "The slowdown of a replica differs from its baseline, or is back at it.",
+    "A replica became slower or faster than its baseline, or returned to it.",
 )
 SLOT_TIME = _event(
     430, "slot_time", _I, "Slot-seconds of the replicas since the previous such line, by use."
--- a/src/cloverwalk/core/clock.py
+++ b/src/cloverwalk/core/clock.py
@@ -1,4 +1,4 @@
-"""Steady time in milliseconds."""
+"""The monotonic clock of a process, which also counts time while the machine is suspended."""
 
 import time
 from collections.abc import Callable
@@ -6,14 +6,14 @@
 import attrs
 
 MIN_SUSPENSION_S = 0.05
-"""A shorter difference of the two clocks may lie between the two readings."""
+"""Shorter differences are ignored: the two clocks are not read at the same instant."""
 
 
-def steady_s() -> float:
-    """Return steady time in seconds that goes on while the machine is suspended.
+def monotonic_s() -> float:
+    """Return monotonic time in seconds, including the time while the machine is suspended.
 
-    ``time.monotonic`` stands still then: a lease, a quota or a list that was fresh before would
-    look as fresh afterwards. Where a system has no such clock, it is ``time.monotonic``.
+    ``time.monotonic`` stops during a suspension: a lease, a quota or a list that was fresh before
+    would still look fresh afterwards. It is used only on systems without ``CLOCK_BOOTTIME``.
     """
     if not hasattr(time, "CLOCK_BOOTTIME"):
         return time.monotonic()
@@ -21,41 +21,43 @@
 
 
 class SuspensionWatch:
-    """Notices that the machine was suspended.
+    """Detects that the machine was suspended, by comparing two monotonic clocks.
 
-    >>> awake, steady = iter([1.0, 2.0, 3.0]), iter([1.0, 2.0, 8.0])
-    >>> watch = SuspensionWatch(lambda: next(steady), lambda: next(awake))
+    >>> without_suspensions, with_suspensions = iter([1.0, 2.0, 3.0]), iter([1.0, 2.0, 8.0])
+    >>> watch = SuspensionWatch(
+    ...     lambda: next(with_suspensions), lambda: next(without_suspensions)
+    ... )
     >>> watch.check(), watch.check()
     (0.0, 5.0)
     """
 
     def __init__(
         self,
-        steady: Callable[[], float] = steady_s,
-        awake: Callable[[], float] = time.monotonic,
+        with_suspensions: Callable[[], float] = monotonic_s,
+        without_suspensions: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._steady = steady
-        self._awake = awake
-        self._ahead_s = steady() - awake()
+        self._with_suspensions = with_suspensions
+        self._without_suspensions = without_suspensions
+        self._difference_s = with_suspensions() - without_suspensions()
 
     def check(self) -> float:
-        """Return for how long the machine was suspended since the last look, in seconds."""
-        ahead_s = self._steady() - self._awake()
-        slept_s, self._ahead_s = ahead_s - self._ahead_s, ahead_s
-        return slept_s if slept_s >= MIN_SUSPENSION_S else 0.0
+        """Return how long the machine was suspended since the previous check, in seconds."""
+        difference_s = self._with_suspensions() - self._without_suspensions()
+        suspended_s, self._difference_s = difference_s - self._difference_s, difference_s
+        return suspended_s if suspended_s >= MIN_SUSPENSION_S else 0.0
 
 
 @attrs.frozen
 class Clock:
-    """A clock that never goes back; its zero means nothing.
+    """A monotonic clock; its zero has no meaning.
 
-    ``seconds`` is the source, so that tests and simulations can move time by hand.
+    ``seconds`` is the time source; tests and simulations replace it to control the time.
 
     >>> Clock(lambda: 1.5).now_ms()
     1500.0
     """
 
-    seconds: Callable[[], float] = steady_s
+    seconds: Callable[[], float] = monotonic_s
 
     def now_ms(self) -> float:
         """Return the time in milliseconds."""
--- a/src/cloverwalk/core/error_response.py
+++ b/src/cloverwalk/core/error_response.py
@@ -1,4 +1,4 @@
-"""Error responses of a node, and whether they promise that the work was not run.
+"""Error responses of a node, and whether they promise that the work was not started.
 
 The statuses 408, 421, 429 and 503 promise that the work has not run and never will, so the caller
 may safely send it again. An error only carries the reason why a call ends; the status is derived
@@ -111,7 +111,7 @@
     ) -> None:
         super().__init__(message, code)
         self.reason = reason
-        self.wait_s = retry_after_s
+        self.retry_after_s = retry_after_s
 
 
 @attrs.frozen
@@ -122,7 +122,8 @@
     code: str
     message: str
     work: WorkState
-    wait_s: float | None
+    error_retry_after_s: float | None
+    """The retry-after time of the error; sent only if the work has not begun."""
 
     @property
     def status(self) -> int:
@@ -132,7 +133,7 @@
     @property
     def retry_after_s(self) -> float | None:
         """The retry-after time; None if the work may have begun and must not be repeated."""
-        return self.wait_s if self.work is WorkState.NOT_BEGUN else None
+        return self.error_retry_after_s if self.work is WorkState.NOT_BEGUN else None
 
     @property
     def body(self) -> bytes:
@@ -143,9 +144,9 @@
 def error_response(error: CallError, work: Work) -> ErrorResponse:
     """Return the response to an error, with the status that fits the state of the work.
 
-    >>> full = CallError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
-    >>> answer = error_response(full, NOTHING_SENT)
-    >>> answer.status, answer.retry_after_s
+    >>> no_slot = CallError(Reason.UNAVAILABLE, "crowded", "all slots are taken", 0.3)
+    >>> response = error_response(no_slot, NOTHING_SENT)
+    >>> response.status, response.retry_after_s
     (503, 0.3)
     """
-    return ErrorResponse(error.reason, error.code, str(error), work.state, error.wait_s)
+    return ErrorResponse(error.reason, error.code, str(error), work.state, error.retry_after_s)
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -128,7 +128,7 @@
             return
         if self.ledger.was_answered_since(content, delivery.sent_at):
             return
-        self._metrics.replica_broke_off(RESTARTED)
+        self._metrics.replica_closed_connections(RESTARTED)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
@@ -208,7 +208,7 @@
 
     def _note_found(self, replica: Replica, look: _Look, found: Reachability) -> None:
         requests = list(look.requests)[:MOST_LOGGED]
-        self._metrics.replica_broke_off(found.value)
+        self._metrics.replica_closed_connections(found.value)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -111,7 +111,7 @@
         if (counted := self._readers.pop(id(reader), None)) is not None:
             self.answers -= counted.bytes
 
-    def take_dropped_readers(self) -> GivenUp:
+    def pop_dropped_readers(self) -> GivenUp:
         """Return the clients that were given up since the last call."""
         taken, self._given_up = self._given_up, GivenUp()
         return taken
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -14,7 +14,7 @@
 from curio.traps import _read_wait
 from msgspec import Struct
 
-from cloverwalk.core.clock import steady_s
+from cloverwalk.core.clock import monotonic_s
 from cloverwalk.gateway.errors import RESTARTED, ReplicaError
 from cloverwalk.gateway.messages import AnswerFields, GatewayCodec, RawHeaders
 from cloverwalk.http.silence import watch_silence
@@ -68,7 +68,7 @@
         sock: Any,
         address: tuple[str, int],
         codec: GatewayCodec,
-        clock: Callable[[], float] = steady_s,
+        clock: Callable[[], float] = monotonic_s,
     ) -> None:
         self.address = address
         self._clock = clock
--- a/src/cloverwalk/platform/documents.py
+++ b/src/cloverwalk/platform/documents.py
@@ -238,7 +238,7 @@
     if not wire.service:
         raise ValueError("service: it is empty")
     if not 1 <= wire.slots <= MAX_SLOTS:
-        raise ValueError(f"slots: {str(wire.slots)[:20]}")
+        raise ValueError(f"slots: {str(wire.slots)[:20]} is not from 1 to {MAX_SLOTS}")
     if wire.state not in IS_DRAINING_BY_STATE:
         raise ValueError(f"state: {wire.state[:20]!r} is not a valid state")
     host, port = _address(wire.address)
@@ -259,11 +259,11 @@
     """Return host and port; raise ValueError if no connection to the address is possible."""
     parts = ADDRESS.fullmatch(text)
     if parts is None:
-        raise ValueError(f"address: {text[:60]!r}")
+        raise ValueError(f"address: {text[:60]!r} is not IP:PORT")
     host, port = parts[1] or parts[2], int(parts[3])
     ip_address = ipaddress.ip_address(host)
     if ip_address.is_unspecified or ip_address.is_multicast or not 1 <= port <= MAX_PORT:
-        raise ValueError(f"address: {text[:60]!r}")
+        raise ValueError(f"address: {text[:60]!r} can't be connected to")
     return host, port
 
 
@@ -272,7 +272,7 @@
     if isinstance(born, UnsetType):
         return 0
     if not 1 <= born < MAX_STARTED_MS:
-        raise ValueError(f"born: {str(born)[:20]}")
+        raise ValueError(f"born: {str(born)[:20]} is not a Unix time in ms before 2100")
     return born
 
 
--- a/src/cloverwalk/platform/settings.py
+++ b/src/cloverwalk/platform/settings.py
@@ -75,13 +75,13 @@
 
 def load_settings(path: Path | None = None) -> ServingSettings:
     """Return the current settings; raise PlatformSettingsError with a one-line message."""
-    chosen = path or Path(os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH))
+    settings_path = path or Path(os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH))
     try:
-        file = msgspec.toml.decode(chosen.read_bytes(), type=_File)
+        file = msgspec.toml.decode(settings_path.read_bytes(), type=_File)
     except OSError as error:
-        raise PlatformSettingsError(f"{chosen}: {error.strerror}") from error
+        raise PlatformSettingsError(f"{settings_path}: {error.strerror}") from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise PlatformSettingsError(f"{chosen}: {error}") from error
+        raise PlatformSettingsError(f"{settings_path}: {error}") from error
     first_port, last_port = file.ephemeral_ports
     return ServingSettings(
         file.node,
--- a/src/cloverwalk/platform/store_client.py
+++ b/src/cloverwalk/platform/store_client.py
@@ -104,21 +104,23 @@
     async def read_table(self, table: str) -> RowPage:
         """Return the rows of all parts of a table."""
         parts = [""] if table in names.EMPTY_PART_TABLES else await self._parts(table)
-        whole = RowPage([], 0, None)
+        combined = RowPage([], 0, None)
         versions: list[int] = []
         for part in parts or [""]:
-            await self._read_part(table, part, whole, versions)
+            await self._read_part(table, part, combined, versions)
         # With the lowest version, changes made between the reads are fetched again later.
-        whole.version = min(versions)
-        return whole
+        combined.version = min(versions)
+        return combined
 
-    async def _read_part(self, table: str, part: str, whole: RowPage, versions: list[int]) -> None:
+    async def _read_part(
+        self, table: str, part: str, combined: RowPage, versions: list[int]
+    ) -> None:
         start = ""
         while True:
             page = await self.read(table, part, start)
             versions.append(page.version)
-            whole.rows += page.rows
-            whole.now_ms = page.now_ms
+            combined.rows += page.rows
+            combined.now_ms = page.now_ms
             if not page.has_more or not page.rows:
                 return
             start = page.rows[-1].row_key.key + "\x01"
--- a/src/cloverwalk/serving/batch_parts.py
+++ b/src/cloverwalk/serving/batch_parts.py
@@ -33,10 +33,12 @@
 from cloverwalk.telemetry.log import ServingLog
 from cloverwalk.telemetry.metrics import ServingMetrics
 
-JOBS_PAUSE_S = 0.1
+JOBS_FOLLOW_DELAY_S = 0.1
+"""Delay between two reads of changes of the job table."""
+
 STORE_REFUSAL_THRESHOLD_MS = 500.0
-"""A store that has not answered this node for so long, but answers other nodes, refuses this node:
-job submissions are then sent to other nodes. A single lost answer is not enough."""
+"""If the store has not answered this node for this time, but answers other nodes, it refuses this
+node; callers are then sent to other nodes with their jobs. A single lost answer is not enough."""
 
 
 class BatchParts:
@@ -72,7 +74,7 @@
             in_flight,
             caller,
             crash_detector,
-            fleet.link,
+            fleet.coordinator_client,
             self._on_finished,
             self._on_orphans,
             store_clock.now,
@@ -81,7 +83,7 @@
             metrics,
             clock,
         )
-        fleet.link.batch_handler = self.runner
+        fleet.coordinator_client.batch_handler = self.runner
         self._store_time = store_clock.now
         fleet.scheduler.set_store_time(self._earliest_store_ms)
         self.lister = ResultLister(committer, self.view, cache, self.runner.drop, log, clock)
@@ -98,7 +100,7 @@
             clock,
             log,
             self._on_accepted,
-            fleet.link.is_store_available_elsewhere,
+            fleet.coordinator_client.is_store_available_elsewhere,
             lambda: health.unavailable_for_ms() > STORE_REFUSAL_THRESHOLD_MS,
             random,
         )
@@ -122,7 +124,7 @@
             health,
             self._apply_job_rows,
             self._apply_job_rows,
-            JOBS_PAUSE_S,
+            JOBS_FOLLOW_DELAY_S,
             log,
             clock,
             random,
@@ -163,7 +165,7 @@
         await self.view.apply_page(page)
 
     async def _on_accepted(self, job: JobRun) -> None:
-        if not self._fleet.link.is_leaving and job.job_id not in self.runner.jobs:
+        if not self._fleet.coordinator_client.is_leaving and job.job_id not in self.runner.jobs:
             await self.runner.add(job)
 
     async def _on_orphans(self, job_ids: list[str]) -> None:
--- a/src/cloverwalk/serving/fleet_parts.py
+++ b/src/cloverwalk/serving/fleet_parts.py
@@ -28,10 +28,11 @@
 from cloverwalk.telemetry.startup import Stage
 
 MAX_DIRECTORY_AGE_S = 1.5
-"""If the replica list was not confirmed for so long, the node reads it from the store itself. A
+"""If the replica list was not confirmed for this time, the node reads it from the store itself. A
 replica accepts requests for at least two seconds after it began to drain."""
 
-DIRECTORY_PAUSE_S = 0.2
+DIRECTORY_FOLLOW_DELAY_S = 0.2
+"""Delay between two reads of changes of the replica list."""
 
 
 class FleetParts:
@@ -40,7 +41,7 @@
     def __init__(
         self,
         settings: ServingSettings,
-        run: str,
+        run_id: str,
         fleet_state: FleetState,
         in_flight: InFlightTracker,
         store: Store,
@@ -50,7 +51,7 @@
         random: Random,
     ) -> None:
         host = settings.peer_address[0]
-        self.identity = Identity(settings.node, run, host, settings.zone, settings.cores)
+        self.identity = Identity(settings.node, run_id, host, settings.zone, settings.cores)
         self._fleet_state = fleet_state
         self._health = health
         self._clock = clock
@@ -87,7 +88,7 @@
             log,
             clock,
         )
-        self.link = CoordinatorClient(
+        self.coordinator_client = CoordinatorClient(
             self.identity,
             self.leader,
             self.coordinator,
@@ -106,12 +107,12 @@
         self.fair_share_reporter = FairShareReporter(shares, item_shares, self._log_throttled)
         self.coordinator.on_tick = self._tick
         self.coordinator.deliver_locally = self._deliver_locally
-        self.link.on_placement = fleet_state.startup.record_placement
+        self.coordinator_client.on_placement = fleet_state.startup.record_placement
         self.election = Election(
             self.identity,
             self.leader,
             self.coordinator,
-            self.link,
+            self.coordinator_client,
             self.scheduler,
             store,
             health,
@@ -119,8 +120,8 @@
             clock,
             random,
         )
-        self._client_on_leadership = self.link.on_leadership_change
-        self.link.on_leadership_change = self._on_leadership
+        self._client_on_leadership = self.coordinator_client.on_leadership_change
+        self.coordinator_client.on_leadership_change = self._on_leadership
 
     def _tick(self, now: float) -> None:
         self.slot_time_reporter.tick(now)
@@ -182,7 +183,7 @@
                 if self.coordinator.is_active and not self._health.is_unavailable:
                     self.coordinator.broadcast_store_returned()
             case _:
-                await self.link.handle_message(message, host)
+                await self.coordinator_client.handle_message(message, host)
                 self._fleet_state.record_directory_source("peer")
 
     async def _on_leadership(self) -> None:
@@ -190,7 +191,7 @@
         await self._client_on_leadership()
 
     async def _deliver_locally(self, orders: object) -> None:
-        await self.link.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
+        await self.coordinator_client.handle_message(orders, self.identity.host)  # type: ignore[arg-type]
 
     async def until_directory_needed(self) -> None:
         """Wait until this node has to read the replica list from the store itself."""
@@ -204,6 +205,6 @@
 
     def leave(self) -> None:
         """Begin a planned stop: give up coordination and receive no more jobs."""
-        self.link.is_leaving = True
+        self.coordinator_client.is_leaving = True
         self.coordinator.is_leaving = True
         self.election.is_leaving = True
--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -9,7 +9,7 @@
 import curio
 
 from cloverwalk.core import catalogue
-from cloverwalk.core.clock import Clock, SuspensionWatch, steady_s
+from cloverwalk.core.clock import Clock, SuspensionWatch, monotonic_s
 from cloverwalk.core.error_response import ErrorResponse
 from cloverwalk.core.once_flag import OnceFlag
 from cloverwalk.fleet.crash_record_store import CrashRecordStore
@@ -27,7 +27,7 @@
 from cloverwalk.scheduling.features import Feature
 from cloverwalk.serving.adapter import Adapter
 from cloverwalk.serving.batch_parts import BatchParts
-from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
+from cloverwalk.serving.fleet_parts import DIRECTORY_FOLLOW_DELAY_S, FleetParts
 from cloverwalk.serving.fleet_state import FleetState
 from cloverwalk.serving.request_handler import RequestHandler
 from cloverwalk.serving.resource_monitor import ResourceMonitor
@@ -40,18 +40,24 @@
 from cloverwalk.telemetry.startup import Stage, StartupLog
 from cloverwalk.tenants.quota_refusals import QuotaRefusalCache
 
-CONFIGURATION_PAUSE_S = 0.05
+CONFIGURATION_FOLLOW_DELAY_S = 0.05
+"""Delay between two reads of changes of the configuration."""
+
 HOUSEKEEPING_INTERVAL_S = 2.0
 STOP_PROPAGATION_S = 2.6
 """New connections still arrive for about this long after a planned stop began."""
 
 STOP_MARGIN_S = 0.7
+"""A planned stop ends this long before the platform kills the process."""
+
 NO_NEW_WORK_FRACTION = 0.35
-"""In this last fraction of the grace time no request is started; it is longer than most requests
-take. Until then requests are accepted, since the platform sends requests to leaving nodes when few
-nodes of a zone are ready."""
+"""During this fraction at the end of a planned stop no request is accepted; it is longer than most
+requests take. Until then requests are accepted, since the platform sends requests to leaving nodes
+when few nodes of a zone are ready."""
 
 RESERVED_DESCRIPTORS = 800
+"""File descriptors that are kept for other uses than connections of clients."""
+
 MAX_INTERNAL_CONNECTIONS = 32
 
 
@@ -63,12 +69,12 @@
     ) -> None:
         self._adapter = adapter
         self._settings = settings
-        self._clock: Callable[[], float] = steady_s
+        self._clock: Callable[[], float] = monotonic_s
         self._suspensions = SuspensionWatch()
         self._random = Random(SystemRandom().getrandbits(64))
         self._log = ServingLog(settings.node, self._clock, log_descriptor)
         self._metrics = ServingMetrics()
-        # Until here the process only loaded modules, so its age is about its processor time.
+        # So far the process has only loaded modules, so its age is about its processor time.
         started_at = self._clock() - time.process_time()
         self._startup = StartupLog(self._log, self._clock, started_at)
         self._stop = curio.UniversalEvent()
@@ -76,7 +82,7 @@
         self._stop_flag = OnceFlag()
         self._reload_flag = OnceFlag()
         self.is_leaving = False
-        self._last_begin_at = float("inf")
+        self._accepts_until = float("inf")
         self._build_state()
         self._build_fleet()
         self._build_gateway()
@@ -84,11 +90,11 @@
     # --- components ---
 
     def _build_state(self) -> None:
-        self._knowledge = FleetState(self._adapter, self._log, self._clock, self._startup)
-        self._knowledge.metrics = self._metrics
-        self._configuration = self._knowledge.configuration
-        self._directory = self._knowledge.directory
-        self._loads = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
+        self._fleet_state = FleetState(self._adapter, self._log, self._clock, self._startup)
+        self._fleet_state.metrics = self._metrics
+        self._configuration = self._fleet_state.configuration
+        self._directory = self._fleet_state.directory
+        self._in_flight = InFlightTracker(counts_tokens=self._settings.is_memory_scarce)
         self._health = StoreHealth(Clock(self._clock))
         self._health.on_call = self._record_store_call
         self._store_clock = StoreClock(Clock(self._clock), self._log_store_clock_jump)
@@ -96,8 +102,8 @@
             self._adapter.create_store(self._settings), self._health, self._store_clock
         )
         self._pool = ReplicaPool(self._adapter.codec, self._clock)
-        self._witness = CrashDetector(
-            self._knowledge.crash_ledger,
+        self._crash_detector = CrashDetector(
+            self._fleet_state.crash_ledger,
             self._directory,
             self._pool,
             self._log,
@@ -106,7 +112,7 @@
         )
 
         self._restart_handler = RestartHandler(
-            self._directory, self._pool, self._witness, self._log, self._metrics, self._clock
+            self._directory, self._pool, self._crash_detector, self._log, self._metrics, self._clock
         )
 
     def _log_store_clock_jump(self, jump_ms: float) -> None:
@@ -116,25 +122,25 @@
         self._fleet = FleetParts(
             self._settings,
             f"{self._random.getrandbits(40):010x}",
-            self._knowledge,
-            self._loads,
+            self._fleet_state,
+            self._in_flight,
             self._store,
             self._health,
             self._log,
             self._clock,
             self._random,
         )
-        self._fleet.crash_record_sync.on_contained = self._witness.record_contained
-        self._witness.on_crash = self._fleet.link.trigger_report
+        self._fleet.crash_record_sync.on_contained = self._crash_detector.record_contained
+        self._crash_detector.on_crash = self._fleet.coordinator_client.trigger_report
         self._store_probe = StoreProbe(self._store, self._health, self._fleet)
         self._batch = BatchParts(
             self._adapter,
             self._settings,
             self._fleet,
-            self._knowledge,
-            self._loads,
+            self._fleet_state,
+            self._in_flight,
             self._pool,
-            self._witness,
+            self._crash_detector,
             self._store,
             self._health,
             self._store_clock,
@@ -144,7 +150,7 @@
             self._clock,
             self._random,
         )
-        self._case_keeper = CrashRecordStore(
+        self._crash_record_store = CrashRecordStore(
             self._fleet.crash_record_sync,
             self._fleet.coordinator,
             self._store,
@@ -157,9 +163,9 @@
             self._adapter.configuration_table,
             self._store,
             self._health,
-            self._knowledge.on_configuration,
-            self._knowledge.on_configuration,
-            CONFIGURATION_PAUSE_S,
+            self._fleet_state.on_configuration,
+            self._fleet_state.on_configuration,
+            CONFIGURATION_FOLLOW_DELAY_S,
             self._log,
             self._clock,
             self._random,
@@ -168,9 +174,9 @@
             self._adapter.replica_table,
             self._store,
             self._health,
-            self._knowledge.on_all_replicas,
-            self._knowledge.on_replicas,
-            DIRECTORY_PAUSE_S,
+            self._fleet_state.on_all_replicas,
+            self._fleet_state.on_replicas,
+            DIRECTORY_FOLLOW_DELAY_S,
             self._log,
             self._clock,
             self._random,
@@ -183,14 +189,14 @@
         relay = OnlineRelay(
             self._adapter.codec,
             self._directory,
-            self._loads,
+            self._in_flight,
             self._pool,
             self._log,
             self._metrics,
             self._clock,
-            self._fleet.link,
+            self._fleet.coordinator_client,
             self._quota_refusals,
-            ContainmentGate(self._witness, self._metrics),
+            ContainmentGate(self._crash_detector, self._metrics),
         )
         max_connections = max(64, settings.max_descriptors - RESERVED_DESCRIPTORS)
         self._clients = self._create_server(settings.client_address, self._handle, max_connections)
@@ -202,7 +208,7 @@
             self._batch.service,
             self._log,
             self._metrics,
-            lambda: self._clock() < self._last_begin_at,
+            lambda: self._clock() < self._accepts_until,
             self._resource_monitor,
         )
         self._ready = self._create_server(
@@ -223,7 +229,7 @@
             max_connections,
             self._clients,
             self._batch.runner,
-            self._fleet.link,
+            self._fleet.coordinator_client,
             self._log,
             self._clock,
             time.process_time,
@@ -269,13 +275,13 @@
             self._clients.serve,
             self._ready.serve,
             self._fleet.receive,
-            self._fleet.link.run,
+            self._fleet.coordinator_client.run,
             self._fleet.coordinator.run,
             self._fleet.election.run,
             self._configuration_follower.run,
             self._replica_follower.run,
             self._store_probe.run,
-            self._case_keeper.run,
+            self._crash_record_store.run,
             self._housekeeping,
             *self._batch.loops(),
         ]
@@ -321,25 +327,25 @@
             except Exception as error:
                 self._log.write(catalogue.SETTINGS_REFUSED, error=str(error)[:300])
                 continue
-            self._fleet.link.use_seeds(list(settings.seeds))
+            self._fleet.coordinator_client.use_seeds(list(settings.seeds))
             self._log.write(catalogue.SETTINGS_RELOADED, seeds=len(settings.seeds))
 
     async def _shut_down(self) -> None:
         """Stop as planned: become not ready, hand jobs over, finish running requests."""
         started_at = self._clock()
         deadline = started_at + self._settings.grace_s - STOP_MARGIN_S
-        self._last_begin_at = deadline - NO_NEW_WORK_FRACTION * self._settings.grace_s
+        self._accepts_until = deadline - NO_NEW_WORK_FRACTION * self._settings.grace_s
         self._log.write(catalogue.SERVING_STOPPING, serving=self._clients.serving_count)
         self.is_leaving = True
         self._fleet.leave()
         self._clients.is_stopping = True
-        await self._fleet.link.trigger_report()
+        await self._fleet.coordinator_client.trigger_report()
         handover = await curio.spawn(self._batch.takeover.hand_over)
         while self._clock() < deadline:
             await curio.sleep(0.1)
             await self._clients.close_idle()
-            is_visible = self._clock() - started_at < STOP_PROPAGATION_S
-            if not is_visible and self._clients.serving_count == 0 and handover.terminated:
+            is_propagating = self._clock() - started_at < STOP_PROPAGATION_S
+            if not is_propagating and self._clients.serving_count == 0 and handover.terminated:
                 break
         await handover.cancel()
 
@@ -394,7 +400,7 @@
             slowdowns.invalid_count,
         )
         metrics.slot_seconds = {use.value: seconds for use, seconds in seconds_by_use.items()}
-        metrics.share_ms = self._fleet.fair_share_reporter.slot_ms()
+        metrics.slot_ms_by_share = self._fleet.fair_share_reporter.slot_ms()
         metrics.gauge("cloverwalk_coordinator_term", "Term followed", self._fleet.leader.term)
         unreachable_count = self._fleet.scheduler.reachability.unreachable_count
         metrics.gauge(
@@ -435,11 +441,11 @@
             self._restart_handler.abort_stale()
             await self._pool.close_expired()
             self._quota_refusals.expire()
-            self._witness.expire()
-            slept_s = self._suspensions.check()
-            if slept_s > 0:
-                # Ages and leases went on meanwhile, as if the node had paused for so long.
-                self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(slept_s, 3))
+            self._crash_detector.expire()
+            suspended_s = self._suspensions.check()
+            if suspended_s > 0:
+                # The clock includes the suspension, so ages and leases went on meanwhile.
+                self._log.write(catalogue.MACHINE_SUSPENDED, slept_s=round(suspended_s, 3))
 
 
 def run_node(adapter: Adapter) -> None:
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -20,8 +20,10 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 from cloverwalk.tenants.identification import identify
 
-MAX_WAIT_S = 1.0
-STARTING_RETRY_S = 1.0
+MAX_RESULT_WAIT_S = 1.0
+"""Maximum time that a read of a job waits for further results."""
+
+STARTING_RETRY_AFTER_S = 1.0
 """A process that has just started usually has its configuration after this time."""
 
 STOPPING_RETRY_AFTER_S = 0.02
@@ -88,18 +90,20 @@
         """Handle a call on a job or a job submission; return the route of an online request."""
         if self._configuration.current is None:
             message = "this node is starting"
-            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_S)
+            raise GatewayError(
+                Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_AFTER_S
+            )
         call = self._codec.job_call(request.method, request.target)
         self._identify(request, is_job_call=call is not None)
         if call is not None:
-            await self._job_call(request, call, reply, writes)
+            await self._handle_job_call(request, call, reply, writes)
             return None
         if not self._accepts_requests():
             message = "this node is stopping"
             raise GatewayError(Reason.UNAVAILABLE, "stopping", message, STOPPING_RETRY_AFTER_S)
         if self._resource_monitor is not None and self._resource_monitor.is_overloaded:
             raise _node_full_error("this node is overloaded")
-        route = self._route(request)
+        route = self._find_route(request)
         if route.kind is not RouteKind.BATCH:
             return route
         await self._submit(request, route, reply, writes)
@@ -111,7 +115,7 @@
         if self._configuration.has_tenants:
             request.headers = self._codec.without_key(request.headers)
 
-    def _route(self, request: ClientRequest) -> Route:
+    def _find_route(self, request: ClientRequest) -> Route:
         configuration = self._configuration.current
         route = None
         if configuration is not None:
@@ -120,12 +124,12 @@
             raise GatewayError(Reason.NOT_FOUND, "no_route", "no route has this host and path")
         return route
 
-    async def _job_call(
+    async def _handle_job_call(
         self, request: ClientRequest, call: JobCall, reply: Reply, writes: JobWriteTracker
     ) -> None:
         match call:
             case ReadJob():
-                wait_s = min(MAX_WAIT_S, request.fields.wait_s)
+                wait_s = min(MAX_RESULT_WAIT_S, request.fields.wait_s)
                 page = await self._jobs.read(call.job_id, request.tenant, call.position, wait_s)
                 body = self._adapter.encode_result_page(page)
                 await reply.respond(200, self._adapter.json_headers, body)
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Measures the utilization of this machine and reports it to other components."""
+"""Measures the utilization of this machine and passes it to other components."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 """Shorter than the second between the readiness probes of the platform."""
 
 HAND_OVER_AFTER_S = 3.0
-"""A coordinator that was overloaded for so long hands its role over. Each node sends at least two
+"""A coordinator that was overloaded for this time hands its role over. Each node sends at least two
 reports in that time, so the utilization of the standby is not a momentary value."""
 
 
@@ -34,7 +34,7 @@
         self,
         settings: ServingSettings,
         max_connections: int,
-        clients: GatewayServer,
+        client_server: GatewayServer,
         runner: BatchRunner,
         coordinator_client: CoordinatorClient,
         log: ServingLog,
@@ -50,14 +50,14 @@
         )
         self.memory_budget = MemoryBudget(budget_bytes)
         self.overload_monitor = OverloadMonitor(capacity, clock())
-        self._clients = clients
+        self._client_server = client_server
         self._runner = runner
         self._coordinator_client = coordinator_client
         self._log = log
         self._clock = clock
         self._processor_s = processor_s
         self._is_logged_full = False
-        clients.memory_budget = self.memory_budget
+        client_server.memory_budget = self.memory_budget
         coordinator_client.on_zone_utilization = self._on_zone_utilization
 
     @property
@@ -65,12 +65,12 @@
         """Whether the node refuses new requests and jobs."""
         return self.overload_monitor.state is OverloadState.OVERLOADED
 
-    def reserve_for_job(self, size: int) -> bool:
-        """Return whether the budget has memory for ``size`` bytes of bodies; count them if so."""
-        if not self.memory_budget.has_capacity_for_job(size):
+    def reserve_for_job(self, size_bytes: int) -> bool:
+        """Reserve memory for the bodies of a job; return False if the budget does not suffice."""
+        if not self.memory_budget.has_capacity_for_job(size_bytes):
             return False
-        # The next check replaces this by the bytes of the jobs that were in fact accepted.
-        self.memory_budget.job_bytes += size
+        # The next check replaces this sum by the bytes of the jobs that were in fact accepted.
+        self.memory_budget.job_bytes += size_bytes
         return True
 
     def must_hand_over(self) -> bool:
@@ -105,7 +105,7 @@
         usage = Usage(
             self.memory_budget.sent_bytes,
             self._processor_s(),
-            self._clients.connection_count,
+            self._client_server.connection_count,
             self.memory_budget.total_bytes,
             late_s,
         )
@@ -140,7 +140,7 @@
 
     def _log_dropped_readers(self) -> None:
         """Write one line for all clients that were dropped since the previous check."""
-        dropped = self.memory_budget.take_dropped_readers()
+        dropped = self.memory_budget.pop_dropped_readers()
         if dropped.count == 0:
             return
         self._log.write(
--- a/src/cloverwalk/store/health.py
+++ b/src/cloverwalk/store/health.py
@@ -30,11 +30,11 @@
 
 
 class StoreHealth:
-    """Whether the store answers, by the outcome of the latest calls."""
+    """Whether the store answers, as judged by the last call."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._returned = curio.Event()
+        self._recovered = curio.Event()
         self._became_unavailable = curio.Event()
         self._hint = curio.Event()
         self.unavailable_since_ms: float | None = None
@@ -69,7 +69,7 @@
         if self.unavailable_since_ms is not None:
             return
         self.unavailable_since_ms = self._clock.now_ms()
-        self._returned = curio.Event()
+        self._recovered = curio.Event()
         await self._became_unavailable.set()
 
     async def record_answer(self) -> None:
@@ -80,7 +80,7 @@
             return
         self.unavailable_since_ms = None
         self._became_unavailable = curio.Event()
-        await self._returned.set()
+        await self._recovered.set()
 
     async def hint_recovery(self) -> None:
         """Trigger an early probe, since the store answered another node."""
@@ -97,17 +97,17 @@
         """Wait until a call fails; return at once if the store is unavailable."""
         await self._became_unavailable.wait()
 
-    async def backoff(self, pause_ms: float) -> None:
+    async def backoff(self, delay_ms: float) -> None:
         """Sleep; if the store is unavailable now, return early when it recovers."""
-        returned = self._returned if self.is_unavailable else None
-        min_delay_ms = min(MIN_BACKOFF_MS, pause_ms)
+        recovered = self._recovered if self.is_unavailable else None
+        min_delay_ms = min(MIN_BACKOFF_MS, delay_ms)
         await curio.sleep(min_delay_ms / 1000)
-        remaining_ms = pause_ms - min_delay_ms
-        if returned is None:
+        remaining_ms = delay_ms - min_delay_ms
+        if recovered is None:
             await curio.sleep(remaining_ms / 1000)
             return
         async with curio.ignore_after(remaining_ms / 1000):
-            await returned.wait()
+            await recovered.wait()
 
 
 class MonitoredStore:
--- a/src/cloverwalk/telemetry/lateness.py
+++ b/src/cloverwalk/telemetry/lateness.py
@@ -13,10 +13,10 @@
     """The main cause of a late request or item."""
 
     CAME_LATE = "came_late"
-    """It arrived with less time left than such requests usually take."""
+    """It arrived with less remaining time than such requests usually take."""
 
     REPLICA_FAILED = "replica_failed"
-    """A replica failed under it or refused it before."""
+    """An earlier attempt failed or was refused by a replica."""
 
     COORDINATOR = "coordinator"
     """Its placement took long although slots were free."""
@@ -55,14 +55,14 @@
     """Whether the coordinator queued it for a slot."""
 
     failures: int = 0
-    """Number of replicas that failed under it or refused it."""
+    """Number of attempts that failed or were refused by a replica."""
 
 
 def request_cause(times: RequestTimes) -> LateCause | None:
     """Return why a request was late, None if it was in time.
 
-    >>> held = RequestTimes(300.0, 420.0, 350.0, 0.0, 60.0, was_queued=True)
-    >>> request_cause(held).value, request_cause(RequestTimes(300.0, 80.0, 2.0, 0.0, 60.0))
+    >>> queued = RequestTimes(300.0, 420.0, 350.0, 0.0, 60.0, was_queued=True)
+    >>> request_cause(queued).value, request_cause(RequestTimes(300.0, 80.0, 2.0, 0.0, 60.0))
     ('no_slot', None)
     """
     if times.took_ms <= times.objective_ms:
--- a/src/cloverwalk/telemetry/metrics.py
+++ b/src/cloverwalk/telemetry/metrics.py
@@ -57,8 +57,8 @@
         self.tenant_directory = TenantDirectory()
         """The tenants of the configuration in force, for the metrics of their quotas."""
 
-        self.share_ms: Mapping[tuple[str, str], int] = {}
-        """Slot time (ms) given to tenants, by kind of work and by fair share."""
+        self.slot_ms_by_share: Mapping[tuple[str, str], int] = {}
+        """Expected slot time (ms) of work that got a slot, by work and by its tenant's share."""
 
         self.slot_seconds: Mapping[str, float] = {}
         """Slot-seconds of the replicas by use, counted while this node was the coordinator."""
@@ -100,7 +100,7 @@
         """Count a failed attempt at a replica."""
         self._failures[code] += 1
 
-    def replica_broke_off(self, found: str) -> None:
+    def replica_closed_connections(self, found: str) -> None:
         """Count a replica that closed connections, by what the probe of its address found."""
         self._connection_closes[found] += 1
 
@@ -160,7 +160,7 @@
             "Expected slot time of work that got a slot, by work and by its tenant's share",
             labels=["work", "share"],
         )
-        for (work, share), slot_ms in self.share_ms.items():
+        for (work, share), slot_ms in self.slot_ms_by_share.items():
             shares.add_metric([work, share], slot_ms)
         yield shares
         if self.utilization:
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -11,7 +11,7 @@
 from cloverwalk.core.error_response import NOT_RUN_STATUSES, WorkState
 
 HISTORY_LEAD_S = 3.0
-"""Context lines of the nodes are included from so long before the first line of the request."""
+"""Context lines of the nodes are included from this long before the first line of the request."""
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -125,10 +125,12 @@
     matching = [line for line in all_lines if line.mentions(wanted_id)]
     jobs = {str(line.fields["job"]) for line in matching if "job" in line.fields} - {wanted_id}
     matching += [line for line in all_lines if _is_of_job(line, jobs)]
-    contents = {content for line in matching for content in _contents(line, wanted_id)}
+    contents = {content for line in matching for content in _content_hashes(line, wanted_id)}
     matching_ids = {id(line) for line in matching}
     matching += [
-        line for line in all_lines if id(line) not in matching_ids and contents & _contents(line)
+        line
+        for line in all_lines
+        if id(line) not in matching_ids and contents & _content_hashes(line)
     ]
     if not matching:
         return []
@@ -143,7 +145,7 @@
     return sorted([*matching, *context], key=lambda line: line.time_s)
 
 
-def _contents(line: LogLine, wanted_id: str | None = None) -> set[str]:
+def _content_hashes(line: LogLine, wanted_id: str | None = None) -> set[str]:
     """Return the content hashes in a line; of many requests only that of ``wanted_id``."""
     requests, contents = line.fields.get("requests", []), line.fields.get("contents", [])
     if requests and wanted_id is not None:
--- a/src/cloverwalk/telemetry/startup_report.py
+++ b/src/cloverwalk/telemetry/startup_report.py
@@ -20,8 +20,8 @@
     stage: str
     after_ms: tuple[float, ...]
 
-    def quantile(self, share: float) -> float:
-        """Return the time within which the fraction ``share`` of the starts reached the stage.
+    def quantile(self, fraction: float) -> float:
+        """Return the time within which ``fraction`` of the starts reached the stage.
 
         >>> StageTimes("ready", (10.0, 20.0, 30.0)).quantile(0.5)
         20.0
@@ -29,7 +29,7 @@
         if len(self.after_ms) == 1:
             return self.after_ms[0]
         cuts = statistics.quantiles(self.after_ms, n=PERCENT, method="inclusive")
-        return cuts[round(share * PERCENT) - 1]
+        return cuts[round(fraction * PERCENT) - 1]
 
 
 def startup_stages(lines: Iterable[LogLine]) -> list[StageTimes]:
--- a/src/cloverwalk/telemetry/timeline.py
+++ b/src/cloverwalk/telemetry/timeline.py
@@ -28,8 +28,8 @@
     unlisted: int = 0
     """Items of open jobs whose results are not listed yet."""
 
-    def first_event_quantile_ms(self, share: float) -> float | None:
-        """Return the ``share`` quantile of the times to the first event, None without any.
+    def first_event_quantile_ms(self, fraction: float) -> float | None:
+        """Return the ``fraction`` quantile of the times to the first event, None without any.
 
         >>> second = SecondStats(0, first_ms=[10.0, 20.0, 30.0, 40.0])
         >>> second.first_event_quantile_ms(0.5), SecondStats(1).first_event_quantile_ms(0.5)
@@ -40,7 +40,7 @@
         if len(self.first_ms) == 1:
             return self.first_ms[0]
         cuts = statistics.quantiles(self.first_ms, n=PERCENT, method="inclusive")
-        return cuts[round(share * PERCENT) - 1]
+        return cuts[round(fraction * PERCENT) - 1]
 
 
 class _WorkInFlight:
@@ -85,22 +85,22 @@
     ordered = sorted(lines, key=lambda line: line.time_s)
     if not ordered:
         return []
-    fleet = _WorkInFlight()
+    in_flight = _WorkInFlight()
     seconds = [SecondStats(int(ordered[0].time_s // 1))]
     for line in ordered:
         while line.time_s >= seconds[-1].at_s + 1:
-            _close(seconds[-1], fleet)
+            _close(seconds[-1], in_flight)
             seconds.append(SecondStats(seconds[-1].at_s + 1))
-        fleet.apply(line)
+        in_flight.apply(line)
         _count(seconds[-1], line)
-    _close(seconds[-1], fleet)
+    _close(seconds[-1], in_flight)
     return seconds
 
 
-def _close(second: SecondStats, fleet: _WorkInFlight) -> None:
-    second.online = len(fleet.online)
-    second.batch = len(fleet.batch)
-    second.unlisted = sum(fleet.unlisted_by_job.values())
+def _close(second: SecondStats, in_flight: _WorkInFlight) -> None:
+    second.online = len(in_flight.online)
+    second.batch = len(in_flight.batch)
+    second.unlisted = sum(in_flight.unlisted_by_job.values())
 
 
 def _count(second: SecondStats, line: LogLine) -> None:
--- a/src/cloverwalk/tenants/quota_refusals.py
+++ b/src/cloverwalk/tenants/quota_refusals.py
@@ -13,7 +13,7 @@
 for a tenant over its quota."""
 
 REFUSAL_EXPIRY_S = 2.0
-"""A tenant without a refusal for so long counts as within its quota again."""
+"""A tenant counts as within its quota again after this time without a refusal."""
 
 
 @attrs.define
@@ -24,7 +24,7 @@
 
 
 class QuotaRefusalCache:
-    """Tenants that the coordinator refused lately, by name.
+    """Tenants whose requests the coordinator recently refused, by name.
 
     One log line is written when the refusals of a tenant begin, and one when they end.
     """
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -489,8 +489,8 @@
     Mutant(
         "serving: pauses go on beyond the store's return",
         "store/health.py",
-        "        returned = self._returned if self.is_unavailable else None",
-        "        returned = None",
+        "        recovered = self._recovered if self.is_unavailable else None",
+        "        recovered = None",
         HEALTH + "test_a_transaction_in_backoff_is_retried_when_the_store_recovers",
     ),
     Mutant(
@@ -905,8 +905,8 @@
     Mutant(
         "serving: refusals: the final answer is made without a look at the work",
         "core/error_response.py",
-        "str(error), work.state, error.wait_s)",
-        "str(error), WorkState.NOT_BEGUN, error.wait_s)",
+        "str(error), work.state, error.retry_after_s)",
+        "str(error), WorkState.NOT_BEGUN, error.retry_after_s)",
         PROMISED,
     ),
     Mutant(
@@ -954,8 +954,8 @@
     Mutant(
         "serving: refusals: callers are invited to repeat what may have begun",
         "core/error_response.py",
-        "        return self.wait_s if self.work is WorkState.NOT_BEGUN else None",
-        "        return self.wait_s",
+        "        return self.error_retry_after_s if self.work is WorkState.NOT_BEGUN else None",
+        "        return self.error_retry_after_s",
         REFUSALS + "test_no_verdict_promises_not_run_after_a_run",
     ),
     Mutant(
@@ -1257,8 +1257,8 @@
     Mutant(
         "soak: a request that replicas broke off is called not run",
         "core/error_response.py",
-        "str(error), work.state, error.wait_s)",
-        "str(error), WorkState.NOT_BEGUN, error.wait_s)",
+        "str(error), work.state, error.retry_after_s)",
+        "str(error), WorkState.NOT_BEGUN, error.retry_after_s)",
         SOAK,
     ),
     Mutant(
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -35,9 +35,9 @@
 from cloverwalk.platform.adapter import PlatformAdapter
 from cloverwalk.platform.store_client import PlatformStore
 from cloverwalk.serving import fleet_parts
-from cloverwalk.serving.fleet_parts import DIRECTORY_PAUSE_S, FleetParts
+from cloverwalk.serving.fleet_parts import DIRECTORY_FOLLOW_DELAY_S, FleetParts
 from cloverwalk.serving.fleet_state import FleetState
-from cloverwalk.serving.node import CONFIGURATION_PAUSE_S
+from cloverwalk.serving.node import CONFIGURATION_FOLLOW_DELAY_S
 from cloverwalk.serving.settings import ServingSettings
 from cloverwalk.serving.store_probe import StoreProbe
 from cloverwalk.store.clock import StoreClock
@@ -325,7 +325,7 @@
             self.health,
             self.fleet_state.on_configuration,
             self.fleet_state.on_configuration,
-            CONFIGURATION_PAUSE_S,
+            CONFIGURATION_FOLLOW_DELAY_S,
             log,
             time,
             random,
@@ -336,7 +336,7 @@
             self.health,
             self.fleet_state.on_all_replicas,
             self.fleet_state.on_replicas,
-            DIRECTORY_PAUSE_S,
+            DIRECTORY_FOLLOW_DELAY_S,
             log,
             time,
             random,
@@ -348,7 +348,7 @@
     async def start(self) -> None:
         for loop in (
             self.fleet.receive,
-            self.fleet.link.run,
+            self.fleet.coordinator_client.run,
             self.fleet.coordinator.run,
             self.fleet.election.run,
             self._configuration_follower.run,
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -176,7 +176,7 @@
         crashing.world.nodes.clear()
         crashing.world.node_tasks.clear()
         await crashing.add_nodes(1)
-        await crashing.world.until(lambda: crashing.world.nodes[0]._case_keeper.is_read)
+        await crashing.world.until(lambda: crashing.world.nodes[0]._crash_record_store.is_read)
         for _ in range(4):
             await crashing.ask(GUILTY)
             await crashing.until_back()
@@ -193,8 +193,8 @@
             # Each attempt may have run, so nothing is promised.
             assert answer.status == 502
         node = crashing.world.nodes[0]
-        await crashing.world.until(lambda: not node._witness._looks)
-        assert node._knowledge.crash_ledger.is_empty
+        await crashing.world.until(lambda: not node._crash_detector._looks)
+        assert node._fleet_state.crash_ledger.is_empty
         assert sum(one.runs(f"req{4:04d}") for one in crashing.world.replicas) == 3
 
     in_crashing_world(test)
@@ -206,7 +206,7 @@
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         world = crashing.world
-        ledger = world.nodes[0]._knowledge.crash_ledger
+        ledger = world.nodes[0]._fleet_state.crash_ledger
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
         neighbours = [await curio.spawn(crashing.ask, body) for body in bodies]
@@ -233,7 +233,7 @@
             await crashing.ask(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
-        ledger = world.nodes[0]._knowledge.crash_ledger
+        ledger = world.nodes[0]._fleet_state.crash_ledger
         answers = [await crashing.ask(b"sent late %d" % number) for number in range(8)]
         assert {one.status for one in answers} <= {200, 502, 503}
         assert ledger.is_empty
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -27,7 +27,7 @@
 LIMIT_BYTES = int(BUDGET_SHARE * MEMORY_BYTES)
 SLOW_CLIENTS = 200
 EVENTS = 12
-PADDING = 60_000
+EVENT_PADDING_BYTES = 60_000
 """Bytes per event; an answer of ``EVENTS`` such events exceeds the socket buffers by far."""
 
 
@@ -47,7 +47,7 @@
 ) -> None:
     await world.start(replicas=replicas, events=events, event_s=event_s)
     for replica in world.replicas:
-        replica.event_padding = PADDING
+        replica.event_padding = EVENT_PADDING_BYTES
     # Connections inherit the small send buffer, so the node has to buffer the remainder.
     world.nodes[0]._clients._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16384)
 
@@ -93,7 +93,7 @@
                 assert (answer.status, answer.is_whole) == (200, True)
         node = world.nodes[0]
         await world.until(lambda: not any(replica.running for replica in world.replicas))
-        await world.until(lambda: not node._loads.by_replica)
+        await world.until(lambda: not node._in_flight.by_replica)
         assert node._resource_monitor is not None
         budget = node._resource_monitor.memory_budget
         assert 0 < budget.answers <= max_buffered_bytes <= LIMIT_BYTES
@@ -114,7 +114,7 @@
         sock = await slow_client(world, "/chat/a")
         await world.until(lambda: bool(replica.arrivals) and replica.arrivals[0].is_finished)
         # The slot is free for another request before the client has read a byte.
-        await world.until(lambda: not world.nodes[0]._loads.by_replica)
+        await world.until(lambda: not world.nodes[0]._in_flight.by_replica)
         assert (await world.ask("/chat/a")).is_whole
         http = h11.Connection(h11.CLIENT)
         http.send(h11.Request(method="POST", target="/chat/a", headers=[("Host", HOST)]))
@@ -294,23 +294,23 @@
             node.node
             for node in registry.choose_standbys(coordinator.name, coordinator.identity.zone)
         ]
-        heirs = registry.live_incarnations()
-        heir = rendezvous_owner("job", heirs)
-        assert heir is not None
+        incarnations = registry.live_incarnations()
+        owner = rendezvous_owner("job", incarnations)
+        assert owner is not None
         for node in world.nodes:
-            if node.name in (names_before[0], heir.partition(".")[0]):
+            if node.name in (names_before[0], owner.partition(".")[0]):
                 node.link.utilization_percent = FULL_PERCENT
         await world.run(1.5)
         standbys = registry.choose_standbys(coordinator.name, coordinator.identity.zone)
         assert names_before[0] not in [node.node for node in standbys]
         assigner = JobAssigner(coordinator.coordinator, None, None, None, None)  # type: ignore[arg-type]
         assert assigner._heirs() == [
-            heir_incarnation for heir_incarnation in heirs if not is_full(world, heir_incarnation)
+            incarnation for incarnation in incarnations if not is_full(world, incarnation)
         ]
         for node in world.nodes:
             node.link.utilization_percent = 99
         await world.run(1.5)
-        assert assigner._heirs() == heirs
+        assert assigner._heirs() == incarnations
 
     in_fleet(7, test)
 
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -81,7 +81,7 @@
 def without_retry_delays(node: OwnerNode) -> OwnerNode:
     """Let a node retry its transactions without delays; its clock advances all the same."""
 
-    async def pause(pause_ms: float) -> None:
+    async def pause(delay_ms: float) -> None:
         await curio.sleep(0)
 
     node.health.backoff = pause  # type: ignore[method-assign]
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -349,7 +349,7 @@
         node = world.nodes[0]
         node.request_stop()
         await world.until(lambda: node.is_leaving)
-        await world.until(lambda: node._clock() >= node._last_begin_at)
+        await world.until(lambda: node._clock() >= node._accepts_until)
         late = await world.ask("/chat/a", "late")
         assert late.status == 503
         assert float(late.headers["retry-after"]) > 0
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -34,7 +34,7 @@
 
 def answer_next_asks(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
     """Have the first node's asks answered by these verdicts; None leaves it to the coordinator."""
-    link = world.nodes[0]._fleet.link
+    link = world.nodes[0]._fleet.coordinator_client
     place = link.request_placement
 
     async def answer(ask: PlacementRequest, until: float) -> PlacementResult:
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -14,7 +14,7 @@
 from job_world import HandClock
 from test_scheduler import Fleet
 
-from cloverwalk.core.clock import steady_s
+from cloverwalk.core.clock import monotonic_s
 from cloverwalk.emulator.replica_runs import Misdeed
 from cloverwalk.fleet.messages import DirectoryUpdate, decode_datagram, encode_datagram
 from cloverwalk.gateway import restarts
@@ -158,7 +158,7 @@
 async def restart(world: FleetWorld, number: int) -> None:
     """Let a replica write on, and then start again without a word to its callers."""
     replica, directory = world.replicas[number], world.nodes[0]._directory
-    asked_at = steady_s()
+    asked_at = monotonic_s()
     while directory.confirmed_at <= asked_at:
         document = replica.document("model", "z1")
         world.store.put(names.REPLICA_TABLE, replica.replica_id, document)
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -341,7 +341,7 @@
 def test_nodes_tell_no_runs_of_items_while_no_replica_tells_its_pace() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=1, events=10)
-        link = world.nodes[0]._fleet.link
+        link = world.nodes[0]._fleet.coordinator_client
         timings: list[ItemTiming] = []
         link.record_item_timing = timings.append  # type: ignore[method-assign, assignment]
         await world.hand_in("j-1", count=2)
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -107,9 +107,9 @@
         times = []
         for call in ("commit", "read", "read_table", "changes"):
             inner.now_ms += 5000.0
-            time = StoreClock(Clock(lambda: 1.0))
-            store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
-            assert time.now() is None
+            store_clock = StoreClock(Clock(lambda: 1.0))
+            store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), store_clock)
+            assert store_clock.now() is None
             arguments = {
                 "commit": (put, 1.0),
                 "read": ("t", ""),
@@ -117,7 +117,7 @@
                 "changes": ("t", 0, 0.01),
             }
             await getattr(store, call)(*arguments[call])
-            times.append(time.now())
+            times.append(store_clock.now())
         assert times == [exactly(at_ms) for at_ms in (5000.0, 10000.0, 15000.0, 20000.0)]
 
     run_with_timeout(test)
@@ -127,22 +127,22 @@
     async def test() -> None:
         inner = MemoryStore()
         inner.is_down = True
-        time = StoreClock(Clock(HandClock()))
-        store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), time)
+        store_clock = StoreClock(Clock(HandClock()))
+        store = MonitoredStore(inner, StoreHealth(Clock(HandClock())), store_clock)
         put = Transaction(puts=[Put(RowKey("t", "", "k"), b"v")])
         await store.commit(put, 1.0)
-        assert time.now() is None
+        assert store_clock.now() is None
 
     run_with_timeout(test)
 
 
 def test_an_answer_read_late_does_not_set_the_store_clock_back() -> None:
     now = HandClock(step_s=0.0)
-    time = StoreClock(Clock(now))
-    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
+    store_clock = StoreClock(Clock(now))
+    store_clock.record_answer(1000.0, sent_at_ms=store_clock.monotonic_ms())
     now.now += 4.0
-    time.record_answer(1100.0, sent_at_ms=time.monotonic_ms() - 3900.0)
-    estimate = time.now()
+    store_clock.record_answer(1100.0, sent_at_ms=store_clock.monotonic_ms() - 3900.0)
+    estimate = store_clock.now()
     assert estimate is not None and 4990.0 < estimate.earliest_ms <= 5000.0
     assert 5000.0 <= estimate.latest_ms < 5010.0
 
@@ -150,16 +150,16 @@
 def test_the_store_clock_recovers_after_a_machine_suspension() -> None:
     """The monotonic clock stopped during the suspension, so the answer contradicts the bounds."""
     now = HandClock(step_s=0.0)
-    time = StoreClock(Clock(now))
-    time.record_answer(1000.0, sent_at_ms=time.monotonic_ms())
+    store_clock = StoreClock(Clock(now))
+    store_clock.record_answer(1000.0, sent_at_ms=store_clock.monotonic_ms())
     now.now += 1.0
-    time.record_answer(32_000.0, sent_at_ms=time.monotonic_ms() - 4.0)
-    estimate = time.now()
+    store_clock.record_answer(32_000.0, sent_at_ms=store_clock.monotonic_ms() - 4.0)
+    estimate = store_clock.now()
     assert estimate is not None
     assert (estimate.earliest_ms, estimate.latest_ms) == (32_000.0, 32_004.0)
     now.now += 1.0
-    time.record_answer(1_000.0, sent_at_ms=time.monotonic_ms())
-    assert time.now() == exactly(1_000.0)
+    store_clock.record_answer(1_000.0, sent_at_ms=store_clock.monotonic_ms())
+    assert store_clock.now() == exactly(1_000.0)
 
 
 @given(
@@ -175,19 +175,19 @@
 ) -> None:
     """For any delay of answers, any delay in reading them, and any clock drift in between."""
     now = HandClock(step_s=0.0)
-    time = StoreClock(Clock(now))
+    store_clock = StoreClock(Clock(now))
     store_ms = zero_ms
-    for out_s, back_s, idle_s, drift in calls:
-        asked_at_ms = time.monotonic_ms()
-        now.now += out_s
-        store_ms += out_s * 1000
+    for request_delay_s, answer_delay_s, idle_s, drift in calls:
+        sent_at_ms = store_clock.monotonic_ms()
+        now.now += request_delay_s
+        store_ms += request_delay_s * 1000
         reported_ms = store_ms
-        now.now += back_s
-        store_ms += back_s * 1000
-        time.record_answer(reported_ms, asked_at_ms)
+        now.now += answer_delay_s
+        store_ms += answer_delay_s * 1000
+        store_clock.record_answer(reported_ms, sent_at_ms)
         now.now += idle_s
         store_ms += idle_s * 1000 * (1 + drift)
-        estimate = time.now()
+        estimate = store_clock.now()
         assert estimate is not None
         assert estimate.earliest_ms - 0.01 <= store_ms <= estimate.latest_ms + 0.01
 
@@ -222,7 +222,7 @@
         job.begin(job.items[0], "r1", 0.0)
         assert job.take_event(job.items[0], 1, "word")
 
-        class OneJob:
+        class FakeRunner:
             jobs = node.jobs
 
             async def until_jobs(self) -> None:
@@ -233,8 +233,8 @@
 
         health = StoreHealth(Clock(HandClock()))
         await health.record_failure()
-        saver = Checkpointer(OneJob(), node.committer, health, no_conflict)  # type: ignore[arg-type]
-        task = await curio.spawn(saver.run, daemon=True)
+        checkpointer = Checkpointer(FakeRunner(), node.committer, health, no_conflict)  # type: ignore[arg-type]
+        task = await curio.spawn(checkpointer.run, daemon=True)
         await curio.sleep(0.1)
         await health.record_answer()
         while not (await store.read_table(PARTIAL_TABLE)).rows:
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -291,14 +291,14 @@
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         index = world.nodes.index(follower)
         request_count = 0
-        send_request = follower._fleet.link.send_ask
+        send_request = follower._fleet.coordinator_client.send_ask
 
         async def counting_send(ask: messages.PlacementRequest) -> messages.Contact | None:
             nonlocal request_count
             request_count += 1
             return await send_request(ask)
 
-        follower._fleet.link.send_ask = counting_send  # type: ignore[method-assign]
+        follower._fleet.coordinator_client.send_ask = counting_send  # type: ignore[method-assign]
         answers = [await world.ask("/chat/a", key=FIRST_KEY, node=index) for _ in range(60)]
         refused = sum(answer.status == 429 for answer in answers)
         assert refused > 30
@@ -384,9 +384,9 @@
 
         await world.until(lambda: len(events(catalogue.TENANT_WITHIN_QUOTA)) == 1)
         (refused,) = events(catalogue.TENANT_REFUSED)
-        (over,) = events(catalogue.TENANT_WITHIN_QUOTA)
-        assert (refused["tenant"], over["tenant"]) == ("quiz", "quiz")
-        assert over["refused"] > 10
+        (within_quota,) = events(catalogue.TENANT_WITHIN_QUOTA)
+        assert (refused["tenant"], within_quota["tenant"]) == ("quiz", "quiz")
+        assert within_quota["refused"] > 10
 
     in_world(test)
 
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cloverwalk.core.clock import MIN_SUSPENSION_S, Clock, SuspensionWatch, steady_s
+from cloverwalk.core.clock import MIN_SUSPENSION_S, Clock, SuspensionWatch, monotonic_s
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "cloverwalk"
 SERVING = ("fleet", "gateway", "jobs", "platform", "scheduling", "serving", "store", "tenants")
@@ -29,10 +29,10 @@
     request: pytest.FixtureRequest,
 ) -> None:
     clock, watch = Clock(), SuspensionWatch()
-    before_s, before_ms = steady_s(), clock.now_ms()
+    before_s, before_ms = monotonic_s(), clock.now_ms()
     assert watch.check() == 0.0
     slept_s = request.getfixturevalue("sleep_through")
-    assert steady_s() - before_s >= slept_s
+    assert monotonic_s() - before_s >= slept_s
     assert clock.now_ms() - before_ms >= slept_s * 1000
     assert slept_s - MIN_SUSPENSION_S < watch.check() < slept_s + MIN_SUSPENSION_S
     assert watch.check() == 0.0
@@ -40,7 +40,7 @@
 
 def test_a_system_without_such_a_clock_has_the_other_one(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delattr(time, "CLOCK_BOOTTIME")
-    assert abs(steady_s() - time.monotonic()) < 1.0
+    assert abs(monotonic_s() - time.monotonic()) < 1.0
 
 
 def test_no_part_of_a_serving_node_reads_a_clock_of_its_own() -> None:
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -99,13 +99,13 @@
 def test_platform_check_prints_settings_or_the_invalid_field(tmp_path: Path) -> None:
     path = tmp_path / "local.toml"
     path.write_text(SETTINGS)
-    good = CliRunner().invoke(cli, ["platform", "check", str(path)])
-    assert good.exit_code == 0
-    assert "store_address = '10.200.1.7:8169'" in good.output
+    valid = CliRunner().invoke(cli, ["platform", "check", str(path)])
+    assert valid.exit_code == 0
+    assert "store_address = '10.200.1.7:8169'" in valid.output
     path.write_text(SETTINGS.replace('front = "10.1.0.10:8161"', ""))
     missing = CliRunner().invoke(cli, ["platform", "check", str(path)])
     path.write_text(SETTINGS.replace("10.1.0.10:8167", "no port"))
-    wrong = CliRunner().invoke(cli, ["platform", "check", str(path)])
-    assert missing.exit_code == wrong.exit_code == EXIT_SETTINGS
+    invalid = CliRunner().invoke(cli, ["platform", "check", str(path)])
+    assert missing.exit_code == invalid.exit_code == EXIT_SETTINGS
     assert "front" in missing.output
-    assert "listen.ready: 'no port' is not HOST:PORT" in wrong.output
+    assert "listen.ready: 'no port' is not HOST:PORT" in invalid.output
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -238,9 +238,9 @@
     # Nobody is given up for what would not fit anyway.
     assert not held.has_room(1000 // BODY_COPIES + 1, 5.0)
     assert not quick.is_given_up
-    told = held.take_dropped_readers()
+    told = held.pop_dropped_readers()
     assert (told.count, told.max_bytes, told.max_stalled_s) == (1, 300, 3.0)
-    assert held.take_dropped_readers().count == 0
+    assert held.pop_dropped_readers().count == 0
 
 
 def test_jobs_leave_room_for_online_requests() -> None:
