--- a/src/cloverwalk/core/clock.py
+++ b/src/cloverwalk/core/clock.py
@@ -13,7 +13,8 @@
     """Return monotonic time in seconds, including the time while the machine is suspended.
 
     ``time.monotonic`` stops during a suspension: a lease, a quota or a list that was fresh before
-    would still look fresh afterwards. It is used only on systems without ``CLOCK_BOOTTIME``.
+    would still look fresh afterwards. So it is only the fallback, where the system has no
+    ``CLOCK_BOOTTIME``.
     """
     if not hasattr(time, "CLOCK_BOOTTIME"):
         return time.monotonic()
