--- a/src/cloverwalk/serving/node.py
+++ b/src/cloverwalk/serving/node.py
@@ -48,12 +48,12 @@
 """New connections still arrive for about this long after a planned stop began."""
 
 STOP_MARGIN_S = 0.7
-"""A planned stop ends this long before the platform kills the process."""
+"""A planned stop ends at the latest this long before the platform kills the process."""
 
 NO_NEW_WORK_FRACTION = 0.35
-"""During this fraction at the end of a planned stop no request is accepted; it is longer than most
-requests take. Until then requests are accepted, since the platform sends requests to leaving nodes
-when few nodes of a zone are ready."""
+"""During this last fraction of the grace time no online request or job is accepted; it is longer
+than most requests take. Until then they are accepted, since the platform sends requests to leaving
+nodes when few nodes of a zone are ready."""
 
 RESERVED_DESCRIPTORS = 800
 """File descriptors that are kept for other uses than connections of clients."""
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -23,7 +23,7 @@
 MAX_RESULT_WAIT_S = 1.0
 """Maximum time that a read of a job waits for further results."""
 
-STARTING_RETRY_AFTER_S = 1.0
+START_RETRY_AFTER_S = 1.0
 """A process that has just started usually has its configuration after this time."""
 
 STOPPING_RETRY_AFTER_S = 0.02
@@ -90,9 +90,7 @@
         """Handle a call on a job or a job submission; return the route of an online request."""
         if self._configuration.current is None:
             message = "this node is starting"
-            raise GatewayError(
-                Reason.UNAVAILABLE, "no_configuration", message, STARTING_RETRY_AFTER_S
-            )
+            raise GatewayError(Reason.UNAVAILABLE, "no_configuration", message, START_RETRY_AFTER_S)
         call = self._codec.job_call(request.method, request.target)
         self._identify(request, is_job_call=call is not None)
         if call is not None:
