--- a/src/cloverwalk/core/catalogue.py
+++ b/src/cloverwalk/core/catalogue.py
@@ -123,7 +123,7 @@
     119,
     "node_full",
     _W,
-    "The machine is near capacity and busier than its zone; the fields give the use in percent.",
+    "The machine is near capacity and busier than its zone; the fields give the use by resource.",
 )
 NODE_TAKES_AGAIN = _event(120, "node_takes_again", _I, "The machine has capacity again.")
 FULLNESS_INVALID = _event(
