--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -127,7 +127,7 @@
             return
         if self.ledger.was_answered_since(content, delivery.sent_at):
             return
-        self._metrics.replica_broke_off(RESTARTED)
+        self._metrics.replica_closed_connections(RESTARTED)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
@@ -207,7 +207,7 @@
 
     def _record_result(self, replica: Replica, probe: _Probe, reachability: Reachability) -> None:
         request_ids = list(probe.content_by_request)[:MAX_LOGGED_REQUESTS]
-        self._metrics.replica_broke_off(reachability.value)
+        self._metrics.replica_closed_connections(reachability.value)
         self._log.write(
             catalogue.REPLICA_BROKE_OFF,
             replica=replica.replica_id,
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -111,7 +111,7 @@
         if (counted := self._readers.pop(id(reader), None)) is not None:
             self.answers -= counted.counted_bytes
 
-    def take_dropped_readers(self) -> DroppedReaders:
+    def pop_dropped_readers(self) -> DroppedReaders:
         """Return the clients dropped since the last call."""
         dropped, self._dropped = self._dropped, DroppedReaders()
         return dropped
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -489,8 +489,8 @@
     Mutant(
         "serving: pauses go on beyond the store's return",
         "store/health.py",
-        "        returned = self._returned if self.is_unavailable else None",
-        "        returned = None",
+        "        recovered = self._recovered if self.is_unavailable else None",
+        "        recovered = None",
         HEALTH + "test_a_transaction_in_backoff_is_retried_when_the_store_recovers",
     ),
     Mutant(
@@ -904,8 +904,8 @@
     Mutant(
         "serving: refusals: the final answer is made without a look at the work",
         "core/error_response.py",
-        "str(error), work.state, error.wait_s)",
-        "str(error), WorkState.NOT_BEGUN, error.wait_s)",
+        "str(error), work.state, error.retry_after_s)",
+        "str(error), WorkState.NOT_BEGUN, error.retry_after_s)",
         PROMISED,
     ),
     Mutant(
@@ -953,8 +953,8 @@
     Mutant(
         "serving: refusals: callers are invited to repeat what may have begun",
         "core/error_response.py",
-        "        return self.wait_s if self.work is WorkState.NOT_BEGUN else None",
-        "        return self.wait_s",
+        "        return self.error_retry_after_s if self.work is WorkState.NOT_BEGUN else None",
+        "        return self.error_retry_after_s",
         REFUSALS + "test_placement_refusal_after_run_is_answered_502",
     ),
     Mutant(
@@ -1254,8 +1254,8 @@
     Mutant(
         "soak: a request that replicas broke off is called not run",
         "core/error_response.py",
-        "str(error), work.state, error.wait_s)",
-        "str(error), WorkState.NOT_BEGUN, error.wait_s)",
+        "str(error), work.state, error.retry_after_s)",
+        "str(error), WorkState.NOT_BEGUN, error.retry_after_s)",
         SOAK,
     ),
     Mutant(
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -174,7 +174,7 @@
         crashing.world.nodes.clear()
         crashing.world.node_tasks.clear()
         await crashing.add_nodes(1)
-        await crashing.world.until(lambda: crashing.world.nodes[0]._case_keeper.is_read)
+        await crashing.world.until(lambda: crashing.world.nodes[0]._crash_record_store.is_read)
         for _ in range(4):
             await crashing.send(CRASHING)
             await crashing.wait_until_back()
@@ -191,8 +191,8 @@
             # Each attempt may have run, so the status does not say "not run".
             assert answer.status == 502
         node = crashing.world.nodes[0]
-        await crashing.world.until(lambda: not node._witness._probes)
-        assert node._knowledge.crash_ledger.is_empty
+        await crashing.world.until(lambda: not node._crash_detector._probes)
+        assert node._fleet_state.crash_ledger.is_empty
         assert sum(replica.runs(f"req{4:04d}") for replica in crashing.world.replicas) == 3
 
     in_crashing_world(test)
@@ -204,7 +204,7 @@
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=1)
         world = crashing.world
-        ledger = world.nodes[0]._knowledge.crash_ledger
+        ledger = world.nodes[0]._fleet_state.crash_ledger
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
         neighbours = [await curio.spawn(crashing.send, body) for body in bodies]
@@ -231,7 +231,7 @@
             await crashing.send(b"warm %d" % number)
         for replica in list(world.replicas):
             await crashing.end(replica)
-        ledger = world.nodes[0]._knowledge.crash_ledger
+        ledger = world.nodes[0]._fleet_state.crash_ledger
         answers = [await crashing.send(b"sent late %d" % number) for number in range(8)]
         assert {answer.status for answer in answers} <= {200, 502, 503}
         assert ledger.is_empty
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -349,7 +349,7 @@
         node = world.nodes[0]
         node.request_stop()
         await world.until(lambda: node.is_leaving)
-        await world.until(lambda: node._clock() >= node._last_begin_at)
+        await world.until(lambda: node._clock() >= node._accepts_until)
         late = await world.ask("/chat/a", "late")
         assert late.status == 503
         assert float(late.headers["retry-after"]) > 0
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -33,7 +33,7 @@
 
 def script_placements(world: FleetWorld, verdicts: list[PlacementVerdict | None]) -> None:
     """Script the verdicts of the first node's placement requests; None asks the coordinator."""
-    coordinator_client = world.nodes[0]._fleet.link
+    coordinator_client = world.nodes[0]._fleet.coordinator_client
     original_request = coordinator_client.request_placement
 
     async def answer(request: PlacementRequest, until: float) -> PlacementResult:
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -355,7 +355,7 @@
 def test_nodes_report_no_item_timings_while_no_replica_reports_its_slowdown() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=1, events=10)
-        client = world.nodes[0]._fleet.link
+        client = world.nodes[0]._fleet.coordinator_client
         item_timings: list[ItemTiming] = []
         client.record_item_timing = item_timings.append  # type: ignore[method-assign, assignment]
         await world.hand_in("j-1", count=2)
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -241,9 +241,9 @@
     # Nobody is dropped for a body that would not fit anyway.
     assert not budget.has_capacity_for_body(1000 // BODY_COPIES + 1, 5.0)
     assert not quick.is_dropped
-    dropped = budget.take_dropped_readers()
+    dropped = budget.pop_dropped_readers()
     assert (dropped.count, dropped.max_bytes, dropped.max_stalled_s) == (1, 300, 3.0)
-    assert budget.take_dropped_readers().count == 0
+    assert budget.pop_dropped_readers().count == 0
 
 
 def test_jobs_leave_memory_for_online_requests() -> None:
