--- a/src/cloverwalk/config/loader.py
+++ b/src/cloverwalk/config/loader.py
@@ -52,7 +52,7 @@
         raise SettingsError([Fault(str(path), "invalid TOML", str(error))]) from error
 
 
-def check(raw: dict[str, Any], wanted: type[Struct]) -> Any:
+def check(raw: dict[str, Any], struct_type: type[Struct]) -> Any:
     """Return ``raw`` as ``wanted``; raise SettingsError with every fault.
 
     >>> from cloverwalk.config.settings import GossipSettings
@@ -63,30 +63,34 @@
     fanout: found 0; expected `int` >= 1
     """  # noqa: E501
     faults: list[Fault] = []
-    _collect(raw, wanted, "", faults)
+    _collect_faults(raw, struct_type, "", faults)
     if faults:
         raise SettingsError(faults)
-    return msgspec.convert(raw, wanted)
+    return msgspec.convert(raw, struct_type)
 
 
-def _collect(raw: dict[str, Any], wanted: type[Struct], path: str, faults: list[Fault]) -> None:
+def _collect_faults(
+    raw: dict[str, Any], struct_type: type[Struct], path: str, faults: list[Fault]
+) -> None:
     # msgspec stops at the first fault, so each field is converted by itself.
-    fields = {one.encode_name: one for one in msgspec.structs.fields(wanted)}
-    hints = get_type_hints(wanted, include_extras=True)
+    fields = {
+        field_info.encode_name: field_info for field_info in msgspec.structs.fields(struct_type)
+    }
+    hints = get_type_hints(struct_type, include_extras=True)
     for key in raw.keys() - fields.keys():
         allowed = ", ".join(fields)
         faults.append(Fault(path + key, repr(raw[key]), f"unknown key; allowed are {allowed}"))
-    for key, info in fields.items():
+    for key, field_info in fields.items():
         if key not in raw:
-            if info.default is NODEFAULT and info.default_factory is NODEFAULT:
+            if field_info.default is NODEFAULT and field_info.default_factory is NODEFAULT:
                 faults.append(Fault(path + key, "nothing", "this key is required"))
             continue
-        nested = _struct_type(hints[info.name])
+        nested = _struct_type(hints[field_info.name])
         if nested is not None and isinstance(raw[key], dict):
-            _collect(raw[key], nested, f"{path}{key}.", faults)
+            _collect_faults(raw[key], nested, f"{path}{key}.", faults)
             continue
         try:
-            msgspec.convert(raw[key], hints[info.name])
+            msgspec.convert(raw[key], hints[field_info.name])
         except msgspec.ValidationError as error:
             problem = str(error)
             faults.append(Fault(path + key, repr(raw[key]), problem[0].lower() + problem[1:]))
@@ -94,4 +98,7 @@
 
 def _struct_type(hint: Any) -> type[Struct] | None:
     options = get_args(hint) if get_origin(hint) in (UnionType, Union) else (hint,)
-    return next((o for o in options if isinstance(o, type) and issubclass(o, Struct)), None)
+    return next(
+        (option for option in options if isinstance(option, type) and issubclass(option, Struct)),
+        None,
+    )
--- a/src/cloverwalk/core/batch_concurrency.py
+++ b/src/cloverwalk/core/batch_concurrency.py
@@ -37,9 +37,9 @@
         self._slots = slots
         self._limit = float(slots - settings.reserve_min_slots)
         self._updated_at = 0.0
-        self._shortest_s = float("inf")
-        self._peak = 0.0
-        self._peak_at = 0.0
+        self._min_step_s = float("inf")
+        self._online_peak = 0.0
+        self._peak_decayed_at = 0.0
 
     def observe_step(self, step_s: float, now: float) -> None:
         """Take one observed step time.
@@ -47,11 +47,11 @@
         The shortest step of an interval counts: a longer one had a prefill in it, which
         fewer streams would not have made shorter.
         """
-        self._shortest_s = min(self._shortest_s, step_s)
+        self._min_step_s = min(self._min_step_s, step_s)
         if now - self._updated_at < self._settings.update_interval_s:
             return
         self._updated_at = now
-        step_s, self._shortest_s = self._shortest_s, float("inf")
+        step_s, self._min_step_s = self._min_step_s, float("inf")
         if step_s > self._settings.step_goal_s:
             self._limit = max(0.0, self._limit * self._settings.decrease_factor)
         else:
@@ -61,19 +61,19 @@
     def observe_online(self, online_running: int, now: float) -> None:
         """Take the online concurrency, from which the reserve is forecast."""
         self._decay_peak(now)
-        self._peak = max(self._peak, float(online_running))
+        self._online_peak = max(self._online_peak, float(online_running))
 
     def _decay_peak(self, now: float) -> None:
-        elapsed_s = max(0.0, now - self._peak_at)
-        self._peak *= 0.5 ** (elapsed_s / self._settings.peak_half_life_s)
-        self._peak_at = now
+        elapsed_s = max(0.0, now - self._peak_decayed_at)
+        self._online_peak *= 0.5 ** (elapsed_s / self._settings.peak_half_life_s)
+        self._peak_decayed_at = now
 
     def reserve(self, online_running: int) -> int:
         """Return the slots to keep free above the online work that runs now."""
-        forecast = int(self._peak + 0.5) - online_running
+        forecast = int(self._online_peak + 0.5) - online_running
         return max(self._settings.reserve_min_slots, min(forecast, self._slots // 2))
 
     def allowed(self, online_running: int) -> int:
         """Return how many batch streams may run beside ``online_running``."""
-        room = self._slots - online_running - self.reserve(online_running)
-        return max(0, min(int(self._limit), room))
+        free_slots = self._slots - online_running - self.reserve(online_running)
+        return max(0, min(int(self._limit), free_slots))
--- a/src/cloverwalk/core/batch_job.py
+++ b/src/cloverwalk/core/batch_job.py
@@ -29,9 +29,9 @@
     resume_text: str
 
 
-class _Holder(Struct, frozen=True):
+class _Assignment(Struct, frozen=True):
     node: str
-    since: float
+    confirmed_at: float
 
 
 class BatchJob:
@@ -59,7 +59,7 @@
         self._prompt_chars = 0
         self._prompt_count = 0
         self._loading = False
-        self._holders: dict[int, _Holder] = {}
+        self._holders: dict[int, _Assignment] = {}
         self._resume_text: dict[int, str] = {}
         self.finished: list[ItemResult] = []
 
@@ -113,17 +113,17 @@
 
     def take(self, count: int, node: str, now: float) -> list[Handout]:
         """Hand out up to ``count`` items to a replica owner's node."""
-        taken: list[Handout] = []
-        while self._queue and len(taken) < count:
+        handouts: list[Handout] = []
+        while self._queue and len(handouts) < count:
             index = self._queue.popleft()
             if self._state[index] != ItemState.PENDING:
                 continue  # an earlier holder's result came in meanwhile
             self._state[index] = ItemState.RUNNING
             self.pending_count -= 1
-            self._holders[index] = _Holder(node, now)
+            self._holders[index] = _Assignment(node, now)
             resume_text = self._resume_text.get(index, "")
-            taken.append(Handout(index, self._loaded[index], resume_text))
-        return taken
+            handouts.append(Handout(index, self._loaded[index], resume_text))
+        return handouts
 
     def give_back(self, index: int, node: str, resume_text: str = "") -> None:
         """Take back an item that did not end; it goes next, from where it stopped."""
@@ -137,17 +137,17 @@
             self._resume_text[index] = resume_text
         self._queue.appendleft(index)
 
-    def confirm(self, node: str, held: Iterable[int], now: float) -> None:
+    def confirm(self, node: str, indexes: Iterable[int], now: float) -> None:
         """Note that ``node`` says it has these items."""
-        for index in held:
+        for index in indexes:
             holder = self._holders.get(index)
             if holder is not None and holder.node == node:
-                self._holders[index] = _Holder(node, now)
+                self._holders[index] = _Assignment(node, now)
 
     def take_back_unconfirmed(self, now: float, grace_s: float) -> None:
         """Take back items that nobody has confirmed to hold for ``grace_s``."""
         for index, holder in list(self._holders.items()):
-            if now - holder.since > grace_s:
+            if now - holder.confirmed_at > grace_s:
                 self.give_back(index, holder.node)
 
     def node_lost(self, node: str) -> None:
@@ -182,5 +182,5 @@
         """Return the seconds to spare before the deadline at the given speed."""
         if self.row.deadline_at is None:
             return float("inf")
-        left = self.pending_count + self.running_count
-        return self.row.deadline_at - wall_now - left / max(items_per_s, 1e-9)
+        remaining_items = self.pending_count + self.running_count
+        return self.row.deadline_at - wall_now - remaining_items / max(items_per_s, 1e-9)
--- a/src/cloverwalk/core/collect.py
+++ b/src/cloverwalk/core/collect.py
@@ -32,7 +32,7 @@
         self.attempt = attempt
         self._parts: list[str] = []
         self.tokens = 0
-        self._early: dict[int, Chunk] = {}
+        self._buffered: dict[int, Chunk] = {}
         self._total: int | None = None
 
     @property
@@ -48,7 +48,7 @@
     def next_attempt(self) -> int:
         """Begin another attempt, which continues after the text so far."""
         self.attempt += 1
-        self._early.clear()
+        self._buffered.clear()
         self._total = None
         return self.attempt
 
@@ -58,10 +58,10 @@
             return ""
         if chunk.first < self.tokens:
             return ""
-        self._early[chunk.first] = chunk
+        self._buffered[chunk.first] = chunk
         released = []
-        while self.tokens in self._early:
-            ready = self._early.pop(self.tokens)
+        while self.tokens in self._buffered:
+            ready = self._buffered.pop(self.tokens)
             self.tokens += ready.tokens
             released.append(ready.text)
             if ready.total is not None:
--- a/src/cloverwalk/core/fair_share.py
+++ b/src/cloverwalk/core/fair_share.py
@@ -25,9 +25,9 @@
     (6, 2)
     """
 
-    def __init__(self, most_ahead: float = 0.0) -> None:
-        """``most_ahead`` is the cost by which one class may be ahead of others, see ``charge``."""
-        self._most_ahead = most_ahead
+    def __init__(self, max_lead: float = 0.0) -> None:
+        """``max_lead`` is the cost by which one class may be ahead of others, see ``charge``."""
+        self._max_lead = max_lead
         self._finish: dict[ClassKey, float] = {}
         self._system_time = 0.0
 
@@ -54,8 +54,8 @@
 
     def all_ahead(self) -> dict[ClassKey, float]:
         """Return the classes that are ahead, and by how much."""
-        ahead = {key: finish - self._system_time for key, finish in self._finish.items()}
-        return {key: by for key, by in ahead.items() if by > 0}
+        leads = {key: finish - self._system_time for key, finish in self._finish.items()}
+        return {key: lead for key, lead in leads.items() if lead > 0}
 
     def choose(self, candidates: Iterable[ClassKey], weights: dict[ClassKey, float]) -> ClassKey:
         """Return the candidate that is furthest behind; ties go to the heavier weight."""
@@ -69,40 +69,42 @@
         """Count ``cost`` of service to ``key``. Weights must be above zero.
 
         ``waiting`` are the classes that have work waiting. One that waits keeps its place; all
-        others move up to the least of these less ``most_ahead``, so that is what an idle class
-        saves up. What a class is served out of turn is held against it up to ``most_ahead``.
+        others move up to the least of these less ``max_lead``, so that is what an idle class
+        saves up. What a class is served out of turn is held against it up to ``max_lead``.
         """
         start = self._start_time(key)
-        reached = start - self._most_ahead
-        if reached <= self._system_time and self._most_ahead > 0:
+        lead_floor = start - self._max_lead
+        if lead_floor <= self._system_time and self._max_lead > 0:
             # Nobody moves up, and the class is not beyond what is held against it.
             self._finish[key] = start + cost / weight
-            self._forget_idle()
+            self._remove_idle()
             return
         finish = self._finish
-        least = min([finish.get(one, 0.0) for one in waiting], default=start)
-        behind = max(self._system_time, least)
-        self._system_time = max(self._system_time, min(reached, behind))
-        if start <= behind + self._most_ahead:
+        min_waiting_finish = min(
+            [finish.get(waiting_key, 0.0) for waiting_key in waiting], default=start
+        )
+        furthest_behind = max(self._system_time, min_waiting_finish)
+        self._system_time = max(self._system_time, min(lead_floor, furthest_behind))
+        if start <= furthest_behind + self._max_lead:
             self._finish[key] = start + cost / weight
-        self._forget_idle()
+        self._remove_idle()
 
     def correct(self, key: ClassKey, cost: float, weight: float) -> None:
         """Count ``cost`` more, or less if it is negative, than was charged before.
 
-        More puts a class ahead by twice ``most_ahead`` at most: those that wait may be ahead by it
+        More puts a class ahead by twice ``max_lead`` at most: those that wait may be ahead by it
         themselves.
         """
         if key not in self._finish:
             return
         finish = self._finish[key]
-        bound = max(finish, self._system_time + 2 * self._most_ahead)
+        bound = max(finish, self._system_time + 2 * self._max_lead)
         self._finish[key] = min(bound, finish + cost / weight)
 
-    def put_ahead(self, key: ClassKey, by: float) -> None:
-        """Take how far a class is ahead from one who counted before; ``most_ahead`` at most."""
-        self._finish[key] = self._system_time + min(self._most_ahead, max(0.0, by))
+    def put_ahead(self, key: ClassKey, lead: float) -> None:
+        """Take how far a class is ahead from one who counted before; ``max_lead`` at most."""
+        self._finish[key] = self._system_time + min(self._max_lead, max(0.0, lead))
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         if len(self._finish) > 4096:
             self._finish = {k: v for k, v in self._finish.items() if v > self._system_time}
--- a/src/cloverwalk/core/idempotency.py
+++ b/src/cloverwalk/core/idempotency.py
@@ -7,7 +7,7 @@
 
 from cloverwalk.core.types import Result
 
-RUN_EXPIRY_S = 60.0
+RUN_TTL_S = 60.0
 """After this a run whose end was not reported no longer makes others wait."""
 
 
@@ -26,35 +26,35 @@
     token: str
 
 
-class _Running(Struct):
+class _ActiveRun(Struct):
     runner: Waiter
     waiters: list[Waiter]
-    since: float
+    started_at: float
 
 
 class JoinRegistry:
     """Who runs which key now, who waits for it, and results of late.
 
-    >>> registry = JoinRegistry(remembered=10)
+    >>> registry = JoinRegistry(max_results=10)
     >>> [registry.join("k", Waiter(node, "token"), 0.0)[0].value for node in ("n1", "n2")]
     ['run', 'wait']
     """
 
-    def __init__(self, remembered: int) -> None:
-        self._running: dict[str, _Running] = {}
+    def __init__(self, max_results: int) -> None:
+        self._active_runs: dict[str, _ActiveRun] = {}
         self._results: OrderedDict[str, Result] = OrderedDict()
-        self._remembered = remembered
+        self._max_results = max_results
 
     def join(self, key: str, waiter: Waiter, now: float) -> tuple[JoinVerdict, Result | None]:
         """Return the verdict for ``waiter`` and, with DONE, the result."""
         if key in self._results:
             return JoinVerdict.DONE, self._results[key]
-        running = self._running.get(key)
-        if running is None:
-            self._running[key] = _Running(waiter, [], now)
+        active_run = self._active_runs.get(key)
+        if active_run is None:
+            self._active_runs[key] = _ActiveRun(waiter, [], now)
             return JoinVerdict.RUN, None
-        if running.runner != waiter:
-            running.waiters.append(waiter)
+        if active_run.runner != waiter:
+            active_run.waiters.append(waiter)
             return JoinVerdict.WAIT, None
         return JoinVerdict.RUN, None
 
@@ -64,27 +64,27 @@
         Without a result nothing was recorded: when it was the runner, one of the waiters
         must run; when it only waited, the run goes on without it.
         """
-        running = self._running.get(key)
-        if result is None and running is not None and running.runner.token != token:
-            running.waiters = [one for one in running.waiters if one.token != token]
+        active_run = self._active_runs.get(key)
+        if result is None and active_run is not None and active_run.runner.token != token:
+            active_run.waiters = [waiter for waiter in active_run.waiters if waiter.token != token]
             return []
         if result is not None:
             self._results[key] = result
-            if len(self._results) > self._remembered:
+            if len(self._results) > self._max_results:
                 self._results.popitem(last=False)
-        self._running.pop(key, None)
-        return running.waiters if running else []
+        self._active_runs.pop(key, None)
+        return active_run.waiters if active_run else []
 
     def expire(self, now: float) -> None:
         """Forget runs whose end was never reported; the record decides about them."""
-        while self._running:
-            key, running = next(iter(self._running.items()))
-            if now - running.since <= RUN_EXPIRY_S:
+        while self._active_runs:
+            key, active_run = next(iter(self._active_runs.items()))
+            if now - active_run.started_at <= RUN_TTL_S:
                 return
-            del self._running[key]
+            del self._active_runs[key]
 
     def node_lost(self, node: str) -> list[tuple[str, Waiter]]:
         """Forget runs of a lost node; return (key, waiter) pairs, who must ask again."""
-        orphaned = [key for key, run in self._running.items() if run.runner.node == node]
-        pairs = [(key, waiter) for key in orphaned for waiter in self._running.pop(key).waiters]
+        orphaned = [key for key, run in self._active_runs.items() if run.runner.node == node]
+        pairs = [(key, waiter) for key in orphaned for waiter in self._active_runs.pop(key).waiters]
         return [(key, waiter) for key, waiter in pairs if waiter.node != node]
--- a/src/cloverwalk/core/limit_shares.py
+++ b/src/cloverwalk/core/limit_shares.py
@@ -4,11 +4,11 @@
 had no demand admit its first requests before the next division.
 """
 
-FLOOR_SHARE = 0.05
+DEMAND_FREE_FRACTION = 0.05
 """The least part of an even share that a node without demand keeps."""
 
-RISE_FACTOR = 1.5
-RISE_STEP = 0.05
+MAX_RISE_FACTOR = 1.5
+MAX_RISE_STEP = 0.05
 """A share grows by no more than this factor and step at a time. Reports of other nodes'
 demand lag: nodes that all rose at once would together admit a multiple of the limit."""
 
@@ -19,10 +19,10 @@
     >>> next_share(0.5, 0.2), round(next_share(0.2, 1.0), 2)
     (0.2, 0.35)
     """
-    return min(target, share * RISE_FACTOR + RISE_STEP)
+    return min(target, share * MAX_RISE_FACTOR + MAX_RISE_STEP)
 
 
-def share_of_limit(own_rate: float, other_rates: list[float], node_count: int) -> float:
+def share_of_limit(local_rate: float, other_rates: list[float], node_count: int) -> float:
     """Return this node's part of a limit, from 0 to 1.
 
     >>> share_of_limit(30.0, [10.0], node_count=2)
@@ -30,8 +30,8 @@
     >>> share_of_limit(0.0, [], node_count=4)
     0.25
     """
-    total = own_rate + sum(other_rates)
-    even = 1.0 / max(1, node_count)
+    total = local_rate + sum(other_rates)
+    even_share = 1.0 / max(1, node_count)
     if total <= 0:
-        return even
-    return FLOOR_SHARE * even + (1 - FLOOR_SHARE) * own_rate / total
+        return even_share
+    return DEMAND_FREE_FRACTION * even_share + (1 - DEMAND_FREE_FRACTION) * local_rate / total
--- a/src/cloverwalk/core/membership.py
+++ b/src/cloverwalk/core/membership.py
@@ -103,21 +103,21 @@
         self._contacts_per_zone = contacts_per_zone
         self._entries: dict[str, Entry] = {}
         self._round = 0
-        self._orders: dict[str, list[str]] = {}
+        self._pending_targets: dict[str, list[str]] = {}
 
     def merge(self, digest: NodeDigest, age_s: float, now: float) -> bool:
         """Take a digest if it is newer than the known one; return whether it was."""
         if digest.node == self.node:
             return False
-        known = self._entries.get(digest.node)
-        if known is not None and not _is_newer(digest, known.digest):
+        current = self._entries.get(digest.node)
+        if current is not None and not _is_newer(digest, current.digest):
             return False
-        if known is None and not self._has_room_for(digest, now):
+        if current is None and not self._admits_member(digest, now):
             return False
         self._entries[digest.node] = Entry(digest, now - age_s)
         return True
 
-    def _has_room_for(self, digest: NodeDigest, now: float) -> bool:
+    def _admits_member(self, digest: NodeDigest, now: float) -> bool:
         """Return whether to keep a new member; a worse contact of its zone makes room."""
         if digest.zone == self.zone:
             return True
@@ -141,7 +141,7 @@
         old = entry.digest
         entry.digest = structs.replace(
             old,
-            replicas=[one for one in old.replicas if f"replica/{one.replica}" != resource],
+            replicas=[report for report in old.replicas if f"replica/{report.replica}" != resource],
             shards=[shard for shard in old.shards if shard != resource],
         )
 
@@ -173,36 +173,36 @@
 
     def forget(self, older_than_s: float, now: float) -> list[str]:
         """Drop members not heard for long; return their names."""
-        gone = [n for n, entry in self._entries.items() if now - entry.heard_at > older_than_s]
-        for node in gone:
+        expired = [n for n, entry in self._entries.items() if now - entry.heard_at > older_than_s]
+        for node in expired:
             del self._entries[node]
-        return gone
+        return expired
 
     def gossip_targets(self, fanout: int, random: Random, now: float) -> list[str]:
         """Return whom to send to this round: mostly the own zone, always one other zone."""
         local = [digest.node for digest in self.live(now) if digest.zone == self.zone]
         remote = [digest.node for digest in self.live(now) if digest.zone != self.zone]
-        targets = self._next_of("local", local, fanout, random)
-        spare = max(1, fanout - len(targets))
-        targets += self._next_of("remote", remote, spare, random)
+        targets = self._next_targets("local", local, fanout, random)
+        remote_count = max(1, fanout - len(targets))
+        targets += self._next_targets("remote", remote, remote_count, random)
         suspected = sorted(set(self._entries) - set(targets) - set(local) - set(remote))
         if suspected:  # so that two halves of a healed cut find each other again
             targets.append(random.choice(suspected))
         return targets
 
-    def _next_of(self, name: str, nodes: list[str], count: int, random: Random) -> list[str]:
+    def _next_targets(self, name: str, nodes: list[str], count: int, random: Random) -> list[str]:
         """Return the next nodes of a shuffled order, so that none is left out for long.
 
         Drawn anew each round, some member would now and then go unheard long enough to be
         suspected.
         """
-        order = [node for node in self._orders.get(name, []) if node in nodes]
-        chosen = order[:count]
+        pending = [node for node in self._pending_targets.get(name, []) if node in nodes]
+        chosen = pending[:count]
         if len(chosen) < min(count, len(nodes)):
-            order = sorted(set(nodes) - set(chosen))
-            random.shuffle(order)
-            chosen += order[: count - len(chosen)]
-        self._orders[name] = [node for node in order if node not in chosen]
+            pending = sorted(set(nodes) - set(chosen))
+            random.shuffle(pending)
+            chosen += pending[: count - len(chosen)]
+        self._pending_targets[name] = [node for node in pending if node not in chosen]
         return chosen
 
     def entries_to_send(self, limit: int, now: float) -> list[tuple[NodeDigest, float]]:
--- a/src/cloverwalk/core/model_placement.py
+++ b/src/cloverwalk/core/model_placement.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-GAIN_MARGIN = 1.5
+MIN_GAIN_REPLICAS = 1.5
 """Least gain of a change, in replicas. Any change that helps at all gains more than 1."""
 
 
@@ -52,24 +52,32 @@
     >>> plan_change(replicas, {"a": 6.0}) is None
     True
     """
-    wanted = targets(demand, len(replicas))
-    counts = Counter(one.model for one in replicas)
-    missing = {model: target - counts[model] for model, target in wanted.items()}
-    needy = max(missing, key=lambda model: (missing[model], model), default=None)
-    if needy is None or missing[needy] <= 0:
+    target_counts = targets(demand, len(replicas))
+    counts = Counter(replica.model for replica in replicas)
+    deficits = {model: target - counts[model] for model, target in target_counts.items()}
+    underserved_model = max(deficits, key=lambda model: (deficits[model], model), default=None)
+    if underserved_model is None or deficits[underserved_model] <= 0:
         return None
-    donors = [one for one in replicas if _may_give(one.model, needy, counts, demand)]
+    donors = [
+        replica
+        for replica in replicas
+        if _can_release(replica.model, underserved_model, counts, demand)
+    ]
     if not donors:
         return None
-    spare = {model: counts[model] - wanted.get(model, 0.0) for model in counts}
-    donor = max(donors, key=lambda one: (spare[one.model], -one.load, one.replica))
-    is_unserved = counts[needy] == 0
-    if not is_unserved and missing[needy] + spare[donor.model] < GAIN_MARGIN:
+    surpluses = {model: counts[model] - target_counts.get(model, 0.0) for model in counts}
+    donor = max(
+        donors, key=lambda replica: (surpluses[replica.model], -replica.load, replica.replica)
+    )
+    is_unserved = counts[underserved_model] == 0
+    if not is_unserved and deficits[underserved_model] + surpluses[donor.model] < MIN_GAIN_REPLICAS:
         return None
-    return ModelChange(donor.replica, needy)
+    return ModelChange(donor.replica, underserved_model)
 
 
-def _may_give(model: str, needy: str, counts: Counter[str], demand: Mapping[str, float]) -> bool:
-    if model == needy:
+def _can_release(
+    model: str, underserved_model: str, counts: Counter[str], demand: Mapping[str, float]
+) -> bool:
+    if model == underserved_model:
         return False
     return counts[model] > 1 or demand.get(model, 0.0) <= 0
--- a/src/cloverwalk/core/placement.py
+++ b/src/cloverwalk/core/placement.py
@@ -12,18 +12,18 @@
 
 from cloverwalk.core.hashing import rendezvous_rank
 
-AFFINITY_LOAD_MARGIN = 0.15
+MAX_AFFINITY_LOAD_EXCESS = 0.15
 """A replica with the prefix may be this much fuller (share of slots) and still be chosen."""
 
 REMOTE_ZONE_PENALTY = 0.10
 """Load (share of slots) that a replica in another zone must be better by."""
 
 
-PACK_LOAD = 0.85
+PACKING_LOAD_THRESHOLD = 0.85
 """Online work is gathered on a replica until it has this share of the slots."""
 
 
-PACK_PREFILL_TOKENS = 250.0
+MAX_PACKED_PREFILL_TOKENS = 250.0
 """A replica with more prompt tokens of this node in prefill gets no further packed work."""
 
 
@@ -51,11 +51,14 @@
     of it. Every node ranks alike, without talking. A burst is spread: prompts that came
     together would wait for each other's prefill on one replica.
     """
-    ranked = rendezvous_rank(model, [one.replica for one in candidates])
-    by_name = {one.replica: one for one in candidates}
+    ranked = rendezvous_rank(model, [candidate.replica for candidate in candidates])
+    by_name = {candidate.replica: candidate for candidate in candidates}
     for replica in ranked:
         candidate = by_name[replica]
-        if candidate.online_load < PACK_LOAD and candidate.prefill_tokens < PACK_PREFILL_TOKENS:
+        if (
+            candidate.online_load < PACKING_LOAD_THRESHOLD
+            and candidate.prefill_tokens < MAX_PACKED_PREFILL_TOKENS
+        ):
             return candidate
     return choose_replica(candidates, random)
 
@@ -71,10 +74,12 @@
     if not candidates:
         return None
     sample = list(candidates) if len(candidates) <= 2 else random.sample(list(candidates), 2)
-    best = min(sample, key=lambda one: (effective_load(one), one.replica))
-    with_prefix = [one for one in candidates if one.has_prefix]
+    best = min(sample, key=lambda candidate: (effective_load(candidate), candidate.replica))
+    with_prefix = [candidate for candidate in candidates if candidate.has_prefix]
     if with_prefix:
-        warm = min(with_prefix, key=lambda one: (effective_load(one), one.replica))
-        if effective_load(warm) <= effective_load(best) + AFFINITY_LOAD_MARGIN:
-            return warm
+        best_with_prefix = min(
+            with_prefix, key=lambda candidate: (effective_load(candidate), candidate.replica)
+        )
+        if effective_load(best_with_prefix) <= effective_load(best) + MAX_AFFINITY_LOAD_EXCESS:
+            return best_with_prefix
     return best
--- a/src/cloverwalk/core/replica_slots.py
+++ b/src/cloverwalk/core/replica_slots.py
@@ -91,5 +91,11 @@
 
         It has the least output and so the cheapest resume.
         """
-        candidates = [one for one in self.running.values() if one.is_batch and not one.stopping]
-        return max(candidates, key=lambda one: (one.started_at, one.index), default=None)
+        candidates = [
+            running
+            for running in self.running.values()
+            if running.is_batch and not running.stopping
+        ]
+        return max(
+            candidates, key=lambda running: (running.started_at, running.index), default=None
+        )
--- a/src/cloverwalk/core/weight_table.py
+++ b/src/cloverwalk/core/weight_table.py
@@ -25,9 +25,9 @@
     "deadline_s",
 )
 CLASSES = ("online", "batch")
-_POSITIVE = ("weight",)
-_WHOLE = ("max_in_flight", "max_queued")
-_NUMBERS = ("weight", "requests_per_s", "tokens_per_s", "deadline_s")
+_POSITIVE_COLUMNS = ("weight",)
+_INTEGER_COLUMNS = ("max_in_flight", "max_queued")
+_NUMERIC_COLUMNS = ("weight", "requests_per_s", "tokens_per_s", "deadline_s")
 
 
 class TableRow(Struct, frozen=True, rename={"work_class": "class"}):
@@ -123,14 +123,14 @@
 
 def _parse_number(column: str, text: str) -> float | int:
     try:
-        number = int(text) if column in _WHOLE else float(text)
+        number = int(text) if column in _INTEGER_COLUMNS else float(text)
     except ValueError:
-        wanted = "a whole number" if column in _WHOLE else "a number"
-        raise WeightTableError(f"found {text!r}, allowed is {wanted}", column) from None
-    lowest_is_open = column in _POSITIVE
-    if not number < float("inf") or number < 0 or (lowest_is_open and number == 0):
-        wanted = "a number above 0" if lowest_is_open else "0 or more"
-        raise WeightTableError(f"found {text!r}, allowed is {wanted}", column)
+        expected = "a whole number" if column in _INTEGER_COLUMNS else "a number"
+        raise WeightTableError(f"found {text!r}, allowed is {expected}", column) from None
+    must_be_positive = column in _POSITIVE_COLUMNS
+    if not number < float("inf") or number < 0 or (must_be_positive and number == 0):
+        expected = "a number above 0" if must_be_positive else "0 or more"
+        raise WeightTableError(f"found {text!r}, allowed is {expected}", column)
     return number
 
 
@@ -177,12 +177,12 @@
 
 def rows_to_csv(rows: Iterable[TableRow]) -> str:
     """Return the rows as CSV, empty cells for None; a spreadsheet opens it."""
-    out = io.StringIO()
-    writer = csv.writer(out, lineterminator="\n")
+    buffer = io.StringIO()
+    writer = csv.writer(buffer, lineterminator="\n")
     writer.writerow(COLUMNS)
     for row in rows:
         writer.writerow(["" if cell is None else cell for cell in structs.astuple(row)])
-    return out.getvalue()
+    return buffer.getvalue()
 
 
 def with_row(rows: Sequence[TableRow], new: TableRow) -> list[TableRow]:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -101,7 +101,7 @@
     Mutant(
         "a waiter that gives up ends the run",
         "core/idempotency.py",
-        "running is not None and running.runner.token != token",
+        "active_run is not None and active_run.runner.token != token",
         "False",
         S + "test_exactly_once.py::test_a_waiter_that_gives_up_does_not_end_the_run_it_waited_for",
     ),
@@ -257,7 +257,7 @@
     Mutant(
         "limit shares rise at once",
         "core/limit_shares.py",
-        "    return min(target, share * RISE_FACTOR + RISE_STEP)",
+        "    return min(target, share * MAX_RISE_FACTOR + MAX_RISE_STEP)",
         "    return target",
         S + "test_table.py::test_limits_of_the_table_hold_for_the_fleet_within_seconds",
     ),
@@ -306,8 +306,8 @@
     Mutant(
         "chunks are taken in the order they come",
         "core/collect.py",
-        "        while self.tokens in self._early:",
-        "        self.tokens = min(self._early)\n        while self.tokens in self._early:",
+        "        while self.tokens in self._buffered:",
+        "        self.tokens = min(self._buffered)\n        while self.tokens in self._buffered:",
         "tests/unit/test_collect.py",
     ),
     Mutant(
@@ -990,7 +990,7 @@
         "pipeline/reply.py",
         "        error.note_outcome(request.outcome_if_given_up)\n",
         "",
-        "tests/unit/test_problem.py::test_who_gives_up_need_not_know_what_was_sent",
+        "tests/unit/test_problem.py::test_give_up_derives_status_from_unaccounted_attempts",
     ),
     Mutant(
         "serving: refusals: any failure of the store says that nothing was done",
--- a/tests/unit/test_collect.py
+++ b/tests/unit/test_collect.py
@@ -43,7 +43,7 @@
         assert not collector.is_whole or collector.text == "".join(WORDS)
 
 
-def test_another_attempt_continues_and_drops_the_old_ones_chunks() -> None:
+def test_next_attempt_continues_text_and_drops_old_chunks() -> None:
     collector = Collector("r", attempt=1)
     collector.add(Chunk("r", 1, 0, 2, "a b"))
     assert collector.next_attempt() == 2
--- a/tests/unit/test_decisions.py
+++ b/tests/unit/test_decisions.py
@@ -79,7 +79,7 @@
         assert abs(served[key] - expected) <= len(weights) + 1
 
 
-def test_a_class_that_was_idle_gets_no_credit_for_it() -> None:
+def test_idle_class_earns_no_credit() -> None:
     share: FairShare[str] = FairShare()
     weights = {"a": 1.0, "b": 1.0}
     for _ in range(100):
@@ -109,7 +109,7 @@
         assert chosen.online_load < max(loads)
 
 
-def test_a_warm_replica_is_left_when_it_is_much_fuller() -> None:
+def test_overloaded_replica_with_prefix_is_not_chosen() -> None:
     warm = Candidate("warm", "o", True, 0.3, has_prefix=True)
     cold = Candidate("cold", "o", True, 0.2)
     full = Candidate("warm", "o", True, 0.9, has_prefix=True)
@@ -141,15 +141,15 @@
     assert newest is not None and newest.beat == 5
 
 
-def test_a_view_keeps_its_zone_and_a_few_contacts_of_each_other() -> None:
+def test_membership_keeps_own_zone_and_bounds_contacts_of_other_zones() -> None:
     view = Membership("n1", "home", suspect_after_s=5.0, contacts_per_zone=3)
     for zone in ("home", "east", "west"):
         for number in range(20):
-            one = NodeDigest(
+            member = NodeDigest(
                 f"{zone}{number}", zone, "", "i", 0.0, 1, False, 0, 0.0, [], [], [], []
             )
-            view.merge(one, 0.0, 0.0)
-    zones = [one.zone for one in view.known()]
+            view.merge(member, 0.0, 0.0)
+    zones = [member.zone for member in view.known()]
     assert (zones.count("home"), zones.count("east"), zones.count("west")) == (20, 3, 3)
 
 
@@ -216,12 +216,12 @@
         ("session,kind\n*,a\n*,a\n", "row 2"),
     ],
 )
-def test_a_bad_spreadsheet_is_refused_by_name(text: str, field: str) -> None:
+def test_invalid_csv_error_names_its_location(text: str, field: str) -> None:
     with pytest.raises(WeightTableError, match=field):
         rows_from_csv(text)
 
 
-def test_more_specific_rows_win_cell_by_cell() -> None:
+def test_specific_table_rows_take_precedence_per_cell() -> None:
     rows = [
         TableRow("*", "*", weight=1.0, max_queued=9),
         TableRow("*", "subtitles", weight=5.0),
--- a/tests/unit/test_problem.py
+++ b/tests/unit/test_problem.py
@@ -12,19 +12,19 @@
 from cloverwalk.pipeline.reply import ReplyFilter
 from cloverwalk.pipeline.request import OnlineRequest
 
-PROMISES = (408, 421, 429, 503)
+RETRYABLE_STATUSES = (408, 421, 429, 503)
 
 
-@pytest.mark.parametrize("status", [*PROMISES, 409, 504])
+@pytest.mark.parametrize("status", [*RETRYABLE_STATUSES, 409, 504])
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_a_promising_status_goes_with_not_run_only(status: int, outcome: Outcome) -> None:
+def test_retryable_status_requires_outcome_not_run(status: int, outcome: Outcome) -> None:
     error = PipelineError(status, "code", "detail", outcome=outcome)
-    is_true = outcome is Outcome.NOT_RUN or status not in PROMISES
+    is_true = outcome is Outcome.NOT_RUN or status not in RETRYABLE_STATUSES
     assert error.status == (status if is_true else 502)
 
 
 @pytest.mark.parametrize(("attempts", "status"), [(0, 503), (1, 502)])
-def test_who_gives_up_need_not_know_what_was_sent(attempts: int, status: int) -> None:
+def test_give_up_derives_status_from_unaccounted_attempts(attempts: int, status: int) -> None:
     sent: list[Any] = []
     counter = SimpleNamespace(labels=lambda code: SimpleNamespace(inc=lambda: None))
     context: Any = SimpleNamespace(
@@ -35,4 +35,6 @@
     request = OnlineRequest(1, call, "r", "f", 0.0, 1.0, Collector("r", 0))
     request.unaccounted_attempts = attempts
     replies.give_up(request, unavailable())
-    assert [one.status for one in sent if isinstance(one, SendReply)] == [status]
+    assert [instruction.status for instruction in sent if isinstance(instruction, SendReply)] == [
+        status
+    ]
