--- a/src/cloverwalk/config/loader.py
+++ b/src/cloverwalk/config/loader.py
@@ -1,4 +1,4 @@
-"""Reading and checking of a settings file: every fault at once, with its path."""
+"""Reads and checks a settings file; reports every fault at once, with its path."""
 
 from pathlib import Path
 from types import UnionType
@@ -14,7 +14,7 @@
 
 
 class Fault(Struct, frozen=True):
-    """One fault: where, what was found and what is allowed."""
+    """One fault: its path, the value found and the problem with it."""
 
     path: str
     found: str
@@ -25,7 +25,7 @@
 
 
 class SettingsError(CloverwalkError):
-    """The settings can't be used; ``faults`` lists all that is wrong."""
+    """The settings are invalid; ``faults`` lists every fault."""
 
     default_code = "settings_invalid"
 
@@ -41,7 +41,7 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """Return a TOML file as plain maps; raise SettingsError when it can't be read."""
+    """Return the content of a TOML file as dicts; raise SettingsError if it can't be read."""
     try:
         return tomlkit.parse(path.read_text("utf-8")).unwrap()
     except OSError as error:
@@ -53,7 +53,7 @@
 
 
 def check(raw: dict[str, Any], struct_type: type[Struct]) -> Any:
-    """Return ``raw`` as ``wanted``; raise SettingsError with every fault.
+    """Return ``raw`` as ``struct_type``; raise SettingsError with every fault.
 
     >>> from cloverwalk.config.settings import GossipSettings
     >>> check({"fanout": 0, "interval": 1.0}, GossipSettings)
@@ -72,7 +72,7 @@
 def _collect_faults(
     raw: dict[str, Any], struct_type: type[Struct], path: str, faults: list[Fault]
 ) -> None:
-    # msgspec stops at the first fault, so each field is converted by itself.
+    # msgspec stops at the first fault, so each field is converted separately.
     fields = {
         field_info.encode_name: field_info for field_info in msgspec.structs.fields(struct_type)
     }
--- a/src/cloverwalk/config/settings.py
+++ b/src/cloverwalk/config/settings.py
@@ -1,6 +1,6 @@
-"""Settings of a node and of the emulators, with every bound in one place.
+"""Settings of a node and of the emulators, with their bounds.
 
-Units are in the names. ``check`` in :mod:`cloverwalk.config.loader` reports every fault of a
+Names include units. ``check`` in :mod:`cloverwalk.config.loader` reports every fault of a
 file at once.
 """
 
@@ -17,7 +17,7 @@
 
 
 class HttpSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds of the HTTP server towards callers and operators."""
+    """Limits and timeouts of the HTTP server."""
 
     max_connections: Count = 2000
     max_header_bytes: Count = 16 * 1024
@@ -40,7 +40,7 @@
 
 
 class GossipSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Membership."""
+    """Gossip between nodes for membership."""
 
     interval_s: Seconds = 0.5
     fanout: Count = 3
@@ -83,7 +83,7 @@
 
 
 class SchedulerSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """How batch gives way at a replica. ``policy`` names a baseline for experiments."""
+    """How batch work is limited and preempted. ``policy`` may name a baseline for experiments."""
 
     policy: Annotated[
         str,
@@ -105,7 +105,7 @@
 
 
 class NodeSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """One node."""
+    """Settings of one node."""
 
     node_id: Name
     zone: Name
@@ -126,7 +126,7 @@
 
 
 class EngineEmulatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The engine stand-in: a model of a continuously batching engine."""
+    """Settings of the engine emulator, which models a continuously batching engine."""
 
     replica_id: Name
     zone: Name
@@ -145,7 +145,7 @@
 
 
 class PlatformEmulatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform stand-in."""
+    """Settings of the platform emulator."""
 
     host: Host = "127.0.0.1"
     port: Port = 9100
@@ -155,7 +155,7 @@
 
 
 class SettingsFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole file: any of the three programs may have its part."""
+    """A settings file with a section for each of the three programs, all optional."""
 
     node: NodeSettings | None = None
     engine: EngineEmulatorSettings | None = None
--- a/src/cloverwalk/core/batch_concurrency.py
+++ b/src/cloverwalk/core/batch_concurrency.py
@@ -1,9 +1,9 @@
-"""How many batch streams a replica may run beside its online work.
+"""Limits how many batch streams a replica runs beside its online work.
 
-Engine priorities do not help here: a larger running batch makes every decode step slower
-for all streams. So the limit follows what is observed: additive increase while steps are
-within the goal, multiplicative decrease when they are not. A part of the slots is kept
-free for online arrivals, sized from recent peaks of online concurrency.
+Engine priorities are not enough: a larger running batch makes every decode step slower for
+all streams. The limit follows the observed step times: additive increase while they are
+within the goal, multiplicative decrease otherwise. Some slots are reserved for online
+arrivals; their number follows recent peaks of online concurrency.
 """
 
 from msgspec import Struct
@@ -21,7 +21,7 @@
 
 
 class BatchConcurrency:
-    """The controller of one replica.
+    """The batch concurrency controller of one replica.
 
     >>> control = BatchConcurrency(ConcurrencySettings(), slots=8)
     >>> control.allowed(online_running=0)
@@ -42,10 +42,10 @@
         self._peak_decayed_at = 0.0
 
     def observe_step(self, step_s: float, now: float) -> None:
-        """Take one observed step time.
+        """Record a decode step time and update the limit once per interval.
 
-        The shortest step of an interval counts: a longer one had a prefill in it, which
-        fewer streams would not have made shorter.
+        Only the shortest step of an interval counts: longer steps include a prefill, which
+        fewer streams would not make shorter.
         """
         self._min_step_s = min(self._min_step_s, step_s)
         if now - self._updated_at < self._settings.update_interval_s:
@@ -59,7 +59,7 @@
             self._limit = min(ceiling, self._limit + self._settings.increase_per_update)
 
     def observe_online(self, online_running: int, now: float) -> None:
-        """Take the online concurrency, from which the reserve is forecast."""
+        """Record the online concurrency, from which the reserve is forecast."""
         self._decay_peak(now)
         self._online_peak = max(self._online_peak, float(online_running))
 
@@ -69,7 +69,7 @@
         self._peak_decayed_at = now
 
     def reserve(self, online_running: int) -> int:
-        """Return the slots to keep free above the online work that runs now."""
+        """Return the number of reserved slots beyond those of the running online work."""
         forecast = int(self._online_peak + 0.5) - online_running
         return max(self._settings.reserve_min_slots, min(forecast, self._slots // 2))
 
--- a/src/cloverwalk/core/batch_job.py
+++ b/src/cloverwalk/core/batch_job.py
@@ -1,6 +1,7 @@
-"""The state of one batch job at its owner: which items are pending, running, done.
+"""The state of one batch job at its owner: which items are pending, running or done.
 
-An item is done when its segment is committed. Until then a lost run costs only a rerun.
+An item is done when the segment with its result is committed. An item that is lost before
+that is run again.
 """
 
 from collections import deque
@@ -22,7 +23,7 @@
 
 
 class Handout(Struct, frozen=True):
-    """An item given to a replica owner, with the output of an earlier run to continue."""
+    """An item assigned to a replica owner, with the output of an earlier run to resume from."""
 
     index: int
     item: BatchItem
@@ -35,7 +36,7 @@
 
 
 class BatchJob:
-    """Items of a job. Parts of the manifest are loaded only when their turn comes.
+    """The items of a job. Parts of the manifest are loaded as they are needed.
 
     >>> row = JobRow("j", "s", "k", "m", item_count=3, part_size=2, body_hash="", submitted_at=0.0)
     >>> job = BatchJob(row, done=[0])
@@ -65,12 +66,12 @@
 
     @property
     def running_count(self) -> int:
-        """Items handed out and not yet back."""
+        """Items that are assigned to a replica owner and have no result."""
         return len(self._holders)
 
     @property
     def part_count(self) -> int:
-        """Parts of the manifest."""
+        """The number of parts of the manifest."""
         return -(-self.row.item_count // self.row.part_size)
 
     @property
@@ -84,7 +85,7 @@
         return self._prompt_chars / max(1, self._prompt_count)
 
     def part_to_load(self) -> int | None:
-        """Return the next part to fetch, or None while enough items are in hand."""
+        """Return the next part to fetch, or None while enough items are queued."""
         if self._loading or self._next_part >= self.part_count:
             return None
         if len(self._queue) > self.row.part_size // 2:
@@ -92,15 +93,15 @@
         return self._next_part
 
     def loading(self) -> None:
-        """Note that the part from :meth:`part_to_load` is being fetched."""
+        """Mark the part from :meth:`part_to_load` as being fetched."""
         self._loading = True
 
     def load_failed(self) -> None:
-        """Note that the fetch failed; the part is asked for again."""
+        """Record that the fetch failed; :meth:`part_to_load` returns the part again."""
         self._loading = False
 
     def load(self, items: list[BatchItem]) -> None:
-        """Take the items of the next part."""
+        """Add the items of the next part to the queue."""
         first = self._next_part * self.row.part_size
         self._next_part += 1
         self._loading = False
@@ -112,12 +113,12 @@
                 self._queue.append(index)
 
     def take(self, count: int, node: str, now: float) -> list[Handout]:
-        """Hand out up to ``count`` items to a replica owner's node."""
+        """Assign up to ``count`` items to the node of a replica owner."""
         handouts: list[Handout] = []
         while self._queue and len(handouts) < count:
             index = self._queue.popleft()
             if self._state[index] != ItemState.PENDING:
-                continue  # an earlier holder's result came in meanwhile
+                continue  # a node that had the item before sent its result
             self._state[index] = ItemState.RUNNING
             self.pending_count -= 1
             self._holders[index] = _Assignment(node, now)
@@ -126,10 +127,10 @@
         return handouts
 
     def give_back(self, index: int, node: str, resume_text: str = "") -> None:
-        """Take back an item that did not end; it goes next, from where it stopped."""
+        """Return an unfinished item to the front of the queue, to resume from ``resume_text``."""
         holder = self._holders.get(index)
         if holder is None or holder.node != node:
-            return  # another node has it by now
+            return  # the item is assigned to another node now
         del self._holders[index]
         self._state[index] = ItemState.PENDING
         self.pending_count += 1
@@ -138,26 +139,26 @@
         self._queue.appendleft(index)
 
     def confirm(self, node: str, indexes: Iterable[int], now: float) -> None:
-        """Note that ``node`` says it has these items."""
+        """Record that ``node`` confirmed that it has these items."""
         for index in indexes:
             holder = self._holders.get(index)
             if holder is not None and holder.node == node:
                 self._holders[index] = _Assignment(node, now)
 
     def take_back_unconfirmed(self, now: float, grace_s: float) -> None:
-        """Take back items that nobody has confirmed to hold for ``grace_s``."""
+        """Return items that were not confirmed for ``grace_s`` to the queue."""
         for index, holder in list(self._holders.items()):
             if now - holder.confirmed_at > grace_s:
                 self.give_back(index, holder.node)
 
     def node_lost(self, node: str) -> None:
-        """Take back all items of a lost node."""
+        """Return all items of a lost node to the queue."""
         for index, holder in list(self._holders.items()):
             if holder.node == node:
                 self.give_back(index, node)
 
     def finish(self, result: ItemResult) -> bool:
-        """Take a result; return False for one that came before (a duplicate)."""
+        """Record a result; return False for a duplicate."""
         index = result.index
         state = self._state[index]
         if state not in (ItemState.PENDING, ItemState.RUNNING):
@@ -172,14 +173,14 @@
         return True
 
     def committed(self, results: list[ItemResult]) -> None:
-        """Note that a segment with these results is committed."""
+        """Mark the items of a committed segment as done."""
         for result in results:
             self._state[result.index] = ItemState.DONE
         self.done_count += len(results)
         self.finished = self.finished[len(results) :]
 
     def slack_s(self, wall_now: float, items_per_s: float) -> float:
-        """Return the seconds to spare before the deadline at the given speed."""
+        """Return the seconds left between the expected end at ``items_per_s`` and the deadline."""
         if self.row.deadline_at is None:
             return float("inf")
         remaining_items = self.pending_count + self.running_count
--- a/src/cloverwalk/core/collect.py
+++ b/src/cloverwalk/core/collect.py
@@ -1,10 +1,10 @@
-"""Putting a streamed answer together from chunks that may come late, twice or out of order."""
+"""Assembles a streamed answer from chunks that may be late, duplicated or out of order."""
 
 from msgspec import Struct
 
 
 class Chunk(Struct, frozen=True):
-    """A run of tokens of one attempt. ``first`` counts tokens before it in the whole answer.
+    """Consecutive tokens of one attempt. ``first`` is the number of tokens before them.
 
     ``total`` is set on the last chunk only.
     """
@@ -18,7 +18,7 @@
 
 
 class Collector:
-    """Collects one request's answer; chunks of other requests or attempts are dropped.
+    """Collects the answer to one request; drops chunks of other requests or attempts.
 
     >>> collector = Collector("r", attempt=1)
     >>> collector.add(Chunk("r", 1, 1, 1, " b", total=2))
@@ -42,18 +42,18 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether every token up to the announced total is here."""
+        """Whether every token up to the announced total has arrived."""
         return self._total is not None and self.tokens == self._total
 
     def next_attempt(self) -> int:
-        """Begin another attempt, which continues after the text so far."""
+        """Start another attempt, which continues after the text so far."""
         self.attempt += 1
         self._buffered.clear()
         self._total = None
         return self.attempt
 
     def add(self, chunk: Chunk) -> str:
-        """Take a chunk; return the text that became contiguous."""
+        """Add a chunk; return the text that became contiguous with the answer so far."""
         if chunk.request_id != self._request_id or chunk.attempt != self.attempt:
             return ""
         if chunk.first < self.tokens:
--- a/src/cloverwalk/core/events.py
+++ b/src/cloverwalk/core/events.py
@@ -1,8 +1,8 @@
-"""What goes into a node (events) and what comes out (instructions). All of it is typed.
+"""Typed inputs of a node (events) and its outputs (instructions).
 
 A :class:`cloverwalk.node.node.Node` is a state machine: ``handle(event, now)`` returns
-instructions. The daemon carries them out with sockets, the simulation with a seeded
-network; the decisions are the same code.
+instructions. The daemon executes them with sockets, the simulation with a seeded network;
+both run the same decision code.
 """
 
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class HttpRequest(Struct, frozen=True):
-    """A whole HTTP request. Header names are in lower case."""
+    """A complete HTTP request. Header names are lower case."""
 
     connection: int
     method: str
@@ -35,7 +35,7 @@
 
 
 class ClientGone(Struct, frozen=True):
-    """The connection of an unanswered request closed."""
+    """The client closed the connection of an unanswered request."""
 
     connection: int
 
@@ -49,13 +49,13 @@
 
 
 class PeerUnreachable(Struct, frozen=True):
-    """A message to a peer could not be delivered, or its connection was cut."""
+    """A message to a peer could not be delivered, or its connection was lost."""
 
     node: str
 
 
 class EngineChunk(Struct, frozen=True):
-    """Output of an engine; ``finished`` on the last. ``first`` counts tokens before it."""
+    """Output of an engine. ``first`` is the token count before it; ``finished`` marks the last."""
 
     replica: str
     request_id: str
@@ -68,7 +68,7 @@
 
 
 class EngineRefused(Struct, frozen=True):
-    """The engine refused to start the work, or was never reached: it did not run."""
+    """The engine refused the work or was unreachable; the work did not run."""
 
     replica: str
     request_id: str
@@ -79,7 +79,7 @@
 class EngineCut(Struct, frozen=True):
     """The stream ended early: cancelled, aborted, or the connection was lost.
 
-    ``text`` and ``tokens`` are what was produced, resumed part included, where known.
+    ``text`` and ``tokens`` are the output if known, including the resumed part.
     """
 
     replica: str
@@ -102,7 +102,7 @@
 
 
 class EngineAdopted(Struct, frozen=True):
-    """Answer to :class:`AdoptEngine`; not accepted when the engine knows a higher epoch."""
+    """Answer to :class:`AdoptEngine`; not accepted if the engine has seen a higher epoch."""
 
     replica: str
     epoch: int
@@ -112,7 +112,7 @@
 
 
 class CacheChanged(Struct, frozen=True):
-    """A late cache event of an engine; a gap in the numbers means that some were lost."""
+    """A delayed cache event of an engine; a gap in the numbers means that events were lost."""
 
     replica: str
     number: int
@@ -121,7 +121,7 @@
 
 
 class ModelLoaded(Struct, frozen=True):
-    """Answer to :class:`LoadModel`; ``model`` is what the engine holds now."""
+    """Answer to :class:`LoadModel`; ``model`` is the model that is loaded now."""
 
     replica: str
     epoch: int
@@ -160,18 +160,18 @@
 
 
 class MachinesListed(Struct, frozen=True):
-    """The machine list of a zone, or of all (""); None when it could not be read."""
+    """The machine list of a zone, or of all zones (""); None if it could not be read."""
 
     zone: str
     machines: list[Machine] | None
 
 
 class Tick(Struct, frozen=True):
-    """Time passed. Sent every ``tick_s``."""
+    """A periodic timer event, sent every ``TICK_S``."""
 
 
 class StopRequested(Struct, frozen=True):
-    """A planned stop (SIGTERM)."""
+    """A planned stop was requested (SIGTERM)."""
 
 
 Event = (
@@ -206,7 +206,7 @@
 
 
 class SendReply(Struct, frozen=True):
-    """Answer a request whole."""
+    """Send a complete HTTP response."""
 
     connection: int
     status: int
@@ -215,7 +215,7 @@
 
 
 class BeginStream(Struct, frozen=True):
-    """Begin an answer whose body follows in parts."""
+    """Start an HTTP response whose body is streamed."""
 
     connection: int
     status: int
@@ -230,7 +230,7 @@
 
 
 class EndStream(Struct, frozen=True):
-    """The end of a streamed body. Not whole: the connection is cut instead of closed."""
+    """End a streamed body. If it is not ``whole``, the connection is aborted."""
 
     connection: int
     whole: bool = True
@@ -261,7 +261,7 @@
 
 
 class QueryEngine(Struct, frozen=True):
-    """Ask an engine what it knows of a request."""
+    """Query the state of a request at an engine."""
 
     replica: str
     request_id: str
@@ -269,14 +269,14 @@
 
 
 class AdoptEngine(Struct, frozen=True):
-    """Tell an engine the epoch of its new owner; older streams are aborted."""
+    """Send the epoch of the new owner to an engine, which aborts older streams."""
 
     replica: str
     epoch: int
 
 
 class LoadModel(Struct, frozen=True):
-    """Order an idle engine to load another model; fenced by the owner's epoch."""
+    """Make an idle engine load another model; fenced by the owner's epoch."""
 
     replica: str
     epoch: int
@@ -299,7 +299,7 @@
 
 
 class PutObject(Struct, frozen=True):
-    """Write an object if there is none of that name."""
+    """Write an object unless one with that name exists."""
 
     op_id: str
     name: str
@@ -314,7 +314,7 @@
 
 
 class ListMachines(Struct, frozen=True):
-    """Read the machine list of a zone, or of all ("")."""
+    """Read the machine list of a zone, or of all zones ("")."""
 
     zone: str
 
--- a/src/cloverwalk/core/fair_share.py
+++ b/src/cloverwalk/core/fair_share.py
@@ -1,8 +1,8 @@
 """Weighted fair share between classes of work, by virtual time.
 
 Start-time fair queueing: serving a class advances its virtual time by cost / weight, and
-the class that is furthest behind goes next. A class that was idle starts at the virtual
-time of the system, so idle time is not saved up as credit beyond a bound.
+the class with the lowest virtual time goes next. A class that was idle starts at the virtual
+time of the system, so an idle class accumulates no more than a bounded credit.
 """
 
 from collections.abc import Hashable, Iterable
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, max_lead: float = 0.0) -> None:
-        """``max_lead`` is the cost by which one class may be ahead of others, see ``charge``."""
+        """Set ``max_lead``, the largest virtual-time lead of a class; see ``charge``."""
         self._max_lead = max_lead
         self._finish: dict[ClassKey, float] = {}
         self._system_time = 0.0
@@ -35,30 +35,30 @@
         return max(self._system_time, self._finish.get(key, 0.0))
 
     def start_time(self, key: ClassKey) -> float:
-        """Return the virtual time at which a class starts; charges to others leave its order."""
+        """Return the virtual start time of a class; charges to other classes keep its order."""
         return self._start_time(key)
 
     def start_times(self, keys: Iterable[ClassKey]) -> dict[ClassKey, float]:
-        """Return the same of several classes."""
+        """Return the virtual start times of several classes."""
         system_time, finish = self._system_time, self._finish
         return {key: max(system_time, finish.get(key, 0.0)) for key in keys}
 
     def ahead(self, key: ClassKey) -> float:
-        """Return how far a class is ahead of one that was idle for long."""
+        """Return the virtual-time lead of a class over one that was idle for long."""
         return self._start_time(key) - self._system_time
 
     def ahead_of(self, keys: Iterable[ClassKey]) -> dict[ClassKey, float]:
-        """Return how far several classes are ahead."""
+        """Return the leads of several classes over the virtual time of the system."""
         system_time, finish = self._system_time, self._finish
         return {key: max(0.0, finish.get(key, 0.0) - system_time) for key in keys}
 
     def all_ahead(self) -> dict[ClassKey, float]:
-        """Return the classes that are ahead, and by how much."""
+        """Return the leads of all classes that are ahead of the virtual time of the system."""
         leads = {key: finish - self._system_time for key, finish in self._finish.items()}
         return {key: lead for key, lead in leads.items() if lead > 0}
 
     def choose(self, candidates: Iterable[ClassKey], weights: dict[ClassKey, float]) -> ClassKey:
-        """Return the candidate that is furthest behind; ties go to the heavier weight."""
+        """Return the candidate with the lowest start time; ties go to the higher weight."""
         return min(
             candidates, key=lambda key: (self._start_time(key), -weights.get(key, 1.0), str(key))
         )
@@ -66,16 +66,17 @@
     def charge(
         self, key: ClassKey, cost: float, weight: float, waiting: Iterable[ClassKey] = ()
     ) -> None:
-        """Count ``cost`` of service to ``key``. Weights must be above zero.
+        """Charge ``cost`` of service to ``key``. Weights must be above zero.
 
-        ``waiting`` are the classes that have work waiting. One that waits keeps its place; all
-        others move up to the least of these less ``max_lead``, so that is what an idle class
-        saves up. What a class is served out of turn is held against it up to ``max_lead``.
+        ``waiting`` are the classes with queued work. The virtual time of the system does not
+        pass the lowest finish time of these, so they keep their order, and it follows ``key``
+        at a distance of ``max_lead``, which bounds the credit of an idle class. A class that is
+        already further ahead than ``max_lead`` is not charged for service out of turn.
         """
         start = self._start_time(key)
         lead_floor = start - self._max_lead
         if lead_floor <= self._system_time and self._max_lead > 0:
-            # Nobody moves up, and the class is not beyond what is held against it.
+            # The virtual time of the system stays, and the class is within the allowed lead.
             self._finish[key] = start + cost / weight
             self._remove_idle()
             return
@@ -90,10 +91,10 @@
         self._remove_idle()
 
     def correct(self, key: ClassKey, cost: float, weight: float) -> None:
-        """Count ``cost`` more, or less if it is negative, than was charged before.
+        """Adjust an earlier charge by ``cost``, which may be negative.
 
-        More puts a class ahead by twice ``max_lead`` at most: those that wait may be ahead by it
-        themselves.
+        An increase puts a class ahead by at most twice ``max_lead``, because waiting classes may
+        be ahead by ``max_lead`` themselves.
         """
         if key not in self._finish:
             return
@@ -102,7 +103,7 @@
         self._finish[key] = min(bound, finish + cost / weight)
 
     def put_ahead(self, key: ClassKey, lead: float) -> None:
-        """Take how far a class is ahead from one who counted before; ``max_lead`` at most."""
+        """Set the lead of a class from an earlier tracker's value, at most ``max_lead``."""
         self._finish[key] = self._system_time + min(self._max_lead, max(0.0, lead))
 
     def _remove_idle(self) -> None:
--- a/src/cloverwalk/core/hashing.py
+++ b/src/cloverwalk/core/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node works out the same ranking without talking."""
+"""Rendezvous hashing: every node computes the same ranking without messages."""
 
 from collections.abc import Iterable
 
@@ -27,5 +27,5 @@
 
 
 def short_hash(*parts: str) -> str:
-    """Return 32 hex digits that name the given parts."""
+    """Return a 128-bit hash of the given parts as 32 hex digits."""
     return str(xxhash.xxh128_hexdigest("\x00".join(parts).encode()))
--- a/src/cloverwalk/core/idempotency.py
+++ b/src/cloverwalk/core/idempotency.py
@@ -1,4 +1,4 @@
-"""Joining of concurrent requests with one key at the key's home node."""
+"""Joins concurrent requests with the same idempotency key at the key's home node."""
 
 from collections import OrderedDict
 from enum import StrEnum
@@ -8,11 +8,11 @@
 from cloverwalk.core.types import Result
 
 RUN_TTL_S = 60.0
-"""After this a run whose end was not reported no longer makes others wait."""
+"""A run whose end was not reported blocks requests with the same key for this long."""
 
 
 class JoinVerdict(StrEnum):
-    """What the home node tells a node that asks to run a key."""
+    """The home node's response to a node that wants to run a key."""
 
     RUN = "run"
     WAIT = "wait"
@@ -20,7 +20,7 @@
 
 
 class Waiter(Struct, frozen=True):
-    """A node that waits for the result of a key under its own token."""
+    """A node's request for a key, identified by the node's token."""
 
     node: str
     token: str
@@ -33,7 +33,7 @@
 
 
 class JoinRegistry:
-    """Who runs which key now, who waits for it, and results of late.
+    """The active run and the waiters of each key, and the most recent results.
 
     >>> registry = JoinRegistry(max_results=10)
     >>> [registry.join("k", Waiter(node, "token"), 0.0)[0].value for node in ("n1", "n2")]
@@ -46,7 +46,7 @@
         self._max_results = max_results
 
     def join(self, key: str, waiter: Waiter, now: float) -> tuple[JoinVerdict, Result | None]:
-        """Return the verdict for ``waiter`` and, with DONE, the result."""
+        """Return the verdict for ``waiter`` and, if it is DONE, the result."""
         if key in self._results:
             return JoinVerdict.DONE, self._results[key]
         active_run = self._active_runs.get(key)
@@ -59,10 +59,10 @@
         return JoinVerdict.RUN, None
 
     def finish(self, key: str, token: str, result: Result | None) -> list[Waiter]:
-        """End a request; return who has to be told.
+        """End a request; return the waiters to notify.
 
-        Without a result nothing was recorded: when it was the runner, one of the waiters
-        must run; when it only waited, the run goes on without it.
+        Without a result nothing was recorded: if the request was the runner, one of the
+        waiters must run the key; if it was a waiter, the run continues without it.
         """
         active_run = self._active_runs.get(key)
         if result is None and active_run is not None and active_run.runner.token != token:
@@ -76,7 +76,7 @@
         return active_run.waiters if active_run else []
 
     def expire(self, now: float) -> None:
-        """Forget runs whose end was never reported; the record decides about them."""
+        """Remove runs whose end was not reported in time; the stored result decides about them."""
         while self._active_runs:
             key, active_run = next(iter(self._active_runs.items()))
             if now - active_run.started_at <= RUN_TTL_S:
@@ -84,7 +84,7 @@
             del self._active_runs[key]
 
     def node_lost(self, node: str) -> list[tuple[str, Waiter]]:
-        """Forget runs of a lost node; return (key, waiter) pairs, who must ask again."""
+        """Remove the runs of a lost node; return the (key, waiter) pairs that must join again."""
         orphaned = [key for key, run in self._active_runs.items() if run.runner.node == node]
         pairs = [(key, waiter) for key in orphaned for waiter in self._active_runs.pop(key).waiters]
         return [(key, waiter) for key, waiter in pairs if waiter.node != node]
--- a/src/cloverwalk/core/limit_shares.py
+++ b/src/cloverwalk/core/limit_shares.py
@@ -1,20 +1,20 @@
-"""How a limit for the whole fleet is divided among nodes.
+"""Divides a limit for the whole fleet among nodes.
 
-Each node gets a part in proportion to its recent demand. A small floor lets a node that
-had no demand admit its first requests before the next division.
+Each node gets a share in proportion to its recent demand. A small minimum lets a node
+without recent demand admit its first requests before the next division.
 """
 
 DEMAND_FREE_FRACTION = 0.05
-"""The least part of an even share that a node without demand keeps."""
+"""Fraction of the limit that is divided evenly, regardless of demand."""
 
 MAX_RISE_FACTOR = 1.5
 MAX_RISE_STEP = 0.05
-"""A share grows by no more than this factor and step at a time. Reports of other nodes'
-demand lag: nodes that all rose at once would together admit a multiple of the limit."""
+"""A share grows by at most this factor and step per update. Demand reports of other nodes
+lag, so nodes that all grew at once would together admit a multiple of the limit."""
 
 
 def next_share(share: float, target: float) -> float:
-    """Return the share to use next: down at once, up by steps.
+    """Return the next share: decreases apply at once, increases in steps.
 
     >>> next_share(0.5, 0.2), round(next_share(0.2, 1.0), 2)
     (0.2, 0.35)
@@ -23,7 +23,7 @@
 
 
 def share_of_limit(local_rate: float, other_rates: list[float], node_count: int) -> float:
-    """Return this node's part of a limit, from 0 to 1.
+    """Return this node's share of a limit, from 0 to 1.
 
     >>> share_of_limit(30.0, [10.0], node_count=2)
     0.7375
--- a/src/cloverwalk/core/membership.py
+++ b/src/cloverwalk/core/membership.py
@@ -1,13 +1,12 @@
-"""Who is alive, by gossip of digests.
+"""Tracks which nodes are alive, by gossip of digests.
 
-Every node owns one digest and raises its ``beat`` each round. A digest is replaced only by
-one of a higher (incarnation, beat). A member whose beat stands still is suspected; only the
-lease in the table service decides about ownership. Leaving is sticky for an incarnation.
+Every node owns one digest and increments its ``beat`` each round. A digest is replaced only
+by one with a higher (incarnation, beat). A member whose beat does not rise is suspected; only
+the lease in the table service decides about ownership. Leaving is sticky for an incarnation.
 
-A node keeps its whole zone and a few contacts of each other zone, so its view grows with
-the zone and the number of zones, not with the fleet.
-Weighed: all-to-all heartbeats (grow with the square of nodes), a monitor node (would be set
-aside for control).
+A node keeps the members of its own zone and a few contacts of each other zone, so its view
+grows with the zone and the number of zones, not with the fleet. All-to-all heartbeats would
+grow with the square of the number of nodes, and a monitor would need a dedicated node.
 """
 
 from random import Random
@@ -18,7 +17,7 @@
 
 
 class ReplicaReport(Struct, frozen=True, array_like=True):
-    """What a replica owner tells about a replica."""
+    """A replica's state as its owner reports it."""
 
     replica: str
     epoch: int
@@ -37,7 +36,7 @@
     model: str
     pending: int
     urgent: bool
-    prompt_tokens: int  # of a typical item, roughly
+    prompt_tokens: int  # estimate for a typical item
 
 
 class RateReport(Struct, frozen=True, array_like=True):
@@ -49,14 +48,14 @@
 
 
 class UnservedReport(Struct, frozen=True, array_like=True):
-    """Online requests for a model that no known replica holds."""
+    """Rate of online requests for a model that no known replica has loaded."""
 
     model: str
     requests_per_s: float
 
 
 class NodeDigest(Struct, frozen=True, array_like=True):
-    """All that a node says of itself. Arrays in place of maps keep gossip small."""
+    """A node's report about itself. It is encoded as an array to keep gossip small."""
 
     node: str
     zone: str
@@ -66,7 +65,7 @@
     beat: int
     leaving: bool
     table_version: int
-    store_age_s: float  # since the node last heard from the table service
+    store_age_s: float  # since the table service last answered the node
     replicas: list[ReplicaReport]
     shards: list[str]
     demand: list[DemandReport]
@@ -83,7 +82,7 @@
 
 
 class Membership:
-    """The view of one node.
+    """One node's view of the other nodes.
 
     >>> def digest(node, beat):
     ...     return NodeDigest(node, "z", "", "i1", 0.0, beat, False, 0, 0.0, [], [], [], [])
@@ -106,7 +105,7 @@
         self._pending_targets: dict[str, list[str]] = {}
 
     def merge(self, digest: NodeDigest, age_s: float, now: float) -> bool:
-        """Take a digest if it is newer than the known one; return whether it was."""
+        """Apply a digest if it is newer than the current one; return whether it was applied."""
         if digest.node == self.node:
             return False
         current = self._entries.get(digest.node)
@@ -118,13 +117,13 @@
         return True
 
     def _admits_member(self, digest: NodeDigest, now: float) -> bool:
-        """Return whether to keep a new member; a worse contact of its zone makes room."""
+        """Return whether to add a new member; may remove a suspected or lower-ranked contact."""
         if digest.zone == self.zone:
             return True
         contacts = [e.digest.node for e in self._entries.values() if e.digest.zone == digest.zone]
         if len(contacts) < self._contacts_per_zone:
             return True
-        # Which contacts are best differs from node to node, so that no member is burdened.
+        # The ranking differs from node to node, so that contacts are spread over all members.
         ranked = rendezvous_rank(f"contact {self.node}", [*contacts, digest.node])
         dead = [node for node in contacts if not self.is_live(node, now)]
         worst = dead[0] if dead else ranked[-1]
@@ -134,7 +133,7 @@
         return True
 
     def note_release(self, node: str, resource: str) -> None:
-        """Take a resource that a node gave up out of its last digest."""
+        """Remove a resource that a node released from its last digest."""
         entry = self._entries.get(node)
         if entry is None:
             return
@@ -172,29 +171,29 @@
         return [entry.digest for entry in self._entries.values()]
 
     def forget(self, older_than_s: float, now: float) -> list[str]:
-        """Drop members not heard for long; return their names."""
+        """Remove members whose beat has not risen for ``older_than_s``; return their names."""
         expired = [n for n, entry in self._entries.items() if now - entry.heard_at > older_than_s]
         for node in expired:
             del self._entries[node]
         return expired
 
     def gossip_targets(self, fanout: int, random: Random, now: float) -> list[str]:
-        """Return whom to send to this round: mostly the own zone, always one other zone."""
+        """Return the targets of this round: mostly in the own zone, at least one in another."""
         local = [digest.node for digest in self.live(now) if digest.zone == self.zone]
         remote = [digest.node for digest in self.live(now) if digest.zone != self.zone]
         targets = self._next_targets("local", local, fanout, random)
         remote_count = max(1, fanout - len(targets))
         targets += self._next_targets("remote", remote, remote_count, random)
         suspected = sorted(set(self._entries) - set(targets) - set(local) - set(remote))
-        if suspected:  # so that two halves of a healed cut find each other again
+        if suspected:  # so that both sides of a healed partition find each other again
             targets.append(random.choice(suspected))
         return targets
 
     def _next_targets(self, name: str, nodes: list[str], count: int, random: Random) -> list[str]:
-        """Return the next nodes of a shuffled order, so that none is left out for long.
+        """Return the next nodes of a shuffled order, so that none is skipped for long.
 
-        Drawn anew each round, some member would now and then go unheard long enough to be
-        suspected.
+        With an independent draw each round, a member could be skipped for so long that it
+        would be suspected.
         """
         pending = [node for node in self._pending_targets.get(name, []) if node in nodes]
         chosen = pending[:count]
@@ -206,7 +205,7 @@
         return chosen
 
     def entries_to_send(self, limit: int, now: float) -> list[tuple[NodeDigest, float]]:
-        """Return up to ``limit`` (digest, age) pairs: those not sent for longest first."""
+        """Return up to ``limit`` (digest, age) pairs, least recently sent first."""
         self._round += 1
         live = [e for e in self._entries.values() if now - e.heard_at <= self.suspect_after_s]
         live.sort(key=lambda entry: (entry.sent_round, entry.digest.zone != self.zone))
--- a/src/cloverwalk/core/model_placement.py
+++ b/src/cloverwalk/core/model_placement.py
@@ -1,8 +1,8 @@
-"""Which model a zone's replicas should hold: one change at a time, and only for a clear gain.
+"""Plans which model each replica of a zone loads, one change at a time.
 
-Targets follow demand. A change must bring the counts nearer to the targets by a margin, so
-that demand which wavers does not make replicas load models to and fro; the last replica of
-a model in use is never taken.
+Targets follow demand. A change must bring the counts closer to the targets by a minimum gain,
+so that fluctuating demand does not make replicas switch models back and forth. The last
+replica of a model in use is never changed.
 """
 
 from collections import Counter
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 MIN_GAIN_REPLICAS = 1.5
-"""Least gain of a change, in replicas. Any change that helps at all gains more than 1."""
+"""Minimum gain of a change; any change that brings counts closer to targets gains over 1."""
 
 
 class PlacedReplica(Struct, frozen=True):
@@ -44,7 +44,7 @@
 def plan_change(
     replicas: Sequence[PlacedReplica], demand: Mapping[str, float]
 ) -> ModelChange | None:
-    """Return the one change that helps most, or None.
+    """Return the change with the largest gain, or None if no gain is large enough.
 
     >>> replicas = [PlacedReplica("r1", "a", 0.5), PlacedReplica("r2", "a", 0.1)]
     >>> plan_change(replicas, {"a": 5.0, "b": 5.0})
--- a/src/cloverwalk/core/once_flag.py
+++ b/src/cloverwalk/core/once_flag.py
@@ -1,11 +1,11 @@
-"""Lets the first of several calls through, also where one interrupts another."""
+"""A flag that only the first caller gets, safe for use in signal handlers."""
 
 
 class OnceFlag:
-    """For signal handlers that set an event with a lock, such as curio's ``UniversalEvent``.
+    """Guards signal handlers that set an event with a lock, such as curio's ``UniversalEvent``.
 
-    A signal may interrupt the handler of the one before while that holds the event's lock. Waiting
-    for it there, on the same thread, would never end.
+    A signal may interrupt the handler of an earlier signal while that holds the event's lock.
+    Waiting for the lock on the same thread would deadlock.
 
     >>> flag = OnceFlag()
     >>> flag.take(), flag.take()
@@ -26,5 +26,5 @@
         return True
 
     def reset(self) -> None:
-        """Let the next caller through."""
+        """Reset the flag: the next :meth:`take` returns True."""
         self._is_taken = False
--- a/src/cloverwalk/core/peer_messages.py
+++ b/src/cloverwalk/core/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes. Each travels as one netstring of JSON, told apart by its tag."""
+"""Messages between nodes. Each is sent as a netstring of JSON and identified by its tag."""
 
 from msgspec import Struct
 
@@ -18,7 +18,7 @@
 
 
 class AgedDigest(Struct, frozen=True, array_like=True):
-    """A digest and the seconds since its beat rose, as the sender saw it."""
+    """A digest and the seconds since the sender last saw its beat rise."""
 
     digest: NodeDigest
     age_s: float
@@ -38,7 +38,7 @@
 
 
 class OfferRefused(Struct, frozen=True, tag="offer_refused"):
-    """The owner did not start the work: it is not run by this attempt."""
+    """The owner did not start the work; this attempt did not run."""
 
     replica: str
     request_id: str
@@ -48,7 +48,7 @@
 
 
 class ChunkMessage(Struct, frozen=True, tag="chunk"):
-    """A part of an answer on its way to the node that has the caller."""
+    """A part of an answer, sent to the node that the caller is connected to."""
 
     chunk: Chunk
 
@@ -70,16 +70,17 @@
 
 
 class Join(Struct, frozen=True, tag="join"):
-    """Ask a key's home node whether to run."""
+    """Ask a key's home node whether to run the request."""
 
     key: str
     token: str
 
 
 class JoinReply(Struct, frozen=True, tag="join_reply"):
-    """The home node's verdict; also sent when a run that was waited for ends.
+    """The home node's verdict; also sent to waiters when the run ends.
 
-    RUN after WAIT means that the runner was lost: the receiver runs the key now.
+    RUN after WAIT means that the run ended without a result or that its runner was lost: the
+    receiver runs the key now.
     """
 
     key: str
@@ -89,9 +90,9 @@
 
 
 class RunFinished(Struct, frozen=True, tag="run_finished"):
-    """The end of a request at the node that asked under ``token``.
+    """The end of a request that joined under ``token``.
 
-    No result: it ended without a record.
+    ``result`` is None if the request ended without a recorded result.
     """
 
     key: str
@@ -100,7 +101,7 @@
 
 
 class QueryWork(Struct, frozen=True, tag="query_work"):
-    """Ask a replica's owner what its engine knows of a request."""
+    """Ask a replica's owner for the state of a request at its engine."""
 
     replica: str
     request_id: str
@@ -108,7 +109,7 @@
 
 
 class WorkStatus(Struct, frozen=True, tag="work_status"):
-    """What the engine knows of a request.
+    """The state of a request at an engine.
 
     ``state`` is ``unknown``, ``running``, ``finished``, ``aborted`` or ``unreachable``.
     """
@@ -135,7 +136,7 @@
 
 
 class JobChanged(Struct, frozen=True, tag="job_changed"):
-    """A job row was written by another node than the shard's owner."""
+    """A node other than the shard's owner wrote a job row."""
 
     job_id: str
     shard: str
@@ -153,7 +154,7 @@
 
 
 class PulledItem(Struct, frozen=True):
-    """One item handed out."""
+    """An item assigned in answer to a pull."""
 
     job_id: str
     index: int
@@ -162,7 +163,7 @@
 
 
 class PullReply(Struct, frozen=True, tag="pull_reply"):
-    """The items for a pull, possibly none, with what is still pending in the class."""
+    """The items for a pull, possibly none, and the number still pending in the class."""
 
     pull_id: str
     items: list[PulledItem]
@@ -170,7 +171,7 @@
 
 
 class ItemDone(Struct, frozen=True, tag="item_done"):
-    """An item ran to its end."""
+    """An item ended with a result."""
 
     job_id: str
     index: int
@@ -178,7 +179,7 @@
 
 
 class ItemReturned(Struct, frozen=True, tag="item_returned"):
-    """An item comes back unfinished, with its output so far."""
+    """An unfinished item is returned to its job owner, with its output so far."""
 
     job_id: str
     index: int
@@ -186,17 +187,17 @@
 
 
 class ItemsHeld(Struct, frozen=True, tag="items_held"):
-    """A replica owner's list of the items of one job it has; absent ones are handed out anew."""
+    """The items of one job that a replica owner has; absent ones are assigned again."""
 
     job_id: str
     indexes: list[int]
 
 
 class CancelJob(Struct, frozen=True, tag="cancel_job"):
-    """Stop all items of a job and start none any more.
+    """Stop all items of a job and start no more of them.
 
-    The acknowledgement goes to the coordinator. With ``relay`` the receiver passes the
-    message on to its own zone, which the coordinator may not see.
+    The acknowledgement goes to the coordinator. With ``relay`` the receiver forwards the
+    message to its own zone, whose nodes the coordinator may not know.
     """
 
     job_id: str
@@ -223,14 +224,14 @@
 
 
 class JobCancelReply(Struct, frozen=True, tag="job_cancel_reply"):
-    """The end of a cancel: the job's final state, or empty when this node is not the owner."""
+    """The job's final state after a cancel, or empty if the sender is not the owner."""
 
     token: str
     state: str
 
 
 class HoldResult(Struct, frozen=True, tag="hold_result"):
-    """A result to be kept in memory until the table service is back."""
+    """A result to keep in memory until the table service is available."""
 
     key: str
     result: Result
@@ -240,7 +241,7 @@
 class HoldAck(Struct, frozen=True, tag="hold_ack"):
     """The result is held, or refused because the buffer is full.
 
-    ``earlier`` is another result that was held for the key before; that one stands.
+    ``earlier`` is a different result that was already held for the key; it takes precedence.
     """
 
     key: str
@@ -277,7 +278,7 @@
 
 
 class TablePatch(Struct, frozen=True, tag="table_patch"):
-    """What an accepted version changed; for a receiver at ``base_version``."""
+    """The changes of an accepted version, for a receiver that has ``base_version``."""
 
     base_version: int
     version: int
@@ -296,7 +297,7 @@
 
 
 class LeaseReleased(Struct, frozen=True, tag="lease_released"):
-    """A lease was given up by a planned stop; its next owner may take it at once."""
+    """A planned stop released a lease; the next owner may acquire it at once."""
 
     resource: str
 
@@ -318,14 +319,14 @@
 
 
 class ModelChanged(Struct, frozen=True, tag="model_changed"):
-    """The end of an order: the replica now holds ``model``, changed or not."""
+    """The end of an order: ``model`` is the replica's current model, changed or not."""
 
     replica: str
     model: str
 
 
 class LeavingNotice(Struct, frozen=True, tag="leaving_notice"):
-    """First sign that a replica is leaving, passed on at once."""
+    """The first sign that a replica is leaving, forwarded at once."""
 
     replica: str
 
@@ -372,7 +373,7 @@
 
 
 class Envelope(Struct, frozen=True):
-    """What is on the wire: who sent the message and where that node listens."""
+    """The encoded form of a message, with the sender and the address it listens on."""
 
     sender: str
     address: str
--- a/src/cloverwalk/core/placement.py
+++ b/src/cloverwalk/core/placement.py
@@ -1,8 +1,8 @@
-"""Which replica a request is offered to.
+"""Chooses the replica that a request is offered to.
 
-Prefix affinity first, as long as that replica is not much busier than the rest; then the
-better of two random candidates. Two choices keep a lagging load report from herding every
-node onto the replica that last looked idle.
+A replica that has the prompt's prefix is preferred unless its load is much higher; otherwise
+the less loaded of two random candidates is chosen. With lagging load reports, taking the
+least loaded of all would send every node's requests to the same replica.
 """
 
 from collections.abc import Sequence
@@ -13,29 +13,29 @@
 from cloverwalk.core.hashing import rendezvous_rank
 
 MAX_AFFINITY_LOAD_EXCESS = 0.15
-"""A replica with the prefix may be this much fuller (share of slots) and still be chosen."""
+"""A replica with the prefix is chosen if its load (share of slots) is higher by at most this."""
 
 REMOTE_ZONE_PENALTY = 0.10
-"""Load (share of slots) that a replica in another zone must be better by."""
+"""Load (share of slots) added to replicas of other zones in comparisons."""
 
 
 PACKING_LOAD_THRESHOLD = 0.85
-"""Online work is gathered on a replica until it has this share of the slots."""
+"""Online work is packed on a replica until it occupies this share of the slots."""
 
 
 MAX_PACKED_PREFILL_TOKENS = 250.0
-"""A replica with more prompt tokens of this node in prefill gets no further packed work."""
+"""A replica with this many prompt tokens of this node in prefill gets no packed work."""
 
 
 class Candidate(Struct, frozen=True):
-    """What a node knows of a replica when it places a request."""
+    """A replica as the node that places a request sees it."""
 
     replica: str
     owner: str
     local_zone: bool
-    online_load: float  # online work, own unreported sends included, as a share of slots
+    online_load: float  # share of slots, including requests of this node that are not reported yet
     has_prefix: bool = False
-    prefill_tokens: float = 0.0  # prompts of this node there that have no output yet
+    prefill_tokens: float = 0.0  # prompts that this node sent and that have no output yet
 
 
 def effective_load(candidate: Candidate) -> float:
@@ -44,12 +44,12 @@
 
 
 def choose_packed(candidates: Sequence[Candidate], model: str, random: Random) -> Candidate | None:
-    """Return the first replica of a shared ranking that still has room for online work.
+    """Return the first replica of a shared ranking that has capacity for online work.
 
-    Prefill of batch items delays the online streams beside them, so batch items start
-    freely only where no online work runs. Gathering online work keeps most replicas free
-    of it. Every node ranks alike, without talking. A burst is spread: prompts that came
-    together would wait for each other's prefill on one replica.
+    Prefill of batch items delays online streams on the same replica, so batch items start
+    without limits only where no online work runs. Packing keeps most replicas free of online
+    work. All nodes compute the same ranking without messages. A burst is spread over replicas,
+    because prompts that arrive together would wait for each other's prefill on one.
     """
     ranked = rendezvous_rank(model, [candidate.replica for candidate in candidates])
     by_name = {candidate.replica: candidate for candidate in candidates}
--- a/src/cloverwalk/core/policies.py
+++ b/src/cloverwalk/core/policies.py
@@ -1,4 +1,4 @@
-"""Scheduling policies of a replica: the product's own and the baselines it is measured by."""
+"""Scheduling policies of a replica: the default and the baselines for comparison."""
 
 from msgspec import Struct
 
@@ -6,17 +6,19 @@
 
 
 class SchedulingPolicy(Struct, frozen=True):
-    """What a replica owner may do; the mechanism is the same for all policies."""
+    """Which scheduling features a replica owner uses."""
 
     name: str
     runs_online: bool = True
     runs_batch: bool = True
     preempts: bool = True  # online work suspends batch streams when there is no slot
-    controls_concurrency: bool = True  # batch follows observed step times, with a reserve
+    controls_concurrency: bool = True  # limits batch by observed step times, with reserved slots
     uses_priority: bool = True  # online work has a higher priority at the engine
     slots_factor: int = 1  # above 1 the engine's own queue is filled as well
-    packs_online: bool = True  # online work is gathered on few replicas
-    batch_share: float | None = None  # part of the replicas given to batch, the rest to online
+    packs_online: bool = True  # online work is packed on few replicas
+    batch_share: float | None = (
+        None  # fraction of replicas that run only batch; the others run only online work
+    )
 
 
 def takes_batch(policy: SchedulingPolicy, replica: str) -> bool:
--- a/src/cloverwalk/core/prefix_index.py
+++ b/src/cloverwalk/core/prefix_index.py
@@ -1,7 +1,7 @@
-"""Which replicas probably have a prompt's prefix in their cache: a hint, never a fact.
+"""Tracks which replicas probably have a prompt's prefix in their cache; this is only a hint.
 
-Engines publish cache events late and with gaps. A gap in an engine's event numbers drops
-all that is known of that replica until its next events.
+Engines publish cache events late and with gaps. After a gap in an engine's event numbers, all
+earlier entries of that replica are removed.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 
 
 def prefix_hash(prompt: str) -> str:
-    """Return the name of a prompt's first characters.
+    """Return a hash of a prompt's first ``PREFIX_CHARS`` characters.
 
     >>> prefix_hash("a" * 300) == prefix_hash("a" * 400)
     True
@@ -22,7 +22,7 @@
 
 
 class PrefixIndex:
-    """Prefix names by replica, fed by cache events.
+    """The replicas of each prefix hash, updated by cache events.
 
     >>> index = PrefixIndex()
     >>> index.apply("r1", number=1, added=["p"], removed=[])
@@ -38,7 +38,7 @@
         self._last_number: dict[str, int] = {}
 
     def apply(self, replica: str, number: int, added: list[str], removed: list[str]) -> None:
-        """Take one event of a replica."""
+        """Apply one cache event of a replica; ignore events with an old number."""
         expected = self._last_number.get(replica, number - 1) + 1
         if number < expected:
             return
@@ -54,7 +54,7 @@
             self._replicas.popitem(last=False)
 
     def drop(self, replica: str) -> None:
-        """Forget a replica's prefixes."""
+        """Remove all entries of a replica."""
         for replicas in self._replicas.values():
             replicas.discard(replica)
         self._last_number.pop(replica, None)
--- a/src/cloverwalk/core/replica_slots.py
+++ b/src/cloverwalk/core/replica_slots.py
@@ -1,4 +1,4 @@
-"""What runs on one replica, counted by its owner, and what gives way to whom."""
+"""The work on one replica, tracked by its owner: running, queued and suspended."""
 
 from collections import deque
 
@@ -8,11 +8,11 @@
 
 
 class RunningWork(Struct):
-    """A stream on the engine."""
+    """A stream that runs on the engine."""
 
     work: Work
     started_at: float
-    reply_to: str = ""  # node that has the online caller
+    reply_to: str = ""  # node that the online caller is connected to
     job_id: str = ""  # set for batch
     index: int = 0
     item: BatchItem | None = None
@@ -25,7 +25,7 @@
 
 
 class QueuedOffer(Struct, frozen=True):
-    """Online work that waits for a slot at its replica."""
+    """Online work that is queued for a slot of its replica."""
 
     work: Work
     reply_to: str
@@ -33,7 +33,7 @@
 
 
 class SuspendedItem(Struct, frozen=True):
-    """A batch item that gave way, with its output so far."""
+    """A preempted batch item, with its output so far."""
 
     job_id: str
     index: int
@@ -57,11 +57,11 @@
 
     @property
     def free(self) -> int:
-        """Slots that no stream has."""
+        """Slots that no stream occupies."""
         return self.slots - self.online_count - self.batch_count
 
     def add(self, running: RunningWork) -> None:
-        """Note a started stream."""
+        """Record a started stream."""
         self.running[running.work.request_id] = running
         if running.is_batch:
             self.batch_count += 1
@@ -69,7 +69,7 @@
             self.online_count += 1
 
     def remove(self, request_id: str, attempt: int) -> RunningWork | None:
-        """Note the end of a stream; None when it is not the one that runs here."""
+        """Record the end of a stream; return None if this attempt does not run here."""
         running = self.running.get(request_id)
         if running is None or running.work.attempt != attempt:
             return None
@@ -82,14 +82,14 @@
         return running
 
     def mark_stopping(self, running: RunningWork) -> None:
-        """Note that a batch stream was told to stop and will free its slot."""
+        """Record that a stop was sent to a batch stream, which will free its slot."""
         running.stopping = True
         self.stopping_count += 1
 
     def youngest_batch(self) -> RunningWork | None:
         """Return the batch stream that has run for the shortest time and is not stopping.
 
-        It has the least output and so the cheapest resume.
+        It has the least output, so its resume costs the least.
         """
         candidates = [
             running
--- a/src/cloverwalk/core/retry_budget.py
+++ b/src/cloverwalk/core/retry_budget.py
@@ -1,12 +1,11 @@
-"""A retry budget: retries are a bounded share of first tries.
+"""A retry budget, which limits retries to a fraction of first tries.
 
-Without one, a brown-out multiplies load by the number of retries just when the fleet
-can bear it least.
+Without it, retries would multiply the load while the fleet is already overloaded.
 """
 
 
 class RetryBudget:
-    """Each first try earns ``ratio`` of a retry; at most ``reserve`` may be saved up.
+    """Each first try adds ``ratio`` retries to the budget, up to ``reserve``.
 
     >>> budget = RetryBudget(ratio=0.5, reserve=1.0)
     >>> budget.spend(), budget.spend()
@@ -21,11 +20,11 @@
         self._balance = reserve
 
     def earn(self) -> None:
-        """Count a first try."""
+        """Add the share of one first try to the budget."""
         self._balance = min(self._reserve, self._balance + self._ratio)
 
     def spend(self) -> bool:
-        """Take one retry if the budget has it."""
+        """Take one retry from the budget; return whether it was available."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/src/cloverwalk/core/store_types.py
+++ b/src/cloverwalk/core/store_types.py
@@ -1,4 +1,4 @@
-"""The platform's table service as nodes see it: rows, transactions and their answers."""
+"""Rows, transactions and replies of the platform's table service."""
 
 from enum import StrEnum
 
@@ -15,7 +15,7 @@
 
 
 class Check(Struct, frozen=True):
-    """A condition: the row stands at this version; 0 means that there is no such row."""
+    """A condition: the row has this version; 0 means that the row does not exist."""
 
     key: str
     version: int
@@ -29,7 +29,7 @@
 
 
 class Transaction(Struct, frozen=True):
-    """All checks hold and all writes happen, or nothing happens."""
+    """An atomic transaction: if any check fails, nothing is written."""
 
     op_id: str
     checks: list[Check]
@@ -42,12 +42,12 @@
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    UNAVAILABLE = "unavailable"  # not applied, for certain
+    UNAVAILABLE = "unavailable"  # certainly not applied
     UNKNOWN = "unknown"  # no answer; it may have been applied
 
 
 class CommitReply(Struct, frozen=True):
-    """The answer to a transaction; on conflict, the rows whose checks failed (as they are)."""
+    """The answer to a transaction; on conflict, the current rows whose checks failed."""
 
     status: CommitStatus
     conflicts: list[Row] = []
--- a/src/cloverwalk/core/token_bucket.py
+++ b/src/cloverwalk/core/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose clock is passed in."""
+"""A token bucket; callers pass in the current time."""
 
 
 class TokenBucket:
@@ -21,14 +21,14 @@
         self._updated_at = now
 
     def set_rate(self, rate_per_s: float, burst: float, now: float) -> None:
-        """Change the rate in force from ``now`` on; a smaller burst caps the level."""
+        """Change the rate and burst from ``now`` on; a smaller burst caps the level."""
         self._refill(now)
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._level = min(self._level, burst)
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Take ``amount`` if it is there; return whether it was."""
+        """Take ``amount`` if it is available; return whether it was."""
         self._refill(now)
         if self._level + 1e-9 < amount:
             return False
@@ -36,31 +36,31 @@
         return True
 
     def has(self, now: float, amount: float) -> bool:
-        """Whether ``amount`` is there; takes nothing."""
+        """Return whether ``amount`` is available, without taking it."""
         self._refill(now)
         return self._level + 1e-9 >= amount
 
     def take_on_credit(self, now: float, amount: float) -> None:
-        """Take ``amount`` though it may not be there; later takes wait until it is paid."""
+        """Take ``amount`` even if the level becomes negative; later calls wait for the refill."""
         self._refill(now)
         self._level -= amount
 
     def give_back(self, amount: float) -> None:
-        """Return what was taken for something that did not happen."""
+        """Refund tokens of an operation that did not happen, up to the burst."""
         self._level = min(self.burst, self._level + amount)
 
     def level(self, now: float) -> float:
-        """Return how much is there; less than 0 after a take on credit."""
+        """Return the available tokens; negative after ``take_on_credit``."""
         self._refill(now)
         return self._level
 
     def drain_to(self, level: float, now: float) -> None:
-        """Leave ``level`` at the most."""
+        """Reduce the available tokens to at most ``level``."""
         self._refill(now)
         self._level = min(self._level, level)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
-        """Return the seconds until ``amount`` could be taken."""
+        """Return the seconds until ``amount`` is available."""
         self._refill(now)
         if self.rate_per_s <= 0:
             return float("inf")
--- a/src/cloverwalk/core/types.py
+++ b/src/cloverwalk/core/types.py
@@ -1,4 +1,4 @@
-"""The plain nouns that every layer shares: outcomes, work, results and stored rows."""
+"""Types that all layers share: outcomes, work, results and stored rows."""
 
 from enum import StrEnum
 
@@ -11,12 +11,12 @@
     COMPLETED = "completed"
     CANCELLED = "cancelled"
     FAILED = "failed"
-    NOT_RUN = "not_run"  # proved: never sent to an engine, or refused by it before start
+    NOT_RUN = "not_run"  # certain: never sent to an engine, or refused before the start
     OUTCOME_UNKNOWN = "outcome_unknown"
 
 
 class Refusal(StrEnum):
-    """Why a node or a replica owner did not take work. All of them imply ``not_run``."""
+    """Why a node or a replica owner refused work. All reasons imply ``not_run``."""
 
     BUSY = "busy"
     LEAVING = "leaving"
@@ -51,9 +51,9 @@
 
 
 class Result(Struct, frozen=True):
-    """The recorded end of a request; the first one recorded stands for good.
+    """The recorded end of a request; the first recorded result is final.
 
-    ``fingerprint`` names the request's content, so that a key is not used for two.
+    ``fingerprint`` identifies the request's content, so that one key is not used for two.
     """
 
     request_id: str
@@ -140,7 +140,7 @@
 
 
 class LivenessRow(Struct, frozen=True):
-    """A node's one renewed row: all of its leases stand or fall with it."""
+    """The single row that a node renews; all its leases are valid only as long as this row."""
 
     node: str
     incarnation: str
@@ -149,7 +149,7 @@
 
 
 class Machine(Struct, frozen=True):
-    """One entry of the platform's machine list, which lags."""
+    """An entry of the platform's machine list, which lags behind the real state."""
 
     machine_id: str
     zone: str
--- a/src/cloverwalk/core/weight_table.py
+++ b/src/cloverwalk/core/weight_table.py
@@ -1,7 +1,7 @@
 """The table of weights and limits that operators edit.
 
-One row per (session, kind); ``*`` stands for any. A row's empty cell falls back to the
-less specific rows: (session, kind), (session, *), (*, kind), (*, *).
+Each row has a (session, kind) key; ``*`` matches any. An empty cell falls back to the next
+less specific row, in the order (session, kind), (session, *), (*, kind), (*, *).
 """
 
 import csv
@@ -45,26 +45,26 @@
 
 
 class WeightTable(Struct, frozen=True):
-    """An accepted version of the whole table. Versions only grow."""
+    """An accepted version of the whole table. Versions only increase."""
 
     version: int
     rows: list[TableRow]
 
 
 class TableKey(Struct, frozen=True):
-    """What names a row."""
+    """The key of a row."""
 
     session: str
     kind: str
 
 
 def key_of(row: TableRow) -> TableKey:
-    """Return what names a row."""
+    """Return the key of a row."""
     return TableKey(row.session, row.kind)
 
 
 class EffectiveRow(Struct, frozen=True):
-    """What holds for one session and kind after the defaults are filled in."""
+    """The settings of one session and kind, with fallbacks applied."""
 
     work_class: str | None
     weight: float
@@ -79,7 +79,7 @@
 
 
 def resolve(table: WeightTable, session: str, kind: str) -> EffectiveRow:
-    """Return what is in force for one session and kind.
+    """Return the effective settings of one session and kind.
 
     >>> table = WeightTable(1, [TableRow("*", "*", weight=1.0), TableRow("quiz", "*", weight=4.0)])
     >>> resolve(table, "quiz", "ruling").weight, resolve(table, "other", "ruling").weight
@@ -148,12 +148,12 @@
 
 
 def check_rows(rows: Sequence[TableRow]) -> None:
-    """Raise WeightTableError when two rows have one key."""
+    """Raise WeightTableError if two rows have the same key."""
     seen: set[tuple[str, str]] = set()
     for number, row in enumerate(rows, start=1):
         key = (row.session, row.kind)
         if key in seen:
-            raise WeightTableError(f"row {key} stands twice", f"row {number}")
+            raise WeightTableError(f"duplicate row {key}", f"row {number}")
         seen.add(key)
 
 
@@ -171,12 +171,12 @@
 
 
 def in_order(rows: Iterable[TableRow]) -> list[TableRow]:
-    """Return rows in the order in which tables keep them."""
+    """Return the rows sorted by key, as tables store them."""
     return sorted(rows, key=lambda row: (row.session, row.kind))
 
 
 def rows_to_csv(rows: Iterable[TableRow]) -> str:
-    """Return the rows as CSV, empty cells for None; a spreadsheet opens it."""
+    """Return the rows as CSV with a header line; None becomes an empty cell."""
     buffer = io.StringIO()
     writer = csv.writer(buffer, lineterminator="\n")
     writer.writerow(COLUMNS)
@@ -198,7 +198,7 @@
 
 
 def removed_keys(before: WeightTable, after: WeightTable) -> list[TableKey]:
-    """Return the keys that ``after`` no longer has."""
+    """Return the keys of ``before`` that ``after`` does not have."""
     kept = {key_of(row) for row in after.rows}
     return [key_of(row) for row in before.rows if key_of(row) not in kept]
 
@@ -206,7 +206,7 @@
 def patched(
     table: WeightTable, version: int, changed: Sequence[TableRow], removed: Sequence[TableKey]
 ) -> WeightTable:
-    """Return the table that a patch makes of ``table``; the order of rows is by key.
+    """Return ``table`` with a patch applied and its rows sorted by key.
 
     >>> old = WeightTable(1, [TableRow("*", "*", weight=1.0), TableRow("a", "*")])
     >>> new = WeightTable(2, [TableRow("*", "*", weight=2.0)])
--- a/tests/unit/test_batch_job.py
+++ b/tests/unit/test_batch_job.py
@@ -1,4 +1,4 @@
-"""The job's state machine: every item ends once, whatever is lost or comes twice."""
+"""Every item of a job ends exactly once, despite losses and duplicates."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
--- a/tests/unit/test_collect.py
+++ b/tests/unit/test_collect.py
@@ -1,4 +1,4 @@
-"""A caller's answer is whole and its own, whatever order the chunks come in."""
+"""Collected answers are complete and unmixed for any order of chunks."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 @st.composite
 def deliveries(draw: st.DrawFn) -> list[Chunk]:
-    """Chunks of the right attempt, late, twice and out of order, among foreign ones."""
+    """Chunks of the current attempt, duplicated and out of order, among those of others."""
     cuts = sorted(draw(st.sets(st.integers(1, 11), max_size=6)))
     edges = [0, *cuts, 12]
     right = [
--- a/tests/unit/test_decisions.py
+++ b/tests/unit/test_decisions.py
@@ -1,4 +1,4 @@
-"""Properties of the smaller decisions in core."""
+"""Tests of the decision modules in core."""
 
 from random import Random
 
--- a/tests/unit/test_model_placement.py
+++ b/tests/unit/test_model_placement.py
@@ -1,4 +1,4 @@
-"""Placement of models: never the last replica of a model in use, and it comes to rest."""
+"""Model placement keeps the last replica of a model in use and converges under steady demand."""
 
 from collections import Counter
 
--- a/tests/unit/test_problem.py
+++ b/tests/unit/test_problem.py
@@ -1,4 +1,4 @@
-"""The earlier daemon's problem answers: a promising status only for what has not run."""
+"""Error responses of the pipeline use a retryable status only if the request did not run."""
 
 from types import SimpleNamespace
 from typing import Any
