--- a/src/cloverwalk/core/batch_job.py
+++ b/src/cloverwalk/core/batch_job.py
@@ -128,9 +128,9 @@
 
     def give_back(self, index: int, node: str, resume_text: str = "") -> None:
         """Return an unfinished item to the front of the queue, to resume from ``resume_text``."""
-        holder = self._holders.get(index)
-        if holder is None or holder.node != node:
-            return  # the item is assigned to another node now
+        assignment = self._holders.get(index)
+        if assignment is None or assignment.node != node:
+            return  # the item is no longer assigned to this node
         del self._holders[index]
         self._state[index] = ItemState.PENDING
         self.pending_count += 1
@@ -141,20 +141,20 @@
     def confirm(self, node: str, indexes: Iterable[int], now: float) -> None:
         """Record that ``node`` confirmed that it has these items."""
         for index in indexes:
-            holder = self._holders.get(index)
-            if holder is not None and holder.node == node:
+            assignment = self._holders.get(index)
+            if assignment is not None and assignment.node == node:
                 self._holders[index] = _Assignment(node, now)
 
     def take_back_unconfirmed(self, now: float, grace_s: float) -> None:
         """Return items that were not confirmed for ``grace_s`` to the queue."""
-        for index, holder in list(self._holders.items()):
-            if now - holder.confirmed_at > grace_s:
-                self.give_back(index, holder.node)
+        for index, assignment in list(self._holders.items()):
+            if now - assignment.confirmed_at > grace_s:
+                self.give_back(index, assignment.node)
 
     def node_lost(self, node: str) -> None:
         """Return all items of a lost node to the queue."""
-        for index, holder in list(self._holders.items()):
-            if holder.node == node:
+        for index, assignment in list(self._holders.items()):
+            if assignment.node == node:
                 self.give_back(index, node)
 
     def finish(self, result: ItemResult) -> bool:
--- a/src/cloverwalk/core/fair_share.py
+++ b/src/cloverwalk/core/fair_share.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, max_lead: float = 0.0) -> None:
-        """Set ``max_lead``, the largest virtual-time lead of a class; see ``charge``."""
+        """Set ``max_lead``, the virtual-time lead up to which ``charge`` counts service."""
         self._max_lead = max_lead
         self._finish: dict[ClassKey, float] = {}
         self._system_time = 0.0
@@ -71,7 +71,7 @@
         ``waiting`` are the classes with queued work. The virtual time of the system does not
         pass the lowest finish time of these, so they keep their order, and it follows ``key``
         at a distance of ``max_lead``, which bounds the credit of an idle class. A class that is
-        already further ahead than ``max_lead`` is not charged for service out of turn.
+        more than ``max_lead`` ahead of the lowest is not charged for service out of turn.
         """
         start = self._start_time(key)
         lead_floor = start - self._max_lead
--- a/src/cloverwalk/core/model_placement.py
+++ b/src/cloverwalk/core/model_placement.py
@@ -46,6 +46,8 @@
 ) -> ModelChange | None:
     """Return the change with the largest gain, or None if no gain is large enough.
 
+    A model with demand and no replica gets one regardless of the minimum gain.
+
     >>> replicas = [PlacedReplica("r1", "a", 0.5), PlacedReplica("r2", "a", 0.1)]
     >>> plan_change(replicas, {"a": 5.0, "b": 5.0})
     ModelChange(replica='r2', model='b')
--- a/src/cloverwalk/core/policies.py
+++ b/src/cloverwalk/core/policies.py
@@ -16,9 +16,7 @@
     uses_priority: bool = True  # online work has a higher priority at the engine
     slots_factor: int = 1  # above 1 the engine's own queue is filled as well
     packs_online: bool = True  # online work is packed on few replicas
-    batch_share: float | None = (
-        None  # fraction of replicas that run only batch; the others run only online work
-    )
+    batch_share: float | None = None  # fraction of replicas for batch; the rest runs online work
 
 
 def takes_batch(policy: SchedulingPolicy, replica: str) -> bool:
--- a/src/cloverwalk/core/weight_table.py
+++ b/src/cloverwalk/core/weight_table.py
@@ -116,7 +116,7 @@
         return None
     if column == "class":
         if text not in CLASSES:
-            raise WeightTableError(f"found {text!r}, allowed are online, batch", column)
+            raise WeightTableError(f"found {text!r}; expected online or batch", column)
         return text
     return _parse_number(column, text)
 
@@ -126,11 +126,11 @@
         number = int(text) if column in _INTEGER_COLUMNS else float(text)
     except ValueError:
         expected = "a whole number" if column in _INTEGER_COLUMNS else "a number"
-        raise WeightTableError(f"found {text!r}, allowed is {expected}", column) from None
+        raise WeightTableError(f"found {text!r}; expected {expected}", column) from None
     must_be_positive = column in _POSITIVE_COLUMNS
     if not number < float("inf") or number < 0 or (must_be_positive and number == 0):
         expected = "a number above 0" if must_be_positive else "0 or more"
-        raise WeightTableError(f"found {text!r}, allowed is {expected}", column)
+        raise WeightTableError(f"found {text!r}; expected {expected}", column)
     return number
 
 
@@ -153,7 +153,7 @@
     for number, row in enumerate(rows, start=1):
         key = (row.session, row.kind)
         if key in seen:
-            raise WeightTableError(f"duplicate row {key}", f"row {number}")
+            raise WeightTableError(f"row {key} is a duplicate", f"row {number}")
         seen.add(key)
 
 
