--- a/src/cloverwalk/core/fair_share.py
+++ b/src/cloverwalk/core/fair_share.py
@@ -103,7 +103,7 @@
         self._finish[key] = min(bound, finish + cost / weight)
 
     def put_ahead(self, key: ClassKey, lead: float) -> None:
-        """Set the lead of a class from an earlier tracker's value, at most ``max_lead``."""
+        """Set the lead of a class, for instance from replicated usage; ``max_lead`` at most."""
         self._finish[key] = self._system_time + min(self._max_lead, max(0.0, lead))
 
     def _remove_idle(self) -> None:
