--- a/src/cloverwalk/core/batch_job.py
+++ b/src/cloverwalk/core/batch_job.py
@@ -1,6 +1,7 @@
-"""The state of one batch job at its owner: which items are pending, running, done.
+"""The state of one batch job at its owner: which items are pending, running or done.
 
-An item is done when its segment is committed. Until then a lost run costs only a rerun.
+An item is done when the segment with its result is committed. An item that is lost before
+that is run again.
 """
 
 from collections import deque
@@ -22,20 +23,20 @@
 
 
 class Handout(Struct, frozen=True):
-    """An item given to a replica owner, with the output of an earlier run to continue."""
+    """An item assigned to a replica owner, with the output of an earlier run to resume from."""
 
     index: int
     item: BatchItem
     resume_text: str
 
 
-class _Holder(Struct, frozen=True):
+class _Assignment(Struct, frozen=True):
     node: str
-    since: float
+    confirmed_at: float
 
 
 class BatchJob:
-    """Items of a job. Parts of the manifest are loaded only when their turn comes.
+    """The items of a job. Parts of the manifest are loaded as they are needed.
 
     >>> row = JobRow("j", "s", "k", "m", item_count=3, part_size=2, body_hash="", submitted_at=0.0)
     >>> job = BatchJob(row, done=[0])
@@ -59,18 +60,18 @@
         self._prompt_chars = 0
         self._prompt_count = 0
         self._loading = False
-        self._holders: dict[int, _Holder] = {}
+        self._holders: dict[int, _Assignment] = {}
         self._resume_text: dict[int, str] = {}
         self.finished: list[ItemResult] = []
 
     @property
     def running_count(self) -> int:
-        """Items handed out and not yet back."""
+        """Items that are assigned to a replica owner and have no result."""
         return len(self._holders)
 
     @property
     def part_count(self) -> int:
-        """Parts of the manifest."""
+        """The number of parts of the manifest."""
         return -(-self.row.item_count // self.row.part_size)
 
     @property
@@ -84,7 +85,7 @@
         return self._prompt_chars / max(1, self._prompt_count)
 
     def part_to_load(self) -> int | None:
-        """Return the next part to fetch, or None while enough items are in hand."""
+        """Return the next part to fetch, or None while enough items are queued."""
         if self._loading or self._next_part >= self.part_count:
             return None
         if len(self._queue) > self.row.part_size // 2:
@@ -92,15 +93,15 @@
         return self._next_part
 
     def loading(self) -> None:
-        """Note that the part from :meth:`part_to_load` is being fetched."""
+        """Mark the part from :meth:`part_to_load` as being fetched."""
         self._loading = True
 
     def load_failed(self) -> None:
-        """Note that the fetch failed; the part is asked for again."""
+        """Record that the fetch failed; :meth:`part_to_load` returns the part again."""
         self._loading = False
 
     def load(self, items: list[BatchItem]) -> None:
-        """Take the items of the next part."""
+        """Add the items of the next part to the queue."""
         first = self._next_part * self.row.part_size
         self._next_part += 1
         self._loading = False
@@ -112,24 +113,24 @@
                 self._queue.append(index)
 
     def take(self, count: int, node: str, now: float) -> list[Handout]:
-        """Hand out up to ``count`` items to a replica owner's node."""
-        taken: list[Handout] = []
-        while self._queue and len(taken) < count:
+        """Assign up to ``count`` items to the node of a replica owner."""
+        handouts: list[Handout] = []
+        while self._queue and len(handouts) < count:
             index = self._queue.popleft()
             if self._state[index] != ItemState.PENDING:
-                continue  # an earlier holder's result came in meanwhile
+                continue  # a node that had the item before sent its result
             self._state[index] = ItemState.RUNNING
             self.pending_count -= 1
-            self._holders[index] = _Holder(node, now)
+            self._holders[index] = _Assignment(node, now)
             resume_text = self._resume_text.get(index, "")
-            taken.append(Handout(index, self._loaded[index], resume_text))
-        return taken
+            handouts.append(Handout(index, self._loaded[index], resume_text))
+        return handouts
 
     def give_back(self, index: int, node: str, resume_text: str = "") -> None:
-        """Take back an item that did not end; it goes next, from where it stopped."""
-        holder = self._holders.get(index)
-        if holder is None or holder.node != node:
-            return  # another node has it by now
+        """Return an unfinished item to the front of the queue, to resume from ``resume_text``."""
+        assignment = self._holders.get(index)
+        if assignment is None or assignment.node != node:
+            return  # the item is no longer assigned to this node
         del self._holders[index]
         self._state[index] = ItemState.PENDING
         self.pending_count += 1
@@ -137,27 +138,27 @@
             self._resume_text[index] = resume_text
         self._queue.appendleft(index)
 
-    def confirm(self, node: str, held: Iterable[int], now: float) -> None:
-        """Note that ``node`` says it has these items."""
-        for index in held:
-            holder = self._holders.get(index)
-            if holder is not None and holder.node == node:
-                self._holders[index] = _Holder(node, now)
+    def confirm(self, node: str, indexes: Iterable[int], now: float) -> None:
+        """Record that ``node`` confirmed that it has these items."""
+        for index in indexes:
+            assignment = self._holders.get(index)
+            if assignment is not None and assignment.node == node:
+                self._holders[index] = _Assignment(node, now)
 
     def take_back_unconfirmed(self, now: float, grace_s: float) -> None:
-        """Take back items that nobody has confirmed to hold for ``grace_s``."""
-        for index, holder in list(self._holders.items()):
-            if now - holder.since > grace_s:
-                self.give_back(index, holder.node)
+        """Return items that were not confirmed for ``grace_s`` to the queue."""
+        for index, assignment in list(self._holders.items()):
+            if now - assignment.confirmed_at > grace_s:
+                self.give_back(index, assignment.node)
 
     def node_lost(self, node: str) -> None:
-        """Take back all items of a lost node."""
-        for index, holder in list(self._holders.items()):
-            if holder.node == node:
+        """Return all items of a lost node to the queue."""
+        for index, assignment in list(self._holders.items()):
+            if assignment.node == node:
                 self.give_back(index, node)
 
     def finish(self, result: ItemResult) -> bool:
-        """Take a result; return False for one that came before (a duplicate)."""
+        """Record a result; return False for a duplicate."""
         index = result.index
         state = self._state[index]
         if state not in (ItemState.PENDING, ItemState.RUNNING):
@@ -172,15 +173,15 @@
         return True
 
     def committed(self, results: list[ItemResult]) -> None:
-        """Note that a segment with these results is committed."""
+        """Mark the items of a committed segment as done."""
         for result in results:
             self._state[result.index] = ItemState.DONE
         self.done_count += len(results)
         self.finished = self.finished[len(results) :]
 
     def slack_s(self, wall_now: float, items_per_s: float) -> float:
-        """Return the seconds to spare before the deadline at the given speed."""
+        """Return the seconds left between the expected end at ``items_per_s`` and the deadline."""
         if self.row.deadline_at is None:
             return float("inf")
-        left = self.pending_count + self.running_count
-        return self.row.deadline_at - wall_now - left / max(items_per_s, 1e-9)
+        remaining_items = self.pending_count + self.running_count
+        return self.row.deadline_at - wall_now - remaining_items / max(items_per_s, 1e-9)
--- a/tests/unit/test_collect.py
+++ b/tests/unit/test_collect.py
@@ -1,4 +1,4 @@
-"""A caller's answer is whole and its own, whatever order the chunks come in."""
+"""Collected answers are complete and unmixed for any order of chunks."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 
 @st.composite
 def deliveries(draw: st.DrawFn) -> list[Chunk]:
-    """Chunks of the right attempt, late, twice and out of order, among foreign ones."""
+    """Chunks of the current attempt, duplicated and out of order, among those of others."""
     cuts = sorted(draw(st.sets(st.integers(1, 11), max_size=6)))
     edges = [0, *cuts, 12]
     right = [
@@ -43,7 +43,7 @@
         assert not collector.is_whole or collector.text == "".join(WORDS)
 
 
-def test_another_attempt_continues_and_drops_the_old_ones_chunks() -> None:
+def test_next_attempt_continues_text_and_drops_old_chunks() -> None:
     collector = Collector("r", attempt=1)
     collector.add(Chunk("r", 1, 0, 2, "a b"))
     assert collector.next_attempt() == 2
