--- a/src/cloverwalk/core/catalogue.py
+++ b/src/cloverwalk/core/catalogue.py
@@ -243,7 +243,7 @@
     330,
     "replica_pace_changed",
     _I,
-    "A replica became slower or faster than its baseline, or returned to it.",
+    "A replica's long-term baseline left the usual time of its service, or is usual again.",
 )
 SLOT_TIME = _event(
     430, "slot_time", _I, "Slot-seconds of the replicas since the previous such line, by use."
