--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(ROOT / "tests" / "serving"))
 
 from coordination_world import CoordinationWorld  # noqa: E402
-from test_crash_cases import NODES, REQUEST_INTERVAL_S, Clients, Disturbances  # noqa: E402
+from test_crash_records import NODES, REQUEST_INTERVAL_S, Clients, Disturbances  # noqa: E402
 
 from cloverwalk.fleet.messages import CrashCases  # noqa: E402
 from cloverwalk.gateway.content_hash import hash_content  # noqa: E402
