--- a/bench/returning.py
+++ b/bench/returning.py
@@ -18,8 +18,8 @@
 sys.path.insert(0, str(ROOT / "tests" / "serving"))
 
 from returning_world import (  # noqa: E402
+    NO_ANSWER,
     RESET,
-    SILENT,
     ReturningWorld,
     SimulatedTime,
     in_simulated_time,
@@ -32,7 +32,7 @@
 COUNTED_S = 6.0
 """Calls and messages are counted for so long after the start."""
 
-STATUS_BY_NAME = {"429": 429, "503": 503, "reset": RESET, "silence": SILENT}
+STATUS_BY_NAME = {"429": 429, "503": 503, "reset": RESET, "silence": NO_ANSWER}
 
 
 @click.command()
--- a/tests/serving/returning_world.py
+++ b/tests/serving/returning_world.py
@@ -58,7 +58,7 @@
 
 ZONES = ("z1", "z2", "z3")
 SEEDS = 3
-RESET, SILENT = 0, -1
+RESET, NO_ANSWER = 0, -1
 """Pseudo statuses of refusals: the connection is reset, or no answer is sent."""
 
 LINK_BYTES_PER_S = 3_750_000
@@ -148,7 +148,7 @@
         refusal = self.refuses(host)
         if refusal == RESET:
             raise LostAnswerError("reset")
-        if refusal == SILENT:
+        if refusal == NO_ANSWER:
             await curio.sleep(3600)
         if refusal is not None:
             return HttpResponse(refusal, {}, b"")
--- a/tests/serving/test_return.py
+++ b/tests/serving/test_return.py
@@ -5,8 +5,8 @@
 import curio
 import pytest
 from returning_world import (
+    NO_ANSWER,
     RESET,
-    SILENT,
     ReturningWorld,
     SimulatedTime,
     in_simulated_time,
@@ -61,7 +61,7 @@
     in_simulated_time(test)
 
 
-@pytest.mark.parametrize("refusal", [429, 503, RESET, SILENT])
+@pytest.mark.parametrize("refusal", [429, 503, RESET, NO_ANSWER])
 def test_nodes_that_the_store_refuses_serve_soon_after_restart(refusal: int) -> None:
     async def test(time: SimulatedTime) -> None:
         await restart_all_nodes(
@@ -71,7 +71,7 @@
     in_simulated_time(test)
 
 
-@pytest.mark.parametrize("refusal", [503, SILENT])
+@pytest.mark.parametrize("refusal", [503, NO_ANSWER])
 def test_fleet_serves_soon_if_store_refuses_coordinator_and_standbys(refusal: int) -> None:
     async def test(time: SimulatedTime) -> None:
         await restart_all_nodes(
