--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the test run: fixed Hypothesis cases, and the tests that are known to be red."""
+"""Settings of the test run: fixed Hypothesis cases, and the tests that are known to fail."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 settings.load_profile("fixed")
 
 KNOWN_RED = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def known_red() -> dict[str, str]:
@@ -18,12 +18,12 @@
         return {}
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
     entries = [line.split(" | ", 1) for line in lines if line.strip()]
-    assert len(entries) <= MOST_KNOWN_RED, "KNOWN-RED.txt lists more than three tests"
+    assert len(entries) <= MAX_KNOWN_RED, "KNOWN-RED.txt lists more than three tests"
     return {test: reason for test, reason in entries}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run the listed tests, but do not fail the whole run by them."""
+    """Mark the listed tests as expected failures: they run, but do not fail the whole run."""
     reasons = known_red()
     for item in items:
         if item.nodeid in reasons:
--- a/tests/interface_source.py
+++ b/tests/interface_source.py
@@ -19,10 +19,10 @@
 """Functions whose literals are names of Python attributes or types."""
 
 LOG_CALL = ServingLog.write.__name__
-"""Calls of it are told also where they don't name their event."""
+"""Calls of this method are listed even where they don't name their event."""
 
 CLICK_CALLS = {"argument", "option"}
-"""Their literals name Python parameters too; what they tell users is read from the commands."""
+"""Their literals name Python parameters too; what users see is read from the commands."""
 
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
@@ -58,23 +58,23 @@
             numbers |= numbers_of.get(first.id, set())
         is_log_call = isinstance(node.func, ast.Attribute) and node.func.attr == LOG_CALL
         if numbers or is_log_call:
-            for told in list(map(str, sorted(numbers))) or ["of any event"]:
-                yield from (f"log field: {told} {one}" for one in _fields(node))
+            for event in list(map(str, sorted(numbers))) or ["of any event"]:
+                yield from (f"log field: {event} {field}" for field in _fields(node))
 
 
 def _fields(call: ast.Call) -> set[str]:
     """Return the names of the fields that a call writes, by keyword or in a literal map."""
-    fields = {one.arg for one in call.keywords if one.arg}
+    fields = {field.arg for field in call.keywords if field.arg}
     for argument in call.args[1:]:
         if isinstance(argument, ast.Dict):
-            fields |= {str(one.value) for one in argument.keys if isinstance(one, ast.Constant)}
+            fields |= {str(key.value) for key in argument.keys if isinstance(key, ast.Constant)}
     return fields
 
 
 def _event_numbers(expression: ast.expr, module: ModuleType) -> set[int]:
     """Return the events that an expression names."""
-    values = (_value(one, module) for one in ast.walk(expression) if _is_event(one, module))
-    return {one for one in values if isinstance(one, int)}
+    values = (_value(node, module) for node in ast.walk(expression) if _is_event(node, module))
+    return {value for value in values if isinstance(value, int)}
 
 
 def _is_event(node: ast.AST, module: ModuleType) -> bool:
@@ -82,8 +82,8 @@
         case ast.Attribute():
             return _value(node.value, module) is catalogue
         case ast.Name():
-            known = vars(catalogue).get(node.id)
-            return known in catalogue.CATALOGUE if isinstance(known, int) else False
+            value = vars(catalogue).get(node.id)
+            return value in catalogue.CATALOGUE if isinstance(value, int) else False
     return False
 
 
@@ -92,21 +92,21 @@
     raised = _value(call.func, module)
     if not isinstance(raised, type) or not issubclass(raised, CloverwalkError):
         return
-    for argument in (*call.args, *(one.value for one in call.keywords)):
+    for argument in (*call.args, *(keyword.value for keyword in call.keywords)):
         value = _value(argument, module)
         if isinstance(value, str) and WORD.fullmatch(value):
             yield f"error: {value}"
 
 
 def _error_class_lines() -> Iterator[str]:
-    for found in (CloverwalkError, *project_subclasses(CloverwalkError)):
-        for name, value in vars(found).items():
+    for error_class in (CloverwalkError, *project_subclasses(CloverwalkError)):
+        for name, value in vars(error_class).items():
             if isinstance(value, str) and not name.startswith("__"):
                 yield f"error: default {value}"
 
 
 def _route_lines(call: ast.Call) -> Iterator[str]:
-    texts = [one.value for one in call.args[:2] if isinstance(one, ast.Constant)]
+    texts = [argument.value for argument in call.args[:2] if isinstance(argument, ast.Constant)]
     if len(texts) == 2 and texts[0] in METHODS:
         yield f"call: {texts[0]} {texts[1]!s}"
 
@@ -115,8 +115,8 @@
     for name, value in vars(names).items():
         if name.startswith("__"):
             continue
-        for one in sorted(value) if isinstance(value, frozenset) else [value]:
-            yield f"platform: {one.decode() if isinstance(one, bytes) else one}"
+        for item in sorted(value) if isinstance(value, frozenset) else [value]:
+            yield f"platform: {item.decode() if isinstance(item, bytes) else item}"
 
 
 def _value(expression: ast.AST, module: ModuleType) -> object:
@@ -133,19 +133,21 @@
 
 def _words(tree: ast.AST) -> Iterator[str]:
     """Return the literals of one word, and the parts of paths; no docstrings, no type names."""
-    rest: list[ast.AST] = [tree]
-    while rest:
-        node = rest.pop()
+    remaining: list[ast.AST] = [tree]
+    while remaining:
+        node = remaining.pop()
         if isinstance(node, ast.Constant):
             text = node.value.decode("latin-1") if isinstance(node.value, bytes) else node.value
             if isinstance(text, str) and len(text) > 1 and WORD.fullmatch(text):
                 yield from [] if text.startswith("__") else [text]
         elif isinstance(node, ast.JoinedStr):
-            pieces = (str(one.value) for one in node.values if isinstance(one, ast.Constant))
-            yield from (one for one in pieces if one.startswith("/") and WORD.fullmatch(one))
-            rest += [one for one in node.values if isinstance(one, ast.FormattedValue)]
+            pieces = (str(part.value) for part in node.values if isinstance(part, ast.Constant))
+            yield from (
+                piece for piece in pieces if piece.startswith("/") and WORD.fullmatch(piece)
+            )
+            remaining += [part for part in node.values if isinstance(part, ast.FormattedValue)]
         else:
-            rest += _children(node)
+            remaining += _children(node)
 
 
 def _children(node: ast.AST) -> list[ast.AST]:
@@ -156,13 +158,13 @@
     if isinstance(node, ast.Call) and _called_name(node) in PYTHON_NAMES_IN:
         return []
     if isinstance(node, ast.Call) and _called_name(node) in CLICK_CALLS:
-        return [one.value for one in node.keywords]
+        return [keyword.value for keyword in node.keywords]
     skipped = {"annotation", "returns"}
     parts: list[ast.AST] = []
     for name, value in ast.iter_fields(node):
         if name not in skipped:
-            found = value if isinstance(value, list) else [value]
-            parts += [one for one in found if isinstance(one, ast.AST)]
+            children = value if isinstance(value, list) else [value]
+            parts += [child for child in children if isinstance(child, ast.AST)]
     return parts
 
 
--- a/tests/interface_types.py
+++ b/tests/interface_types.py
@@ -77,7 +77,7 @@
     view,
     workload,
 )
-"""Modules whose types are not encoded themselves; a type that an encoded one contains is held."""
+"""Modules whose types are not encoded themselves; those that an encoded type contains are."""
 
 MEMORY_PACKAGES = (control,)
 MEMORY_TYPES = (batches._Cancel, batches._Submit, replicas._Suspicion)
@@ -88,57 +88,63 @@
 
 def project_modules() -> list[ModuleType]:
     """Return all modules of the project."""
-    found = pkgutil.walk_packages(cloverwalk.__path__, "cloverwalk.")
-    return [importlib.import_module(one.name) for one in found]
+    module_infos = pkgutil.walk_packages(cloverwalk.__path__, "cloverwalk.")
+    return [importlib.import_module(info.name) for info in module_infos]
 
 
 def type_lines() -> list[str]:
     """Return a line for each encoded type and each enumeration."""
     modules = project_modules()
-    shapes = [_struct_line(one) for one in _encoded_types()]
-    printed = [one for module in PRINTED_MODULES for one in _attrs_types(module)]
-    shapes += [f"printed: {' '.join(sorted(_attrs_names(one)))}" for one in printed]
-    return shapes + [_enum_line(one) for module in modules for one in _enums(module)]
+    shapes = [_struct_line(encoded_type) for encoded_type in _encoded_types()]
+    printed = [printed_type for module in PRINTED_MODULES for printed_type in _attrs_types(module)]
+    shapes += [
+        f"printed: {' '.join(sorted(_attrs_names(printed_type)))}" for printed_type in printed
+    ]
+    return shapes + [
+        _enum_line(enumeration) for module in modules for enumeration in _enums(module)
+    ]
 
 
 def array_orders() -> list[str]:
     """Return the attributes of each type that is encoded without names, in their order."""
-    found = [one for one in _encoded_types() if one.__struct_config__.array_like]  # type: ignore[attr-defined]
-    return sorted(" ".join(one.__struct_fields__) for one in found)  # type: ignore[attr-defined]
+    structs = [struct for struct in _encoded_types() if struct.__struct_config__.array_like]  # type: ignore[attr-defined]
+    return sorted(" ".join(struct.__struct_fields__) for struct in structs)  # type: ignore[attr-defined]
 
 
 def project_subclasses(base: type) -> Iterator[type]:
     """Return the project's classes below a base class, each once."""
-    found: dict[type, None] = {}
-    rest: list[type] = list(base.__subclasses__())
-    while rest:
-        one = rest.pop()
-        if one not in found:
-            found[one] = None
-            rest += one.__subclasses__()
-    return (one for one in found if one.__module__.startswith("cloverwalk."))
+    subclasses: dict[type, None] = {}
+    remaining: list[type] = list(base.__subclasses__())
+    while remaining:
+        subclass = remaining.pop()
+        if subclass not in subclasses:
+            subclasses[subclass] = None
+            remaining += subclass.__subclasses__()
+    return (subclass for subclass in subclasses if subclass.__module__.startswith("cloverwalk."))
 
 
 def _encoded_types() -> set[type]:
-    encoded = {one for one in project_subclasses(Struct) if not _is_memory_only(one)}
-    rest = list(encoded)
-    while rest:
-        parts = set(_contained(kinds.type_info(rest.pop()))) - encoded
+    encoded = {struct for struct in project_subclasses(Struct) if not _is_memory_only(struct)}
+    remaining = list(encoded)
+    while remaining:
+        parts = set(_contained(kinds.type_info(remaining.pop()))) - encoded
         encoded |= parts
-        rest += parts
+        remaining += parts
     return encoded
 
 
-def _is_memory_only(found: type) -> bool:
-    if found in MEMORY_TYPES or found.__module__ in {one.__name__ for one in MEMORY_MODULES}:
+def _is_memory_only(struct: type) -> bool:
+    if struct in MEMORY_TYPES or struct.__module__ in {
+        module.__name__ for module in MEMORY_MODULES
+    }:
         return True
-    return any(found.__module__.startswith(one.__name__ + ".") for one in MEMORY_PACKAGES)
+    return any(struct.__module__.startswith(package.__name__ + ".") for package in MEMORY_PACKAGES)
 
 
 def _contained(kind: Any) -> Iterator[type]:
     """Return the struct types that a kind names, without those inside of them."""
     fields = kind.fields if isinstance(kind, kinds.StructType) else ()
-    for part in (*(one.type for one in fields), *_parts(kind)):
+    for part in (*(field.type for field in fields), *_parts(kind)):
         if isinstance(part, kinds.StructType):
             yield part.cls
         else:
@@ -160,17 +166,18 @@
     return ()
 
 
-def _struct_line(found: type) -> str:
-    kind = kinds.type_info(found)
+def _struct_line(struct: type) -> str:
+    kind = kinds.type_info(struct)
     assert isinstance(kind, kinds.StructType)
     marks = [f"{kind.tag_field}={kind.tag}"] if kind.tag is not None else []
     marks += ["forbids unknown"] if kind.forbid_unknown_fields else []
-    marks += ["omits defaults"] if found.__struct_config__.omit_defaults else []  # type: ignore[attr-defined]
+    marks += ["omits defaults"] if struct.__struct_config__.omit_defaults else []  # type: ignore[attr-defined]
     if kind.array_like:
-        fields = [f"{_kind(one.type)}{_default(one)}" for one in kind.fields]
+        fields = [f"{_kind(field.type)}{_default(field)}" for field in kind.fields]
         return f"array{_marked(marks)}: {', '.join(fields)}"
     fields = [
-        f"{one.encode_name}:{_kind(one.type)}{'' if one.required else '?'}" for one in kind.fields
+        f"{field.encode_name}:{_kind(field.type)}{'' if field.required else '?'}"
+        for field in kind.fields
     ]
     return f"object{_marked(marks)}: {', '.join(sorted(fields))}"
 
@@ -184,20 +191,20 @@
     match kind:
         case kinds.StructType():
             tag = "" if kind.tag is None else f"{kind.tag} "
-            names = " ".join(sorted(one.encode_name for one in kind.fields))
+            names = " ".join(sorted(field.encode_name for field in kind.fields))
             return f"[{tag}{len(kind.fields)}]" if kind.array_like else f"{{{tag}{names}}}"
         case kinds.DataclassType():
-            return f"{{{' '.join(sorted(one.encode_name for one in kind.fields))}}}"
+            return f"{{{' '.join(sorted(field.encode_name for field in kind.fields))}}}"
         case kinds.EnumType():
             return f"enum({_values(kind.cls)})"
         case kinds.LiteralType():
-            return f"literal({' '.join(sorted(str(one) for one in kind.values))})"
+            return f"literal({' '.join(sorted(str(value) for value in kind.values))})"
         case kinds.UnionType():
-            return "|".join(sorted(_kind(one) for one in kind.types))
+            return "|".join(sorted(_kind(part) for part in kind.types))
         case kinds.CustomType():
             return "custom"
     name = type(kind).__name__.removesuffix("Type").lower()
-    inner = ",".join(_kind(one) for one in _parts(kind))
+    inner = ",".join(_kind(part) for part in _parts(kind))
     return f"{name}<{inner}>" if inner else name
 
 
@@ -210,29 +217,29 @@
 
 def _enums(module: ModuleType) -> list[type[enum.Enum]]:
     return [
-        one
-        for one in vars(module).values()
-        if isinstance(one, type)
-        and issubclass(one, enum.Enum)
-        and one.__module__ == module.__name__
+        value
+        for value in vars(module).values()
+        if isinstance(value, type)
+        and issubclass(value, enum.Enum)
+        and value.__module__ == module.__name__
     ]
 
 
-def _enum_line(found: type[enum.Enum]) -> str:
-    return f"enum: {_values(found)}"
+def _enum_line(enumeration: type[enum.Enum]) -> str:
+    return f"enum: {_values(enumeration)}"
 
 
-def _values(found: type[enum.Enum]) -> str:
-    return " ".join(sorted(str(one.value) for one in found))
+def _values(enumeration: type[enum.Enum]) -> str:
+    return " ".join(sorted(str(member.value) for member in enumeration))
 
 
 def _attrs_types(module: ModuleType) -> list[type]:
     return [
-        one
-        for one in vars(module).values()
-        if isinstance(one, type) and attrs.has(one) and one.__module__ == module.__name__
+        value
+        for value in vars(module).values()
+        if isinstance(value, type) and attrs.has(value) and value.__module__ == module.__name__
     ]
 
 
-def _attrs_names(found: type) -> list[str]:
-    return [one.name for one in attrs.fields(found)]
+def _attrs_names(attrs_type: type) -> list[str]:
+    return [field.name for field in attrs.fields(attrs_type)]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,7 @@
-"""Shows that the proofs can fail: breaks one mechanism at a time and runs its test.
+"""Shows that the tests can fail: breaks one mechanism at a time and runs its test.
 
 Each mutant is applied to a copy of the source in a temporary folder; its test must fail
-there. A mutant whose text is no longer in the source is an error, so the list stays true.
+there. A mutant whose text is no longer in the source is an error, so the list stays valid.
 """
 
 import os
@@ -19,7 +19,7 @@
 
 
 class Mutant(NamedTuple):
-    """A broken mechanism and the test that must notice."""
+    """A broken mechanism and the test that must fail."""
 
     name: str
     file: str
@@ -53,7 +53,7 @@
 JOB_REFUSALS = "tests/serving/test_job_refusals.py::"
 ENTRIES = "tests/serving/test_replica_entries.py::"
 RESTARTED = "tests/serving/test_restarted_replicas.py::"
-NAMES = "tests/unit/test_interface_names.py::test_the_interface_has_the_names_that_are_kept"
+NAMES = "tests/unit/test_interface_names.py::test_interface_names_are_unchanged"
 SOAK = "tests/soak/test_soak_short.py::test_short_soak_has_no_violations"
 MUTANTS = [
     Mutant(
@@ -1349,7 +1349,7 @@
 
 
 def run_mutant(mutant: Mutant) -> str:
-    """Return an empty text when the test failed as it must, else what is wrong."""
+    """Return an empty text when the test failed as expected, else what is wrong."""
     with tempfile.TemporaryDirectory() as folder:
         for part in ("src", "tests"):
             shutil.copytree(ROOT / part, Path(folder) / part)
@@ -1358,7 +1358,7 @@
             source = Path(folder) / "src" / "cloverwalk" / file
             text = source.read_text()
             if text.count(old) != 1:
-                return f"its text stands {text.count(old)} times in {file}"
+                return f"its text occurs {text.count(old)} times in {file}"
             source.write_text(text.replace(old, new))
         command = [sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider"]
         env = {**os.environ, "PYTHONPATH": f"{folder}/src"}
@@ -1377,7 +1377,7 @@
 
 
 def main() -> int:
-    """Run all mutants, or those whose name has the given words."""
+    """Run all mutants, or those whose name contains the arguments; return how many failed."""
     words = " ".join(sys.argv[1:])
     chosen = [mutant for mutant in MUTANTS if words in mutant.name]
     with ThreadPoolExecutor(max_workers=WORKERS) as pool:
--- a/tests/unit/test_panel.py
+++ b/tests/unit/test_panel.py
@@ -1,4 +1,4 @@
-"""The panel says what it compared: pairs, failures and broken rules, and drops nothing."""
+"""The panel reports what it compared: pairs, failures and broken rules; it omits nothing."""
 
 from pathlib import Path
 from typing import Any
@@ -8,7 +8,7 @@
 SITE = Path("sites/parish.toml")
 
 
-def report(worth: float, **more: Any) -> dict[str, Any]:
+def report(worth: float, **extra: Any) -> dict[str, Any]:
     row = {
         "name": "ruling",
         "n": 10,
@@ -19,11 +19,11 @@
         "failed": 0,
     }
     base = {"G": worth, "classes": [row], "prices": [["bytes", 1.0, 0.01]], "breaks": {}}
-    return {**base, "fault": None, "short": [], **more}
+    return {**base, "fault": None, "short": [], **extra}
 
 
-def outcome(day: str, seed: int, told: dict[str, Any] | None, problem: str = "") -> panel.Outcome:
-    return panel.Outcome(panel.Play(SITE, day, seed), told, problem)
+def outcome(day: str, seed: int, parsed: dict[str, Any] | None, problem: str = "") -> panel.Outcome:
+    return panel.Outcome(panel.Play(SITE, day, seed), parsed, problem)
 
 
 def test_plays_are_paired_by_day_and_seed() -> None:
@@ -36,7 +36,7 @@
     assert any("75.0 / 12.5 / 12.5 / 0.0" in line for line in lines)
 
 
-def test_a_play_that_failed_is_told_and_its_pair_left_out() -> None:
+def test_failed_play_is_reported_and_its_pair_omitted() -> None:
     base = [outcome("d1", 1, report(0.5)), outcome("d1", 2, report(0.9))]
     other = [outcome("d1", 1, report(0.6)), outcome("d1", 2, None, "given up after 900 s")]
     lines = panel.compare_outcomes(base, other)
@@ -44,7 +44,7 @@
     assert any(line.startswith("parish all") and "  1  0.500  0.600" in line for line in lines)
 
 
-def test_broken_rules_and_missed_floors_are_told() -> None:
+def test_broken_rules_and_missed_floors_are_reported() -> None:
     base = [outcome("d1", 1, report(0.5))]
     other = [outcome("d1", 1, report(0.9, breaks={"TWICE": 1}, short=["ruling"]))]
     lines = panel.compare_outcomes(base, other)
@@ -52,7 +52,7 @@
     assert any(line.startswith("FLOOR other parish-d1-1") for line in lines)
 
 
-def test_the_interval_holds_the_mean_and_repeats() -> None:
+def test_interval_contains_mean_and_is_reproducible() -> None:
     differences = [0.1, -0.05, 0.02, 0.07, 0.0]
     low, high = panel.interval(differences)
     assert low < sum(differences) / len(differences) < high
--- a/tests/unit/test_patches.py
+++ b/tests/unit/test_patches.py
@@ -1,4 +1,4 @@
-"""The lists of patches, of mutants and of the ablation, fit the code as it is."""
+"""Each text that a mutant or an ablation switch replaces occurs once in its file."""
 
 import tomllib
 from pathlib import Path
@@ -10,13 +10,13 @@
 SWITCHES = tomllib.loads((ROOT / "bench" / "ablation.toml").read_text())["switch"]
 
 
-@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda one: one.name)
-def test_the_text_of_each_mutant_stands_once(mutant: Mutant) -> None:
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
+def test_mutant_text_occurs_once(mutant: Mutant) -> None:
     for file, old, _ in ((mutant.file, mutant.old, mutant.new), *mutant.more):
         assert (ROOT / "src" / "cloverwalk" / file).read_text().count(old) == 1
 
 
-@pytest.mark.parametrize("switch", SWITCHES, ids=lambda one: one["name"])
-def test_the_text_of_each_switch_stands_once(switch: dict[str, str]) -> None:
+@pytest.mark.parametrize("switch", SWITCHES, ids=lambda switch: switch["name"])
+def test_switch_text_occurs_once(switch: dict[str, str]) -> None:
     assert (ROOT / switch["path"]).read_text().count(switch["old"]) == 1
     assert switch["what"]
