--- a/src/cloverwalk/config/__init__.py
+++ b/src/cloverwalk/config/__init__.py
@@ -1,1 +1,1 @@
-"""Typed settings, one object per concern, checked whole at the start."""
+"""Typed settings; a program checks its whole settings file when it starts."""
--- a/src/cloverwalk/config/loader.py
+++ b/src/cloverwalk/config/loader.py
@@ -47,7 +47,9 @@
     except OSError as error:
         raise SettingsError([Fault(str(path), "no readable file", str(error.strerror))]) from error
     except UnicodeDecodeError as error:
-        raise SettingsError([Fault(str(path), "bytes", "the file must be UTF-8")]) from error
+        raise SettingsError(
+            [Fault(str(path), "invalid UTF-8", "the file must be UTF-8")]
+        ) from error
     except tomlkit.exceptions.TOMLKitError as error:
         raise SettingsError([Fault(str(path), "invalid TOML", str(error))]) from error
 
@@ -97,6 +99,7 @@
 
 
 def _struct_type(hint: Any) -> type[Struct] | None:
+    """Return the struct type of a hint or of its union; None if there is none."""
     options = get_args(hint) if get_origin(hint) in (UnionType, Union) else (hint,)
     return next(
         (option for option in options if isinstance(option, type) and issubclass(option, Struct)),
--- a/src/cloverwalk/config/settings.py
+++ b/src/cloverwalk/config/settings.py
@@ -59,7 +59,7 @@
 
 
 class OnlineSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Online requests."""
+    """Limits, deadlines and retries of online requests."""
 
     default_deadline_s: Seconds = 30.0
     max_deadline_s: Seconds = 600.0
@@ -72,7 +72,7 @@
 
 
 class BatchSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Batch jobs."""
+    """Sizes and intervals of batch jobs."""
 
     max_items: Count = 78_000
     part_items: Count = 500
--- a/src/cloverwalk/core/__init__.py
+++ b/src/cloverwalk/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure, deterministic decisions: no I/O, no clock and no randomness of their own."""
+"""Shared types and deterministic decision code; callers pass in the time and randomness."""
--- a/src/cloverwalk/core/batch_job.py
+++ b/src/cloverwalk/core/batch_job.py
@@ -76,7 +76,10 @@
 
     @property
     def ready_count(self) -> int:
-        """Pending items whose part of the manifest is loaded."""
+        """Pending items whose part of the manifest is loaded.
+
+        This is an upper bound, because the queue may contain items that have a result by now.
+        """
         return min(self.pending_count, len(self._queue))
 
     @property
@@ -85,7 +88,7 @@
         return self._prompt_chars / max(1, self._prompt_count)
 
     def part_to_load(self) -> int | None:
-        """Return the next part to fetch, or None while enough items are queued."""
+        """Return the next part to fetch; None if none is left or needed, or during a fetch."""
         if self._loading or self._next_part >= self.part_count:
             return None
         if len(self._queue) > self.row.part_size // 2:
@@ -113,7 +116,7 @@
                 self._queue.append(index)
 
     def take(self, count: int, node: str, now: float) -> list[Handout]:
-        """Assign up to ``count`` items to the node of a replica owner."""
+        """Assign up to ``count`` items to ``node``, the owner of a replica."""
         handouts: list[Handout] = []
         while self._queue and len(handouts) < count:
             index = self._queue.popleft()
@@ -146,7 +149,7 @@
                 self._holders[index] = _Assignment(node, now)
 
     def take_back_unconfirmed(self, now: float, grace_s: float) -> None:
-        """Return items that were not confirmed for ``grace_s`` to the queue."""
+        """Return to the queue all items whose last confirmation is older than ``grace_s``."""
         for index, assignment in list(self._holders.items()):
             if now - assignment.confirmed_at > grace_s:
                 self.give_back(index, assignment.node)
@@ -173,7 +176,7 @@
         return True
 
     def committed(self, results: list[ItemResult]) -> None:
-        """Mark the items of a committed segment as done."""
+        """Mark the items of a committed segment as done; they must be the first of ``finished``."""
         for result in results:
             self._state[result.index] = ItemState.DONE
         self.done_count += len(results)
--- a/src/cloverwalk/core/collect.py
+++ b/src/cloverwalk/core/collect.py
@@ -4,9 +4,11 @@
 
 
 class Chunk(Struct, frozen=True):
-    """Consecutive tokens of one attempt. ``first`` is the number of tokens before them.
+    """Consecutive tokens of one attempt.
 
-    ``total`` is set on the last chunk only.
+    ``first`` is the number of tokens before them in the whole answer, including the output of
+    earlier attempts. ``total``, the length of the whole answer in tokens, is set on the last
+    chunk only.
     """
 
     request_id: str
--- a/src/cloverwalk/core/constants.py
+++ b/src/cloverwalk/core/constants.py
@@ -17,7 +17,7 @@
 without an answer took effect."""
 
 OUTAGE_NOTICED_S = 1.0
-"""After this long without a store answer, a refused call is not retried."""
+"""After this long without a store answer, a call that certainly had no effect is not retried."""
 
 STORE_RETRY_S = 0.25
 """Delay before a store operation is retried."""
--- a/src/cloverwalk/core/limit_shares.py
+++ b/src/cloverwalk/core/limit_shares.py
@@ -4,7 +4,7 @@
 without recent demand admit its first requests before the next division.
 """
 
-DEMAND_FREE_FRACTION = 0.05
+EVENLY_DIVIDED_FRACTION = 0.05
 """Fraction of the limit that is divided evenly, regardless of demand."""
 
 MAX_RISE_FACTOR = 1.5
@@ -34,4 +34,4 @@
     even_share = 1.0 / max(1, node_count)
     if total <= 0:
         return even_share
-    return DEMAND_FREE_FRACTION * even_share + (1 - DEMAND_FREE_FRACTION) * local_rate / total
+    return EVENLY_DIVIDED_FRACTION * even_share + (1 - EVENLY_DIVIDED_FRACTION) * local_rate / total
--- a/src/cloverwalk/core/membership.py
+++ b/src/cloverwalk/core/membership.py
@@ -74,7 +74,7 @@
 
 
 class Entry(Struct):
-    """A digest with the time at which its beat was last seen to rise."""
+    """A digest, when its beat was last seen to rise, and the round in which it was last sent."""
 
     digest: NodeDigest
     heard_at: float
@@ -125,8 +125,8 @@
             return True
         # The ranking differs from node to node, so that contacts are spread over all members.
         ranked = rendezvous_rank(f"contact {self.node}", [*contacts, digest.node])
-        dead = [node for node in contacts if not self.is_live(node, now)]
-        worst = dead[0] if dead else ranked[-1]
+        suspected = [node for node in contacts if not self.is_live(node, now)]
+        worst = suspected[0] if suspected else ranked[-1]
         if worst == digest.node:
             return False
         del self._entries[worst]
@@ -178,7 +178,10 @@
         return expired
 
     def gossip_targets(self, fanout: int, random: Random, now: float) -> list[str]:
-        """Return the targets of this round: mostly in the own zone, at least one in another."""
+        """Return the targets of this round: mostly in this node's zone, at least one in another.
+
+        One suspected member is added, if there is any.
+        """
         local = [digest.node for digest in self.live(now) if digest.zone == self.zone]
         remote = [digest.node for digest in self.live(now) if digest.zone != self.zone]
         targets = self._next_targets("local", local, fanout, random)
@@ -205,7 +208,7 @@
         return chosen
 
     def entries_to_send(self, limit: int, now: float) -> list[tuple[NodeDigest, float]]:
-        """Return up to ``limit`` (digest, age) pairs, least recently sent first."""
+        """Return up to ``limit`` (digest, age) pairs of live members, least recently sent first."""
         self._round += 1
         live = [e for e in self._entries.values() if now - e.heard_at <= self.suspect_after_s]
         live.sort(key=lambda entry: (entry.sent_round, entry.digest.zone != self.zone))
--- a/src/cloverwalk/core/model_placement.py
+++ b/src/cloverwalk/core/model_placement.py
@@ -38,7 +38,7 @@
     total = sum(demand.values())
     if total <= 0:
         return {}
-    return {model: replica_count * part / total for model, part in demand.items()}
+    return {model: replica_count * model_demand / total for model, model_demand in demand.items()}
 
 
 def plan_change(
--- a/src/cloverwalk/core/peer_messages.py
+++ b/src/cloverwalk/core/peer_messages.py
@@ -38,7 +38,10 @@
 
 
 class OfferRefused(Struct, frozen=True, tag="offer_refused"):
-    """The owner did not start the work; this attempt did not run."""
+    """The owner did not start the work; this attempt did not run.
+
+    ``online`` is the number of online streams that run on the replica.
+    """
 
     replica: str
     request_id: str
@@ -310,7 +313,10 @@
 
 
 class ChangeModel(Struct, frozen=True, tag="change_model"):
-    """The placer's order to a replica's owner; ``placer_epoch`` fences older placers."""
+    """An order to a replica's owner from the placer, which plans the models of the zone.
+
+    ``placer_epoch`` fences older placers.
+    """
 
     zone: str
     placer_epoch: int
--- a/src/cloverwalk/core/prefix_index.py
+++ b/src/cloverwalk/core/prefix_index.py
@@ -45,11 +45,11 @@
         if number > expected:
             self.drop(replica)
         self._last_number[replica] = number
-        for name in removed:
-            self._replicas.get(name, set()).discard(replica)
-        for name in added:
-            self._replicas.setdefault(name, set()).add(replica)
-            self._replicas.move_to_end(name)
+        for prefix in removed:
+            self._replicas.get(prefix, set()).discard(replica)
+        for prefix in added:
+            self._replicas.setdefault(prefix, set()).add(replica)
+            self._replicas.move_to_end(prefix)
         while len(self._replicas) > MAX_ENTRIES:
             self._replicas.popitem(last=False)
 
@@ -59,6 +59,6 @@
             replicas.discard(replica)
         self._last_number.pop(replica, None)
 
-    def replicas(self, name: str) -> set[str]:
-        """Return the replicas that probably have a prefix."""
-        return set(self._replicas.get(name, ()))
+    def replicas(self, prefix: str) -> set[str]:
+        """Return the replicas that probably have the prefix of this hash."""
+        return set(self._replicas.get(prefix, ()))
--- a/src/cloverwalk/core/store_types.py
+++ b/src/cloverwalk/core/store_types.py
@@ -54,7 +54,7 @@
 
 
 class ReadReply(Struct, frozen=True):
-    """Rows under a prefix in key order, or not available."""
+    """Rows under a prefix in key order; ``available`` is False when the store did not answer."""
 
     available: bool
     rows: list[Row] = []
--- a/src/cloverwalk/core/token_bucket.py
+++ b/src/cloverwalk/core/token_bucket.py
@@ -2,7 +2,7 @@
 
 
 class TokenBucket:
-    """Allows ``rate_per_s`` on average and ``burst`` at once.
+    """Allows ``rate_per_s`` tokens per second on average and ``burst`` tokens at once.
 
     >>> bucket = TokenBucket(rate_per_s=2.0, burst=1.0, now=0.0)
     >>> bucket.take(now=0.0), bucket.take(now=0.0), bucket.wait_s(now=0.0)
@@ -30,7 +30,7 @@
     def take(self, now: float, amount: float = 1.0) -> bool:
         """Take ``amount`` if it is available; return whether it was."""
         self._refill(now)
-        if self._level + 1e-9 < amount:
+        if self._level + 1e-9 < amount:  # tolerates rounding errors
             return False
         self._level -= amount
         return True
@@ -41,7 +41,7 @@
         return self._level + 1e-9 >= amount
 
     def take_on_credit(self, now: float, amount: float) -> None:
-        """Take ``amount`` even if the level becomes negative; later calls wait for the refill."""
+        """Take ``amount`` even if the level becomes negative; :meth:`take` fails until refilled."""
         self._refill(now)
         self._level -= amount
 
--- a/src/cloverwalk/core/types.py
+++ b/src/cloverwalk/core/types.py
@@ -83,7 +83,7 @@
 
 
 class JobRow(Struct, frozen=True):
-    """A batch job, as stored. Written only under its shard's epoch."""
+    """A batch job, as stored. After its submission, only written under its shard's epoch."""
 
     job_id: str
     session_id: str
--- a/src/cloverwalk/core/weight_table.py
+++ b/src/cloverwalk/core/weight_table.py
@@ -127,9 +127,10 @@
     except ValueError:
         expected = "a whole number" if column in _INTEGER_COLUMNS else "a number"
         raise WeightTableError(f"found {text!r}; expected {expected}", column) from None
+    # The comparison with infinity also rejects NaN.
     must_be_positive = column in _POSITIVE_COLUMNS
     if not number < float("inf") or number < 0 or (must_be_positive and number == 0):
-        expected = "a number above 0" if must_be_positive else "0 or more"
+        expected = "a finite number above 0" if must_be_positive else "a finite number, 0 or more"
         raise WeightTableError(f"found {text!r}; expected {expected}", column)
     return number
 
@@ -219,7 +220,7 @@
 
 
 def changed_cells(row: TableRow | None, cells: dict[str, str], where: str) -> TableRow:
-    """Return ``row`` with the given cells replaced."""
+    """Return ``row``, or a new row if it is None, with the given cells replaced."""
     before = {} if row is None else dict(zip(COLUMNS, structs.astuple(row), strict=True))
     texts = {name: "" if value is None else str(value) for name, value in before.items()}
     return row_from_cells({**texts, **cells}, where)
--- a/tests/unit/test_collect.py
+++ b/tests/unit/test_collect.py
@@ -10,7 +10,7 @@
 
 @st.composite
 def deliveries(draw: st.DrawFn) -> list[Chunk]:
-    """Chunks of the current attempt, duplicated and out of order, among those of others."""
+    """Chunks of one attempt, duplicated and out of order, mixed with foreign chunks."""
     cuts = sorted(draw(st.sets(st.integers(1, 11), max_size=6)))
     edges = [0, *cuts, 12]
     right = [
--- a/tests/unit/test_problem.py
+++ b/tests/unit/test_problem.py
@@ -19,8 +19,8 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_retryable_status_requires_outcome_not_run(status: int, outcome: Outcome) -> None:
     error = PipelineError(status, "code", "detail", outcome=outcome)
-    is_true = outcome is Outcome.NOT_RUN or status not in RETRYABLE_STATUSES
-    assert error.status == (status if is_true else 502)
+    is_allowed = outcome is Outcome.NOT_RUN or status not in RETRYABLE_STATUSES
+    assert error.status == (status if is_allowed else 502)
 
 
 @pytest.mark.parametrize(("attempts", "status"), [(0, 503), (1, 502)])
