--- a/src/cloverwalk/core/membership.py
+++ b/src/cloverwalk/core/membership.py
@@ -36,7 +36,7 @@
     model: str
     pending: int
     urgent: bool
-    prompt_tokens: int  # estimate for a typical item
+    prompt_tokens: int  # estimate: the largest mean prompt length among the jobs of the class
 
 
 class RateReport(Struct, frozen=True, array_like=True):
