--- a/src/cloverwalk/gateway/answer_relay.py
+++ b/src/cloverwalk/gateway/answer_relay.py
@@ -184,7 +184,7 @@
     def _check(self, progress: RequestProgress, order: EventOrder, event: StreamEvent) -> None:
         """Raise ValueError if an event is not the next one of the stream."""
         if event.event_id is not None:
-            order.take(event.event_id)
+            order.check_next(event.event_id)
         elif event.data and progress.route.is_resumable:
             # Another run would repeat it, with an id.
             raise ValueError("an event has no id")
--- a/src/cloverwalk/gateway/crash_detector.py
+++ b/src/cloverwalk/gateway/crash_detector.py
@@ -3,8 +3,8 @@
 This is the one place that decides what counts as evidence: the request was delivered, its
 connection failed before the answer was whole, the replica was listed and not draining, and right
 afterwards nothing listens at its address. No evidence are: a reset or cut in the network, a
-timeout, an invalid answer, a request sent to a replica that had ended before, and a replica that
-was told to leave.
+timeout, an invalid answer, a request sent to a replica that had ended before, and the end of a
+replica that was draining.
 
 A replica that has restarted under its id has ended, whatever its connections show. Requests without
 an answer at that time are counted, once for each incarnation; see ``restarts``.
@@ -86,7 +86,7 @@
         self._clock = clock
         self._probes: list[_Probe] = []
         self._pending_probes: dict[str, _Probe] = {}
-        """Those before their first probe, by replica; simultaneous failures join them."""
+        """Those whose first probe has not begun, by replica id; simultaneous failures join them."""
 
         self.on_crash: Callable[[], Awaitable[None]] = _do_nothing
         """Called when the ledger has a crash that the coordinator should get at once."""
--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -2,9 +2,9 @@
 
 A request may crash every replica that runs it, and arrive again with another id at any node. When a
 replica ends, each request that it had is a suspect, and at most one of them is the cause.
-Repetition tells them apart: a whole answer clears a request; one under which ``CONTAINED_FROM``
-replicas ended without such an answer is contained. It is sent to no replica, except for occasional
-trials.
+Repetition tells them apart: a whole answer clears a request; one under which
+``CONTAINMENT_THRESHOLD`` replicas ended without such an answer is contained. It is sent to no
+replica, except for occasional trials.
 
 Nodes merge their records (``merge``). Crashes are a set of incarnations and an answer removes the
 earlier ones, so the order of the copies makes no difference, and repeated copies have no effect.
@@ -16,41 +16,43 @@
 import xxhash
 from msgspec import Struct
 
-CONTAINED_FROM = 3
-"""Ended replicas at which a request is contained. One is chance, and two happen to neighbours that
-move to the same replica as the request that crashes them."""
+CONTAINMENT_THRESHOLD = 3
+"""Number of ended replicas from which a request is contained. One may be chance, and two happen to
+other requests that are retried at the same replica as the crashing one."""
 
-SHARED_FROM = 2
-"""Ended replicas at which a record is sent to all nodes. Each crash makes many records with a
-single replica; only the coordinator needs those, to add up the reports of nodes."""
+SHARING_THRESHOLD = 2
+"""Number of ended replicas from which a record is sent to all nodes. Each crash makes many records
+with a single replica; only the coordinator needs those, to add up the reports of nodes."""
 
-TRIAL_PAUSES_S = (3.0, 60.0, 600.0)
+TRIAL_DELAYS_S = (3.0, 60.0, 600.0)
 """Delay before each trial of a contained request, from its last crash; the last value holds for all
 further trials. The first lets a harmless request through soon after an outage of all replicas; the
 later ones limit how many replicas a crashing request ends."""
 
-TRIAL_LIMIT_S = 10.0
+TRIAL_TIMEOUT_S = 10.0
 """A trial without an outcome ends after this time, which is longer than online requests last."""
 
-REMEMBERED_S = 3600.0
+RECORD_TTL_S = 3600.0
 """A record is removed this long after its last crash; operators replace a faulty version sooner."""
 
 ANSWER_TTL_S = 60.0
 """How long answers are kept, so that late reports of earlier crashes are ignored."""
 
-TOLD_S = 2.5
-"""How long a local observation stays in this node's reports: two or three of them, one a second."""
+REPORTING_TIME_S = 2.5
+"""How long this node reports its own observation: in two or three reports, one a second."""
 
-MOST_CASES = 4096
+MAX_RECORDS = 4096
 MAX_SHARED_RECORDS = 200
 """Bounds of memory and of the size of messages. The records with the fewest crashes are evicted
-first, the oldest among equals, so that a flood of others can't evict a contained one."""
+first, the oldest among equals, so that a flood of records can't evict that of a contained request.
+"""
 
-MOST_INSTANCES = 8
-"""Ended replicas that a record names, the newest ones; bounded so that ``MAX_SHARED_RECORDS``
+MAX_INCARNATIONS = 8
+"""Incarnations that a record names, the last ones to end; bounded so that ``MAX_SHARED_RECORDS``
 records fit into a datagram of 60,000 bytes."""
 
 CONTENT_CHARACTERS = 20
+"""Length of a content hash, in hexadecimal digits."""
 
 
 class Containment(enum.Enum):
@@ -103,18 +105,18 @@
 
     @property
     def is_contained(self) -> bool:
-        return self.crashes >= CONTAINED_FROM
+        return self.crashes >= CONTAINMENT_THRESHOLD
 
     def trial_due_at(self) -> float:
-        index = min(self.crashes - CONTAINED_FROM, len(TRIAL_PAUSES_S) - 1)
-        return self.last_crash_at + TRIAL_PAUSES_S[index]
+        index = min(self.crashes - CONTAINMENT_THRESHOLD, len(TRIAL_DELAYS_S) - 1)
+        return self.last_crash_at + TRIAL_DELAYS_S[index]
 
 
 class CrashLedger:
     """Crash records by content hash. Times are of the monotonic clock, in seconds."""
 
     def __init__(self) -> None:
-        self._cases: dict[str, _LedgerEntry] = {}
+        self._entries: dict[str, _LedgerEntry] = {}
         self._answered_at: dict[str, float] = {}
         """Times of the last whole answers, by content hash; the oldest first."""
 
@@ -134,12 +136,12 @@
     @property
     def is_empty(self) -> bool:
         """Whether there is no record; contents need not be hashed then."""
-        return not self._cases
+        return not self._entries
 
     @property
     def needs_sync(self) -> bool:
         """Whether other nodes may need a record, or the news that an answer cleared one."""
-        return bool(self._cases or self._cleared_at)
+        return bool(self._entries or self._cleared_at)
 
     # --- observations ---
 
@@ -149,7 +151,7 @@
         ``replica_id`` names one incarnation; the replica's next incarnation counts separately.
         """
         is_contained = self._add_crashes(content, {replica_id: at})
-        entry = self._cases.get(content)
+        entry = self._entries.get(content)
         if entry is not None:
             entry.seen_locally_at = max(entry.seen_locally_at, at)
         return is_contained
@@ -163,12 +165,12 @@
             return False
         self._answered_at.pop(content, None)
         self._answered_at[content] = at
-        if len(self._answered_at) > MOST_CASES:
+        if len(self._answered_at) > MAX_RECORDS:
             del self._answered_at[next(iter(self._answered_at))]
         return self._clear(content, at)
 
     def was_answered_since(self, content: str, at: float) -> bool:
-        """Whether a whole answer to a request is known from after a time."""
+        """Whether a whole answer to a request was recorded that came after ``at``."""
         return self._answered_at.get(content, float("-inf")) > at
 
     def _add_crashes(self, content: str, crashed_at: dict[str, float]) -> bool:
@@ -179,12 +181,12 @@
             self.stale_record_count += 1
         if not new_crashes:
             return False
-        entry = self._cases.setdefault(content, _LedgerEntry())
+        entry = self._entries.setdefault(content, _LedgerEntry())
         was_contained, previous = entry.is_contained, set(entry.crashed_at)
         for replica_id, at in new_crashes.items():
             entry.crashed_at[replica_id] = max(at, entry.crashed_at.get(replica_id, at))
         newest = sorted(entry.crashed_at.items(), key=lambda item: (item[1], item[0]))
-        entry.crashed_at = dict(newest[-MOST_INSTANCES:])
+        entry.crashed_at = dict(newest[-MAX_INCARNATIONS:])
         if set(entry.crashed_at) != previous:
             entry.trial_ends_at = float("-inf")
             self._record_change(entry.crashes)
@@ -193,7 +195,7 @@
 
     def _clear(self, content: str, at: float) -> bool:
         """Drop the crashes before an answer; return whether this ends the containment."""
-        entry = self._cases.get(content)
+        entry = self._entries.get(content)
         if entry is None or min(entry.crashed_at.values()) > at:
             return False
         was_contained = entry.is_contained
@@ -204,11 +206,11 @@
         }
         entry.trial_ends_at = float("-inf")
         if not entry.crashed_at:
-            del self._cases[content]
+            del self._entries[content]
         return was_contained and not entry.is_contained
 
     def _record_change(self, crashes: int) -> None:
-        if crashes >= SHARED_FROM:
+        if crashes >= SHARING_THRESHOLD:
             self._digest = None
             self.revision += 1
 
@@ -216,7 +218,7 @@
 
     def crashes(self, content: str) -> int:
         """Return how many replicas ended under a request since its last answer."""
-        entry = self._cases.get(content)
+        entry = self._entries.get(content)
         return 0 if entry is None else entry.crashes
 
     def containment(self, content: str, now: float) -> Containment:
@@ -230,7 +232,7 @@
         >>> ledger.note_answer("c", 8.5), ledger.containment("c", 8.6).value
         (True, 'free')
         """
-        entry = self._cases.get(content)
+        entry = self._entries.get(content)
         if entry is None or not entry.is_contained:
             return Containment.FREE
         if now < max(entry.trial_due_at(), entry.trial_ends_at):
@@ -241,13 +243,13 @@
         """Whether a request may be sent now; a due trial is granted and starts with this call."""
         containment = self.containment(content, now)
         if containment is Containment.TRIAL_DUE and self.grants_trials:
-            self._cases[content].trial_ends_at = now + TRIAL_LIMIT_S
+            self._entries[content].trial_ends_at = now + TRIAL_TIMEOUT_S
             return True
         return containment is Containment.FREE
 
     def contained(self) -> dict[str, int]:
         """Return the contained requests by content hash, with their numbers of ended replicas."""
-        return {key: entry.crashes for key, entry in self._cases.items() if entry.is_contained}
+        return {key: entry.crashes for key, entry in self._entries.items() if entry.is_contained}
 
     # --- exchange between nodes ---
 
@@ -255,24 +257,26 @@
     def digest(self) -> int:
         """Hash of the records that all nodes should have, 48 bits; 0 if there are none."""
         if self._digest is None:
-            shared = {key: sorted(self._cases[key].crashed_at) for key in self._shared()}
+            shared = {key: sorted(self._entries[key].crashed_at) for key in self._shared()}
             text = repr(sorted(shared.items())).encode()
             self._digest = xxhash.xxh64_intdigest(text) >> 16 if shared else 0
         return self._digest
 
     def _shared(self) -> list[str]:
-        return [key for key, entry in self._cases.items() if entry.crashes >= SHARED_FROM]
+        return [key for key, entry in self._entries.items() if entry.crashes >= SHARING_THRESHOLD]
 
     def shared_records(self, now: float) -> list[CrashRecord]:
-        """Return the records that all nodes should have, and those cleared lately."""
+        """Return the records that all nodes should have, and those cleared in ``ANSWER_TTL_S``."""
         return self._records({*self._shared(), *self._cleared_at}, now)
 
     def local_records(self, now: float) -> list[CrashRecord]:
-        """Return the records that this node observed or cleared lately."""
+        """Return the records that this node observed or cleared within ``REPORTING_TIME_S``."""
         contents = {
-            key for key, entry in self._cases.items() if now - entry.seen_locally_at < TOLD_S
+            key
+            for key, entry in self._entries.items()
+            if now - entry.seen_locally_at < REPORTING_TIME_S
         }
-        contents |= {key for key, at in self._cleared_at.items() if now - at < TOLD_S}
+        contents |= {key for key, at in self._cleared_at.items() if now - at < REPORTING_TIME_S}
         return self._records(contents, now)
 
     def _records(self, contents: set[str], now: float) -> list[CrashRecord]:
@@ -283,7 +287,7 @@
 
     def record_of(self, content: str, now: float) -> CrashRecord:
         """Return the record of a request as it is sent; one without crashes if there is none."""
-        entry = self._cases.get(content, _LedgerEntry())
+        entry = self._entries.get(content, _LedgerEntry())
         ages = {key: _age_ms(at, now) for key, at in entry.crashed_at.items()}
         answered_at = self._answered_at.get(content)
         return CrashRecord(
@@ -301,7 +305,7 @@
         crashed_at = {
             replica_id: now - age_ms / 1000
             for replica_id, age_ms in record.crash_ages_ms.items()
-            if age_ms < REMEMBERED_S * 1000
+            if age_ms < RECORD_TTL_S * 1000
         }
         return self._add_crashes(record.content_hash, crashed_at)
 
@@ -313,10 +317,10 @@
             for content in [key for key, at in times.items() if now - at >= ANSWER_TTL_S]:
                 del times[content]
         ended: list[str] = []
-        for content, entry in list(self._cases.items()):
-            if now < entry.last_crash_at + REMEMBERED_S:
+        for content, entry in list(self._entries.items()):
+            if now < entry.last_crash_at + RECORD_TTL_S:
                 continue
-            del self._cases[content]
+            del self._entries[content]
             self._record_change(entry.crashes)
             if entry.is_contained:
                 ended.append(content)
@@ -324,16 +328,16 @@
 
     def _evict(self, crashes: int) -> None:
         """Enforce the bounds after a record got a number of crashes."""
-        if len(self._cases) > MOST_CASES:
+        if len(self._entries) > MAX_RECORDS:
             # Evicts many at once, since sorting all records takes milliseconds.
-            self._evict_down_to(MOST_CASES * 9 // 10, list(self._cases))
-        if crashes >= SHARED_FROM:
+            self._evict_down_to(MAX_RECORDS * 9 // 10, list(self._entries))
+        if crashes >= SHARING_THRESHOLD:
             self._evict_down_to(MAX_SHARED_RECORDS, self._shared())
 
     def _evict_down_to(self, max_count: int, contents: list[str]) -> None:
         if len(contents) <= max_count:
             return
-        entries = self._cases
+        entries = self._entries
         contents.sort(
             key=lambda content: (entries[content].crashes, entries[content].last_crash_at)
         )
@@ -348,8 +352,10 @@
 def _check_record(record: CrashRecord) -> None:
     if len(record.content_hash) != CONTENT_CHARACTERS:
         raise InvalidCrashRecordError("the content hash has the wrong length")
-    if len(record.crash_ages_ms) > MOST_INSTANCES:
-        raise InvalidCrashRecordError(f"{len(record.crash_ages_ms)} replicas ended, too many")
+    if len(record.crash_ages_ms) > MAX_INCARNATIONS:
+        raise InvalidCrashRecordError(
+            f"{len(record.crash_ages_ms)} ended replicas, more than a record may name"
+        )
     ages = [*record.crash_ages_ms.values(), record.answered_age_ms or 0]
     if min(ages) < 0:
         raise InvalidCrashRecordError("an age is negative")
--- a/src/cloverwalk/gateway/event_stream.py
+++ b/src/cloverwalk/gateway/event_stream.py
@@ -40,8 +40,8 @@
     """Checks that the events of a run follow each other, from the requested position on.
 
     >>> order = EventOrder(after=1)
-    >>> order.take(2)
-    >>> order.take(2)
+    >>> order.check_next(2)
+    >>> order.check_next(2)
     Traceback (most recent call last):
     ...
     ValueError: event 2 does not follow event 2
@@ -51,7 +51,7 @@
         self.last = after
         """Id of the last event that the reader has."""
 
-    def take(self, event_id: int) -> None:
+    def check_next(self, event_id: int) -> None:
         """Check the next event's id. Raises ValueError if it does not follow the last one."""
         if self.last is not None and event_id != self.last + 1:
             raise ValueError(f"event {event_id} does not follow event {self.last}")
--- a/src/cloverwalk/gateway/memory_budget.py
+++ b/src/cloverwalk/gateway/memory_budget.py
@@ -1,7 +1,7 @@
 """Memory that a node buffers for clients, replicas and jobs, with one limit for the process.
 
-When the limit is reached, slow clients are dropped, the one first that has read nothing for
-longest. A body that still doesn't fit is not read. No I/O; time is passed in.
+When the limit is reached, slow clients are dropped, first the one that has read nothing for the
+longest time. A body that still doesn't fit is not read. No I/O; time is passed in.
 """
 
 from typing import Protocol
@@ -63,11 +63,13 @@
     """Counts buffered bytes against a limit; 0 is no limit."""
 
     def __init__(self, limit_bytes: int = 0) -> None:
-        self.limit = limit_bytes
-        self.answers = 0
+        self.limit_bytes = limit_bytes
+        self.answer_bytes = 0
         """Bytes of answers buffered for clients."""
 
-        self.bodies = 0
+        self.body_bytes = 0
+        """Bytes of received bodies, without their copies."""
+
         self.job_bytes = 0
         """Bytes of the bodies and outputs of this node's jobs."""
 
@@ -81,12 +83,12 @@
     @property
     def total_bytes(self) -> int:
         """All buffered bytes, with the copies of bodies."""
-        return self.answers + self.job_bytes + self.bodies * BODY_COPIES
+        return self.answer_bytes + self.job_bytes + self.body_bytes * BODY_COPIES
 
     def has_capacity_for_body(self, size: int, now: float) -> bool:
         """Whether a body may be read; drops slow readers to make it fit."""
         needed = size * BODY_COPIES
-        if self.limit and self._counted_bytes - self.answers + needed > self.limit:
+        if self.limit_bytes and self._counted_bytes - self.answer_bytes + needed > self.limit_bytes:
             # It would not fit even without the buffers of readers.
             return False
         self._drop_slow_readers(needed, now)
@@ -94,9 +96,9 @@
 
     def has_capacity_for_job(self, size: int) -> bool:
         """Whether a job whose bodies were read may be accepted."""
-        return not self.limit or self.job_bytes + size <= JOB_SHARE * self.limit
+        return not self.limit_bytes or self.job_bytes + size <= JOB_SHARE * self.limit_bytes
 
-    def note_waiting(self, reader: Reader, now: float) -> None:
+    def record_waiting(self, reader: Reader, now: float) -> None:
         """Count more bytes buffered for a client; drops slow readers beyond the limit."""
         self._recount(self._readers.setdefault(id(reader), _CountedReader(reader)))
         self._drop_slow_readers(0, now)
@@ -109,7 +111,7 @@
     def remove(self, reader: Reader) -> None:
         """Stop counting a client."""
         if (counted := self._readers.pop(id(reader), None)) is not None:
-            self.answers -= counted.counted_bytes
+            self.answer_bytes -= counted.counted_bytes
 
     def take_dropped_readers(self) -> DroppedReaders:
         """Return the clients dropped since the last call."""
@@ -126,17 +128,21 @@
 
     def _recount(self, counted: _CountedReader) -> None:
         size = counted.reader.waiting_bytes
-        self.answers += size - counted.counted_bytes
+        self.answer_bytes += size - counted.counted_bytes
         counted.counted_bytes = size
 
     def _fits(self, needed: int) -> bool:
-        return not self.limit or self._counted_bytes + needed <= self.limit
+        return not self.limit_bytes or self._counted_bytes + needed <= self.limit_bytes
 
     @property
     def _counted_bytes(self) -> int:
         """Bytes counted against the limit: jobs count up to their share, which jobs taken over from
         other nodes may exceed."""
-        return self.total_bytes - self.job_bytes + min(self.job_bytes, int(JOB_SHARE * self.limit))
+        return (
+            self.total_bytes
+            - self.job_bytes
+            + min(self.job_bytes, int(JOB_SHARE * self.limit_bytes))
+        )
 
     def _drop_slow_readers(self, needed: int, now: float) -> None:
         while self._readers and not self._fits(needed):
--- a/src/cloverwalk/gateway/overload_monitor.py
+++ b/src/cloverwalk/gateway/overload_monitor.py
@@ -32,7 +32,7 @@
 faster measures something else, and the processor is ignored from then on."""
 
 CLOCK_SLACK_S = 0.05
-"""The process clock and the monotonic clock are not read at the same moment."""
+"""Tolerance for the process clock, since the monotonic clock is not read at the same moment."""
 
 LATE_LOOP_THRESHOLD_S = 0.1
 """Delay of the event loop at which requests are late: it delays both the start and the end of an
@@ -53,6 +53,8 @@
 for more than an eighth of the time as failing."""
 
 MAX_UNREADY_S = 6.0
+"""Maximum time for which a node is not ready at a stretch, to the precision of the samples."""
+
 MIN_UNREADY_S = 3.0
 """A shorter time has no effect: the platform acts on two readiness probes in a row."""
 
--- a/src/cloverwalk/gateway/refusals.py
+++ b/src/cloverwalk/gateway/refusals.py
@@ -36,7 +36,7 @@
 def no_free_slot(placement: Placement) -> GatewayError:
     """Return the error response to a request that got no slot, with the reason."""
     if placement.retry_after_s <= 0:
-        message = "no slot gets free within the time that the caller waits"
+        message = "no slot becomes free within the time that the caller waits"
         return GatewayError(Reason.UNAVAILABLE, NO_TIME, message)
     if placement.ahead_ms > 0:
         message = f"the tenant has used {placement.ahead_ms} ms more slot time than others"
@@ -63,7 +63,10 @@
 
 
 def too_large() -> GatewayError:
-    """Return the final error response to a request that fits into no replica's memory."""
+    """Return the error response to a request that fits into no replica's memory.
+
+    It names no time to retry after, since a retry would not fit either.
+    """
     message = "no replica has the memory for the prompt and the maximum output"
     return GatewayError(Reason.UNAVAILABLE, "too_large", message)
 
--- a/src/cloverwalk/gateway/relay.py
+++ b/src/cloverwalk/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Serves one online request, from its arrival to its final answer.
+"""Serves one online request, from its arrival to the end of its answer.
 
 A request is sent to a replica of its route, and the replica's answer is relayed to the client. When
 an attempt fails, the request goes to another replica if its route allows that; otherwise the node
--- a/src/cloverwalk/gateway/replica_connection.py
+++ b/src/cloverwalk/gateway/replica_connection.py
@@ -90,7 +90,7 @@
         self._is_closed = False
         self._is_aborted = False
         self.opened_at = clock()
-        self.quiet_since = self.opened_at
+        self.last_activity_at = self.opened_at
         """When bytes last arrived, or when the current request was sent if that was later."""
 
         self.usable_until = float("inf")
@@ -121,7 +121,7 @@
             raise ReplicaError("bytes came before the first request", False, "unasked_answer")
         self._exchange_count += 1
         self._has_body_ended = False
-        self.quiet_since = self._clock()
+        self.last_activity_at = self._clock()
         if len(data) <= MAX_INLINE_SEND_BYTES:
             await self._sock.sendall(data)
             return
@@ -254,7 +254,7 @@
         data: bytes = await self._sock.recv(READ_BYTES)
         if not data and self._is_aborted:
             raise ReplicaError("the replica has restarted", True, RESTARTED)
-        self.quiet_since = self._clock()
+        self.last_activity_at = self._clock()
         if not data and self._has_sending_failed:
             # The kernel reports a reset once, and the sending task got it: this is no regular end.
             raise ConnectionResetError("the connection was reset while the request was sent")
@@ -421,7 +421,7 @@
         return len(idle)
 
     def pop_refused_at(self, address: tuple[str, int]) -> float:
-        """Pop the time at which an address last refused a connection; inf if it did not lately."""
+        """Pop the time at which an address last refused a connection; inf if none is recorded."""
         return self._refused_at.pop(address, float("inf"))
 
     def abort_exchanges(
@@ -439,7 +439,7 @@
             if connection.address == address
             and connection.is_abortable
             and connection.opened_at < opened_before
-            and connection.quiet_since < quiet_before
+            and connection.last_activity_at < quiet_before
             and connection not in idle
         ]
         for connection in matching:
@@ -449,7 +449,7 @@
     async def close_timed_out(self, connection: ReplicaConnection) -> None:
         """Close a connection that timed out, and idle ones that may be dead as well.
 
-        A network failure can silence all open connections at once, while new ones work. So when a
+        A network failure can stall all open connections at once, while new ones work. So when a
         reused connection times out, all idle ones are closed that were released before its request
         was sent: one request meets the failure, not one for each connection.
         """
--- a/src/cloverwalk/gateway/replicas.py
+++ b/src/cloverwalk/gateway/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that requests may be sent to, and those that failed lately.
+"""The replicas that requests may be sent to, and those that are avoided after a failure.
 
 The store's version orders the entries of a replica; ``started_ms`` only tells its incarnations
 apart. The clocks of machines differ, so it is never compared with a time of this node.
@@ -248,12 +248,12 @@
         self._peer_suspected_until.pop(replica_id, None)
 
     def is_suspect(self, replica_id: str, now: float) -> bool:
-        """Whether a replica failed at this node lately."""
+        """Whether a replica is avoided because it failed at this node."""
         suspicion = self._suspicions.get(replica_id)
         return suspicion is not None and now < suspicion.expires_at
 
     def is_peer_suspect(self, replica_id: str, now: float) -> bool:
-        """Whether a replica failed at another node lately; the cause may be that node itself."""
+        """Whether another node reported a failure that still counts; its cause may be that node."""
         return now < self._peer_suspected_until.get(replica_id, now)
 
 
--- a/src/cloverwalk/gateway/reply.py
+++ b/src/cloverwalk/gateway/reply.py
@@ -7,7 +7,7 @@
 
 from cloverwalk.gateway.errors import ClientGoneError
 from cloverwalk.gateway.messages import RawHeaders
-from cloverwalk.gateway.send_buffer import SEND_STALL_S, SendBuffer
+from cloverwalk.gateway.send_buffer import SEND_TIMEOUT_S, SendBuffer
 
 
 class Reply:
@@ -131,7 +131,7 @@
             await self._send_buffer.wait_for_space()
             return
         try:
-            async with curio.timeout_after(SEND_STALL_S):
+            async with curio.timeout_after(SEND_TIMEOUT_S):
                 await self._sock.sendall(data)
         except OSError as error:
             raise ClientGoneError(repr(error)) from error
--- a/src/cloverwalk/gateway/restarts.py
+++ b/src/cloverwalk/gateway/restarts.py
@@ -86,7 +86,7 @@
         )
 
     def abort_stale(self) -> None:
-        """Abort exchanges that moved just before a restart was detected, and not since."""
+        """Abort exchanges that moved bytes just before a restart was detected, and none since."""
         now = self._clock()
         for restart in [
             pending for pending in self._pending if now - pending.detected_at >= QUIET_TIME_S
--- a/src/cloverwalk/gateway/send_buffer.py
+++ b/src/cloverwalk/gateway/send_buffer.py
@@ -16,7 +16,7 @@
 from cloverwalk.gateway.memory_budget import MAX_WAITING_BYTES, MemoryBudget
 
 CHUNK_BYTES = 65536
-SEND_STALL_S = 5.0
+SEND_TIMEOUT_S = 5.0
 """A client that reads nothing for this long is dropped, and its work is cancelled."""
 
 MAX_UNREAD_S = 2.0
@@ -60,7 +60,7 @@
         if not self._waiting:
             self._last_read_at = now
         self._waiting += data
-        self._budget.note_waiting(self, now)
+        self._budget.record_waiting(self, now)
         self._raise_error()
         return self._is_sending and len(self._waiting) <= MAX_WAITING_BYTES
 
@@ -144,7 +144,7 @@
 
     async def _send_chunk(self) -> None:
         chunk = bytes(self._waiting[:CHUNK_BYTES])
-        async with curio.timeout_after(SEND_STALL_S):
+        async with curio.timeout_after(SEND_TIMEOUT_S):
             size = await self._sock.send(chunk)
         del self._waiting[:size]
         self.record_sent(size)
--- a/src/cloverwalk/gateway/server.py
+++ b/src/cloverwalk/gateway/server.py
@@ -25,7 +25,7 @@
 BODY_TIMEOUT_S = 10.0
 MAX_PIPELINED_BYTES = 262_144
 NODE_FULL = "node_full"
-FULL_RETRY_AFTER_S = 0.05
+NODE_FULL_RETRY_AFTER_S = 0.05
 """A client that retries reaches another node, usually one with capacity."""
 
 INVALID_HTTP = {431: Reason.HEADERS_TOO_LARGE, 501: Reason.NOT_IMPLEMENTED}
@@ -77,13 +77,15 @@
             raise _ConnectionEnded
         size = len(event.target) + sum(len(n) + len(v) + 4 for n, v in event.headers)
         if size > limits.max_header_bytes:
-            message = f"over {limits.max_header_bytes} bytes"
+            message = f"the headers exceed {limits.max_header_bytes} bytes"
             raise GatewayError(Reason.HEADERS_TOO_LARGE, "headers_too_large", message)
         return event
 
     async def _read_body(self, head: h11.Request) -> bytes:
         limit = self._server.limits().max_body_bytes
-        too_large = GatewayError(Reason.BODY_TOO_LARGE, "body_too_large", f"over {limit} bytes")
+        too_large = GatewayError(
+            Reason.BODY_TOO_LARGE, "body_too_large", f"the body exceeds {limit} bytes"
+        )
         for name, value in head.headers:
             if name == b"content-length" and int(value) > limit:
                 raise too_large
@@ -104,24 +106,24 @@
         return b"".join(parts)
 
     def _has_memory_for(self, size: int) -> bool:
-        """Whether the memory budget allows so many more bytes of this client."""
+        """Whether the memory budget allows ``size`` more bytes of this client."""
         budget = self._server.memory_budget
         return budget is None or budget.has_capacity_for_body(size, self._server.clock())
 
     def _check_memory_for(self, size: int) -> None:
-        """Raise GatewayError if the memory budget does not allow so many bytes of a body."""
+        """Raise GatewayError if the memory budget does not allow ``size`` bytes of a body."""
         if not self._has_memory_for(size):
             message = "this node has no memory left for the body"
-            raise GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
+            raise GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, NODE_FULL_RETRY_AFTER_S)
 
     def _count_buffered(self, size: int) -> None:
         if self._server.memory_budget is not None:
-            self._server.memory_budget.bodies += size
+            self._server.memory_budget.body_bytes += size
             self._buffered_bytes += size
 
     def _release_buffered(self) -> None:
         if self._server.memory_budget is not None:
-            self._server.memory_budget.bodies -= self._buffered_bytes
+            self._server.memory_budget.body_bytes -= self._buffered_bytes
             self._buffered_bytes = 0
 
     async def _read_request(self) -> ClientRequest:
--- a/src/cloverwalk/jobs/item_call.py
+++ b/src/cloverwalk/jobs/item_call.py
@@ -197,7 +197,7 @@
         # The replica sent this character itself, or bytes that are not UTF-8: decoding the latter
         # raises ValueError.
         event.raw.decode("utf-8")
-    order.take(event.event_id)
+    order.check_next(event.event_id)
     if not job.add_event(item_run, event.event_id, event.data):
         raise ValueError("an event is missing")
 
--- a/src/cloverwalk/serving/request_handler.py
+++ b/src/cloverwalk/serving/request_handler.py
@@ -9,7 +9,7 @@
 from cloverwalk.gateway.messages import ClientRequest, EndJob, JobCall, ReadItem, ReadJob
 from cloverwalk.gateway.relay import OnlineRelay
 from cloverwalk.gateway.reply import Reply
-from cloverwalk.gateway.server import FULL_RETRY_AFTER_S, NODE_FULL
+from cloverwalk.gateway.server import NODE_FULL, NODE_FULL_RETRY_AFTER_S
 from cloverwalk.jobs.intake import Submission
 from cloverwalk.jobs.records import MAX_ITEMS
 from cloverwalk.jobs.service import JobService
@@ -176,4 +176,4 @@
 
 
 def _node_full_error(message: str) -> GatewayError:
-    return GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, FULL_RETRY_AFTER_S)
+    return GatewayError(Reason.UNAVAILABLE, NODE_FULL, message, NODE_FULL_RETRY_AFTER_S)
--- a/src/cloverwalk/serving/resource_monitor.py
+++ b/src/cloverwalk/serving/resource_monitor.py
@@ -149,5 +149,5 @@
             most_bytes=dropped.max_bytes,
             longest_s=round(dropped.max_stalled_s, 2),
             held_bytes=self.memory_budget.total_bytes,
-            limit_bytes=self.memory_budget.limit,
+            limit_bytes=self.memory_budget.limit_bytes,
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -546,7 +546,7 @@
     Mutant(
         "serving: a client that does not read is kept",
         "gateway/reply.py",
-        "            async with curio.timeout_after(SEND_STALL_S):",
+        "            async with curio.timeout_after(SEND_TIMEOUT_S):",
         "            async with curio.timeout_after(3600):",
         ONLINE + "test_client_that_does_not_read_is_dropped",
     ),
--- a/tests/serving/fleet_world.py
+++ b/tests/serving/fleet_world.py
@@ -127,7 +127,7 @@
             await self.add_replica(**replica_options)
         for _ in range(nodes):
             await self.add_node()
-        await self.until(lambda: all(node.is_ready for node in self.nodes))
+        await self.wait_until(lambda: all(node.is_ready for node in self.nodes))
 
     async def spawn(self, call: Callable[..., Awaitable[Any]], *args: Any) -> None:
         self.tasks.append(await curio.spawn(call, *args, daemon=True))
@@ -171,7 +171,7 @@
         """Return the coordinator, or None if there is none."""
         return next((node for node in self.nodes if node._fleet.coordinator.is_active), None)
 
-    def coordinator_roster(self) -> list[str]:
+    def coordinator_registry(self) -> list[str]:
         """Return the names of the nodes that reported to the coordinator."""
         node = self.coordinator()
         return [] if node is None else sorted(node._fleet.coordinator.registry.by_name)
@@ -183,7 +183,7 @@
             await server._sock.close()
         await self.nodes[index]._fleet.transport.close()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with curio.timeout_after(WAIT_S):
             while not condition():
                 await curio.sleep(0.01)
@@ -242,7 +242,7 @@
         ]
         return await self.call("POST", path, b"prompt", headers, **more)
 
-    async def hand_in(
+    async def submit_job(
         self, job_id: str, count: int = 3, node: int = 0, path: str = "/jobs/x", key: str = ""
     ) -> Answer:
         return await self.call(
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -27,8 +27,8 @@
 def test_job_is_run_and_readable_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2)
-        assert (await world.hand_in("j")).status == 202
-        assert (await world.hand_in("j", node=1)).status == 202
+        assert (await world.submit_job("j")).status == 202
+        assert (await world.submit_job("j", node=1)).status == 202
         results = await world.until_done("j", 3, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}") for n in range(3)}
         assert {result["state"] for result in results} == {"succeeded"}
@@ -46,7 +46,7 @@
         await world.start(replicas=2)
         for replica in world.replicas:
             replica.misdeeds.extend([misdeed, misdeed])
-        assert (await world.hand_in("j")).status == 202
+        assert (await world.submit_job("j")).status == 202
         results = await world.until_done("j", 3)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}") for n in range(3)}
 
@@ -57,12 +57,12 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
-        assert (await world.hand_in("j", count=1)).status == 202
+        assert (await world.submit_job("j", count=1)).status == 202
         results = await world.until_done("j", 1)
         assert results[0]["state"] == "dead_letter"
         assert len(world.replicas[0].arrivals) == 3
         world.replicas[0].always = Misdeed.IMPOSSIBLE
-        assert (await world.hand_in("k", count=1)).status == 202
+        assert (await world.submit_job("k", count=1)).status == 202
         results = await world.until_done("k", 1)
         assert results[0]["state"] == "dead_letter"
         assert len(world.replicas[0].arrivals) == 4
@@ -74,7 +74,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.replicas[0].always = Misdeed.FAIL
-        assert (await world.hand_in("j", count=1)).status == 202
+        assert (await world.submit_job("j", count=1)).status == 202
         raised = route(
             "jobs", "/jobs/", "batch", completion_target_ms=20000, retention_s=60, max_attempts=5
         )
@@ -90,11 +90,11 @@
 def test_ended_job_starts_no_more_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
-        assert (await world.hand_in("j", count=12)).status == 202
-        await world.until(lambda: world.replicas[0].running > 0)
+        assert (await world.submit_job("j", count=12)).status == 202
+        await world.wait_until(lambda: world.replicas[0].running > 0)
         ended = await world.call("DELETE", f"{names.JOB_PREFIX}j", node=1)
         assert ended.status == 200
-        await world.until(lambda: world.replicas[0].running == 0)
+        await world.wait_until(lambda: world.replicas[0].running == 0)
         started = len(world.replicas[0].arrivals)
         await curio.sleep(0.5)
         assert len(world.replicas[0].arrivals) == started
@@ -106,8 +106,8 @@
 def test_job_of_killed_owner_continues_at_another_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=3, events=60, event_s=0.02)
-        assert (await world.hand_in("j", count=4)).status == 202
-        await world.until(lambda: any(replica.running for replica in world.replicas))
+        assert (await world.submit_job("j", count=4)).status == 202
+        await world.wait_until(lambda: any(replica.running for replica in world.replicas))
         await world.kill_node(0)
         results = await world.until_done("j", 4, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 60) for n in range(4)}
@@ -121,8 +121,8 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.05)
         world.store.write_delay_s = 0.5
-        submitting = await curio.spawn(world.hand_in, "j")
-        await world.until(lambda: "j" in world.store.rows.values("job"))
+        submitting = await curio.spawn(world.submit_job, "j")
+        await world.wait_until(lambda: "j" in world.store.rows.values("job"))
         # The coordinator sees the record before this node has the store's answer.
         await world.nodes[0]._batch.takeover.take_over(["j"])
         assert (await submitting.join()).status == 202
@@ -138,9 +138,9 @@
 def test_job_unknown_to_its_owner_is_run() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         runner = world.nodes[0]._batch.runner
-        assert (await world.hand_in("j")).status == 202
+        assert (await world.submit_job("j")).status == 202
         # As after a submission whose answer was lost: the record exists, and no node runs the job.
         await runner.drop("j")
         await world.until_done("j", 3, node=1)
@@ -151,9 +151,9 @@
 def test_stopping_owner_hands_over_output() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=100, event_s=0.02)
-        assert (await world.hand_in("j", count=2)).status == 202
+        assert (await world.submit_job("j", count=2)).status == 202
         job = world.nodes[0]._batch.runner.jobs["j"]
-        await world.until(lambda: all(len(item_run.texts) > 20 for item_run in job.items))
+        await world.wait_until(lambda: all(len(item_run.texts) > 20 for item_run in job.items))
         world.nodes[0].request_stop()
         results = await world.until_done("j", 2, node=1)
         assert texts(results) == {f"j-{n}": expected_text(f"j-{n}", 100) for n in range(2)}
@@ -170,8 +170,8 @@
 def test_online_requests_preempt_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=100, event_s=0.02)
-        assert (await world.hand_in("j", count=12)).status == 202
-        await world.until(lambda: world.replicas[0].running >= 5)
+        assert (await world.submit_job("j", count=12)).status == 202
+        await world.wait_until(lambda: world.replicas[0].running >= 5)
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(6)]
         for task in tasks:
             assert (await task.join()).is_whole
@@ -187,15 +187,15 @@
         await world.start(replicas=1, nodes=3, events=20, event_s=0.04)
         replica = world.replicas[0]
         for node in (0, 2):
-            assert (await world.hand_in(f"later{node}", count=40, node=node)).status == 202
-        await world.until(lambda: replica.running >= replica.slots)
+            assert (await world.submit_job(f"later{node}", count=40, node=node)).status == 202
+        await world.wait_until(lambda: replica.running >= replica.slots)
         for round_number in range(3):
             urgent = f"urgent{round_number}"
-            assert (await world.hand_in(urgent, 5, node=1, path="/soon/x")).status == 202
+            assert (await world.submit_job(urgent, 5, node=1, path="/soon/x")).status == 202
             first_index = len(replica.arrivals)
             # Items use all slots of the replica: none is reserved.
             end_index = first_index + replica.slots
-            await world.until(lambda end_index=end_index: len(replica.arrivals) >= end_index)  # type: ignore[misc]
+            await world.wait_until(lambda end_index=end_index: len(replica.arrivals) >= end_index)  # type: ignore[misc]
             first = [run.request_id for run in replica.arrivals[first_index:end_index]]
             assert len([request_id for request_id in first if request_id.startswith(urgent)]) == 5
 
@@ -206,13 +206,13 @@
 def test_items_that_will_not_start_are_not_reported_as_waiting(reason: str) -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=20, event_s=0.05)
-        assert (await world.hand_in("j", count=40)).status == 202
-        await world.until(lambda: bool(waiting_groups(world)))
+        assert (await world.submit_job("j", count=40)).status == 202
+        await world.wait_until(lambda: bool(waiting_groups(world)))
         if reason == "ended":
             assert (await world.call("DELETE", f"{names.JOB_PREFIX}j")).status == 200
         else:
             world.nodes[0].request_stop()
-        await world.until(lambda: not waiting_groups(world))
+        await world.wait_until(lambda: not waiting_groups(world))
         assert world.coordinator() is not None
 
     in_world(test)
@@ -221,7 +221,7 @@
 def test_item_bodies_are_readable_at_any_node() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=500, event_s=0.02)
-        assert (await world.hand_in("j")).status == 202
+        assert (await world.submit_job("j")).status == 202
         for node in (0, 1):
             answer = await world.call("GET", f"{names.ITEM_PREFIX}j?id=j-1", node=node)
             assert (answer.status, answer.body) == (200, b"item 1")
@@ -237,7 +237,7 @@
         await world.start(replicas=2, nodes=2)
         for turn in range(3):
             world.store.lose_answers = 2
-            assert (await world.hand_in(f"j{turn}")).status == 202
+            assert (await world.submit_job(f"j{turn}")).status == 202
             world.store.lose_answers = 1
             results = await world.until_done(f"j{turn}", 3, node=1)
             assert sorted(texts(results)) == [f"j{turn}-{n}" for n in range(3)]
@@ -249,7 +249,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
         world.store.is_busy = True
-        answer = await world.hand_in("j")
+        answer = await world.submit_job("j")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
         world.store.is_busy = False
@@ -274,7 +274,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=500, event_s=0.02)
         world.replicas[0].always = Misdeed.REFUSE
-        assert (await world.hand_in("j")).status == 202
+        assert (await world.submit_job("j")).status == 202
         routes = [route("chat", "/chat/", "streaming", resumable=True)]
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(9, routes))
         results = await world.until_done("j", 3)
--- a/tests/serving/test_crash_cases.py
+++ b/tests/serving/test_crash_cases.py
@@ -11,15 +11,15 @@
 from cloverwalk.fleet.messages import CrashCases, Report, encode_datagram
 from cloverwalk.fleet.transport import MAX_DATAGRAM_BYTES
 from cloverwalk.gateway.crash_ledger import (
-    CONTAINED_FROM,
+    CONTAINMENT_THRESHOLD,
+    MAX_INCARNATIONS,
+    MAX_RECORDS,
     MAX_SHARED_RECORDS,
-    MOST_CASES,
-    MOST_INSTANCES,
-    REMEMBERED_S,
-    SHARED_FROM,
-    TOLD_S,
-    TRIAL_LIMIT_S,
-    TRIAL_PAUSES_S,
+    RECORD_TTL_S,
+    REPORTING_TIME_S,
+    SHARING_THRESHOLD,
+    TRIAL_DELAYS_S,
+    TRIAL_TIMEOUT_S,
     Containment,
     CrashLedger,
     CrashRecord,
@@ -76,11 +76,11 @@
 
 def test_trials_run_one_at_a_time_with_growing_pauses() -> None:
     ledger = CrashLedger()
-    for number in range(CONTAINED_FROM):
+    for number in range(CONTAINMENT_THRESHOLD):
         ledger.note_crash(GUILTY, f"r{number}", 10.0)
     now = 10.0
-    last_s = TRIAL_PAUSES_S[-1]
-    for step, pause_s in enumerate([*TRIAL_PAUSES_S, *(last_s for _ in range(MOST_INSTANCES))]):
+    last_s = TRIAL_DELAYS_S[-1]
+    for step, pause_s in enumerate([*TRIAL_DELAYS_S, *(last_s for _ in range(MAX_INCARNATIONS))]):
         assert ledger.containment(GUILTY, now + pause_s - 0.1) is Containment.CONTAINED
         now += pause_s
         # Only the coordinator admits trials.
@@ -88,24 +88,24 @@
         ledger.grants_trials = True
         assert ledger.try_admit(GUILTY, now)
         assert not ledger.try_admit(GUILTY, now)
-        assert ledger.containment(GUILTY, now + TRIAL_LIMIT_S) is Containment.TRIAL_DUE
+        assert ledger.containment(GUILTY, now + TRIAL_TIMEOUT_S) is Containment.TRIAL_DUE
         ledger.note_crash(GUILTY, f"t{step}", now)
         ledger.grants_trials = False
 
 
 def test_contained_request_survives_a_flood_of_other_records() -> None:
     ledger = CrashLedger()
-    for number in range(CONTAINED_FROM):
+    for number in range(CONTAINMENT_THRESHOLD):
         ledger.note_crash(GUILTY, f"r{number}", 1.0)
-    for number in range(2 * MOST_CASES):
+    for number in range(2 * MAX_RECORDS):
         content = f"{number:020d}"
-        for crash in range(1 + number % SHARED_FROM):
+        for crash in range(1 + number % SHARING_THRESHOLD):
             ledger.note_crash(content, f"s{crash}", 2.0)
     assert ledger.containment(GUILTY, 2.0) is Containment.CONTAINED
-    assert len(ledger._cases) <= MOST_CASES
+    assert len(ledger._entries) <= MAX_RECORDS
     assert len(ledger.shared_records(3.0)) <= MAX_SHARED_RECORDS
     for number in range(MAX_SHARED_RECORDS):
-        for crash in range(2 * MOST_INSTANCES):
+        for crash in range(2 * MAX_INCARNATIONS):
             ledger.note_crash(f"{number:020d}", f"i-{crash:010d}", 2.0 + crash)
     assert len(ledger.shared_records(3.0)) == MAX_SHARED_RECORDS
     assert len(encode_datagram(CrashCases(ledger.shared_records(3.0)))) < MAX_DATAGRAM_BYTES
@@ -113,10 +113,10 @@
 
 def test_old_crash_records_expire() -> None:
     ledger = CrashLedger()
-    for number in range(CONTAINED_FROM):
+    for number in range(CONTAINMENT_THRESHOLD):
         ledger.note_crash(GUILTY, f"r{number}", 1.0)
-    assert ledger.expire(REMEMBERED_S) == []
-    assert ledger.expire(1.0 + REMEMBERED_S) == [GUILTY]
+    assert ledger.expire(RECORD_TTL_S) == []
+    assert ledger.expire(1.0 + RECORD_TTL_S) == [GUILTY]
     assert ledger.is_empty and ledger.digest == 0
 
 
@@ -208,9 +208,9 @@
 
     def retries(self) -> int:
         """Return how often it was sent more than ``SYNC_TIMEOUT_S`` after the third crash."""
-        if len(self.reached_at) < CONTAINED_FROM:
+        if len(self.reached_at) < CONTAINMENT_THRESHOLD:
             return 0
-        third_at = self.reached_at[CONTAINED_FROM - 1]
+        third_at = self.reached_at[CONTAINMENT_THRESHOLD - 1]
         return sum(at > third_at + SYNC_TIMEOUT_S for at in self.synchronized_at)
 
 
@@ -311,13 +311,15 @@
         await world.start()
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         world.wire.dropped_kinds.add(Report)
-        for number in range(CONTAINED_FROM):
+        for number in range(CONTAINMENT_THRESHOLD):
             node.ledger.note_crash(GUILTY, f"r{number}", world.now)
-        await world.run(TOLD_S - 1.0)
+        await world.run(REPORTING_TIME_S - 1.0)
         assert world.coordinator.ledger.is_empty
         world.wire.dropped_kinds.clear()
         await world.run(2.0)
-        assert [member.ledger.crashes(GUILTY) for member in world.nodes] == [CONTAINED_FROM] * NODES
+        assert [member.ledger.crashes(GUILTY) for member in world.nodes] == [
+            CONTAINMENT_THRESHOLD
+        ] * NODES
 
     curio.run(test)
 
@@ -328,11 +330,11 @@
     async def test() -> None:
         world = CoordinationWorld(NODES)
         await world.start()
-        for number in range(CONTAINED_FROM):
+        for number in range(CONTAINMENT_THRESHOLD):
             world.coordinator.ledger.note_crash(POPULAR, f"r{number}", world.now)
         await world.run(2.0)
         assert [member.ledger.crashes(POPULAR) for member in world.nodes] == [
-            CONTAINED_FROM
+            CONTAINMENT_THRESHOLD
         ] * NODES
         node = next(candidate for candidate in world.nodes if not candidate.coordinator.is_active)
         node.ledger.note_answer(POPULAR, world.now)
@@ -346,7 +348,7 @@
     async def test() -> None:
         world = CoordinationWorld(NODES)
         await world.start()
-        for number in range(CONTAINED_FROM):
+        for number in range(CONTAINMENT_THRESHOLD):
             world.coordinator.ledger.note_crash(GUILTY, f"r{number}", world.now)
         await world.run(5.0)
         sent = world.wire.bytes_by_kind[CrashCases]
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -33,7 +33,7 @@
 @pytest.fixture(autouse=True)
 def no_trials(monkeypatch: pytest.MonkeyPatch) -> None:
     """Disable trials, which depend on the duration of a test; other tests cover them."""
-    monkeypatch.setattr(crash_ledger, "TRIAL_PAUSES_S", (3600.0,))
+    monkeypatch.setattr(crash_ledger, "TRIAL_DELAYS_S", (3600.0,))
 
 
 class CrashingWorld:
@@ -61,7 +61,9 @@
     async def add_nodes(self, count: int) -> None:
         for _ in range(count):
             await self.world.add_node()
-        await self.world.until(lambda: all(node.is_ready for node in self.world.nodes[-count:]))
+        await self.world.wait_until(
+            lambda: all(node.is_ready for node in self.world.nodes[-count:])
+        )
 
     async def _add(self, address: tuple[str, int] | None) -> None:
         self._count += 1
@@ -123,7 +125,7 @@
                 for node in self.live_nodes()
             )
 
-        await self.world.until(are_all_listed)
+        await self.world.wait_until(are_all_listed)
 
     def content(self, body: bytes, path: str = "/chat/a") -> str:
         """Return the content hash of what ``send`` sends."""
@@ -167,14 +169,14 @@
         await crashing.start(nodes=1)
         await crashing.send(CRASHING)
         await crashing.wait_until_back()
-        await crashing.world.until(lambda: bool(crashing.stored()))
+        await crashing.world.wait_until(lambda: bool(crashing.stored()))
         before = len(crashing.reached)
         for index in range(len(crashing.world.nodes)):
             await crashing.world.kill_node(index)
         crashing.world.nodes.clear()
         crashing.world.node_tasks.clear()
         await crashing.add_nodes(1)
-        await crashing.world.until(lambda: crashing.world.nodes[0]._case_keeper.is_read)
+        await crashing.world.wait_until(lambda: crashing.world.nodes[0]._case_keeper.is_read)
         for _ in range(4):
             await crashing.send(CRASHING)
             await crashing.wait_until_back()
@@ -191,7 +193,7 @@
             # Each attempt may have run, so the status does not say "not run".
             assert answer.status == 502
         node = crashing.world.nodes[0]
-        await crashing.world.until(lambda: not node._witness._probes)
+        await crashing.world.wait_until(lambda: not node._witness._probes)
         assert node._knowledge.crash_ledger.is_empty
         assert sum(replica.runs(f"req{4:04d}") for replica in crashing.world.replicas) == 3
 
@@ -208,7 +210,9 @@
         bodies = [NEIGHBOUR + b" %d" % number for number in range(8)]
         crashing.neighbour_hangs = True
         neighbours = [await curio.spawn(crashing.send, body) for body in bodies]
-        await world.until(lambda: sum(replica.running for replica in world.replicas) == len(bodies))
+        await world.wait_until(
+            lambda: sum(replica.running for replica in world.replicas) == len(bodies)
+        )
         await crashing.send(CRASHING)
         for replica in neighbours:
             await replica.join()
@@ -249,17 +253,17 @@
 
     async def test(crashing: CrashingWorld) -> None:
         await crashing.start(nodes=2)
-        assert (await crashing.world.hand_in("j1", count=6)).status == 202
+        assert (await crashing.world.submit_job("j1", count=6)).status == 202
         results = await crashing.world.until_done("j1", 5)
         assert sorted(result["id"] for result in results) == [
             f"j1-{number}" for number in (0, 2, 3, 4, 5)
         ]
-        await crashing.world.until(lambda: bool(crashing.stored()))
+        await crashing.world.wait_until(lambda: bool(crashing.stored()))
         await crashing.wait_until_back()
         # The second job contains the same item again.
-        assert (await crashing.world.hand_in("j2", count=30)).status == 202
+        assert (await crashing.world.submit_job("j2", count=30)).status == 202
         await crashing.world.until_done("j2", 29)
-        assert len(crashing.reached) == crash_ledger.CONTAINED_FROM
+        assert len(crashing.reached) == crash_ledger.CONTAINMENT_THRESHOLD
         # The item stays open, since nothing proved that it can never succeed.
         assert len((await crashing.world.read_job("j1"))["results"]) == 5
 
--- a/tests/serving/test_fleet_processes.py
+++ b/tests/serving/test_fleet_processes.py
@@ -40,7 +40,7 @@
         return "" if row is None else str(json.loads(row)["holder"][0])
 
     async def coordinator(self) -> NodeProcess:
-        await self.world.until(lambda: bool(self.coordinator_name()))
+        await self.world.wait_until(lambda: bool(self.coordinator_name()))
         name = self.coordinator_name()
         return next(node for node in self.nodes if node.node == name)
 
--- a/tests/serving/test_full_nodes.py
+++ b/tests/serving/test_full_nodes.py
@@ -73,14 +73,14 @@
 ) -> None:
     # 200 clients read nothing of answers of 0.7 MB each, while another client reads its answers.
     max_buffered_bytes = 0
-    original = MemoryBudget.note_waiting
+    original = MemoryBudget.record_waiting
 
     def recording(budget: MemoryBudget, *args: Any) -> None:
         nonlocal max_buffered_bytes
         original(budget, *args)
         max_buffered_bytes = max(max_buffered_bytes, budget.total_bytes)
 
-    monkeypatch.setattr(MemoryBudget, "note_waiting", recording)
+    monkeypatch.setattr(MemoryBudget, "record_waiting", recording)
 
     async def test(world: FleetWorld) -> None:
         world.scarce_memory_bytes = MEMORY_BYTES
@@ -92,16 +92,16 @@
                 answer = await world.ask("/once/a")
                 assert (answer.status, answer.is_whole) == (200, True)
         node = world.nodes[0]
-        await world.until(lambda: not any(replica.running for replica in world.replicas))
-        await world.until(lambda: not node._loads.by_replica)
+        await world.wait_until(lambda: not any(replica.running for replica in world.replicas))
+        await world.wait_until(lambda: not node._loads.by_replica)
         assert node._resource_monitor is not None
         budget = node._resource_monitor.memory_budget
-        assert 0 < budget.answers <= max_buffered_bytes <= LIMIT_BYTES
+        assert 0 < budget.answer_bytes <= max_buffered_bytes <= LIMIT_BYTES
         # The answers together exceed the limit many times.
         assert budget.dropped_readers_total > 10
         for sock in socks:
             await sock.close()
-        await world.until(lambda: budget.total_bytes == 0)
+        await world.wait_until(lambda: budget.total_bytes == 0)
 
     in_world(test)
 
@@ -112,9 +112,9 @@
         await start_with_long_answers(world, replicas=1)
         replica = world.replicas[0]
         sock = await slow_client(world, "/chat/a")
-        await world.until(lambda: bool(replica.arrivals) and replica.arrivals[0].is_finished)
+        await world.wait_until(lambda: bool(replica.arrivals) and replica.arrivals[0].is_finished)
         # The slot is free for another request before the client has read a byte.
-        await world.until(lambda: not world.nodes[0]._loads.by_replica)
+        await world.wait_until(lambda: not world.nodes[0]._loads.by_replica)
         assert (await world.ask("/chat/a")).is_whole
         http = h11.Connection(h11.CLIENT)
         http.send(h11.Request(method="POST", target="/chat/a", headers=[("Host", HOST)]))
@@ -135,7 +135,7 @@
 
     async def test(world: FleetWorld) -> None:
         world.log_path = str(log)
-        monkeypatch.setattr(send_buffer, "SEND_STALL_S", 0.2)
+        monkeypatch.setattr(send_buffer, "SEND_TIMEOUT_S", 0.2)
         world.scarce_memory_bytes = MEMORY_BYTES
         # The stream lasts much longer than the stall timeout.
         await start_with_long_answers(world, replicas=1, events=400, event_s=0.05)
@@ -143,8 +143,8 @@
         assert node._resource_monitor is not None
         budget = node._resource_monitor.memory_budget
         sock = await slow_client(world, "/chat/a")
-        await world.until(lambda: budget.dropped_readers_total == 1)
-        await world.until(lambda: node._clients.connection_count == 0)
+        await world.wait_until(lambda: budget.dropped_readers_total == 1)
+        await world.wait_until(lambda: node._clients.connection_count == 0)
         assert budget.total_bytes == 0
         await sock.close()
         address = node._settings.metrics_address
@@ -156,7 +156,7 @@
         assert [end.fields["outcome"] for end in ends] == ["client_stalled"]
         assert not replica.arrivals[0].is_finished
         assert replica.running == 0
-        await world.until(lambda: str(catalogue.READERS_GIVEN_UP) in log.read_text())
+        await world.wait_until(lambda: str(catalogue.READERS_GIVEN_UP) in log.read_text())
 
     in_world(test)
 
@@ -166,11 +166,11 @@
         world.scarce_memory_bytes = MEMORY_BYTES
         await world.start(replicas=2, events=10, event_s=0.05)
         task = await curio.spawn(world.ask, "/once/a")
-        assert (await world.hand_in("j")).status == 202
-        await world.until(lambda: any(replica.running for replica in world.replicas))
+        assert (await world.submit_job("j")).status == 202
+        await world.wait_until(lambda: any(replica.running for replica in world.replicas))
         FixedOverloadState(world, OverloadState.OVERLOADED, is_ready=False)
         assert not await is_ready(world)
-        for refused in (await world.ask("/once/a", "new"), await world.hand_in("k")):
+        for refused in (await world.ask("/once/a", "new"), await world.submit_job("k")):
             assert refused.status == 503
             assert "retry-after" in refused.headers
             # A retry on the same connection would reach this node again.
@@ -192,7 +192,7 @@
         await world.start(replicas=1)
         node = world.nodes[0]
         assert node._resource_monitor is not None
-        node._resource_monitor.memory_budget.bodies = LIMIT_BYTES // 2
+        node._resource_monitor.memory_budget.body_bytes = LIMIT_BYTES // 2
         sock = await world.connect()
         head = f"POST /chat/a HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 100000\r\n\r\n"
         await sock.sendall(head.encode())
@@ -203,10 +203,10 @@
         assert answer.status == 503
         assert "retry-after" in answer.headers
         await sock.close()
-        node._resource_monitor.memory_budget.bodies = 0
+        node._resource_monitor.memory_budget.body_bytes = 0
         node._resource_monitor.memory_budget.job_bytes = LIMIT_BYTES
         node._resource_monitor.check = lambda late_s: None  # type: ignore[method-assign]
-        assert (await world.hand_in("j")).status == 503
+        assert (await world.submit_job("j")).status == 503
         assert not world.replicas[0].arrivals
 
     in_world(test)
@@ -215,7 +215,7 @@
 def test_without_scarce_memory_utilization_is_not_measured() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         for node in world.nodes:
             assert node._resource_monitor is None
             assert node._clients.memory_budget is None
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -121,12 +121,12 @@
         await world.start(replicas=1)
         for status in (500, 502, 504):
             world.store.failing_status = status
-            answer = await world.hand_in(f"j{status}", count=1)
+            answer = await world.submit_job(f"j{status}", count=1)
             world.store.failing_status = 0
             is_accepted = f"j{status}" in world.store.rows.values(JOB_TABLE)
             assert is_accepted
             assert answer.status not in NOT_RUN_STATUSES, status
-            assert (await world.hand_in(f"j{status}", count=1)).status == 202
+            assert (await world.submit_job(f"j{status}", count=1)).status == 202
 
     in_world(test)
 
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("name", ["stop", "reload"])
 def test_signal_during_signal_handler_does_not_block(name: str) -> None:
-    """Two SIGTERM signals within a millisecond once blocked a node for good."""
+    """A second signal while the first is handled must not block the node."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
@@ -182,9 +182,9 @@
         sock = await world.connect()
         head = f"POST /chat/a HTTP/1.1\r\nHost: {HOST}\r\n{names.REQUEST_ID.decode()}: id-1\r\n"
         await sock.sendall(head.encode() + b"Content-Length: 0\r\n\r\n")
-        await world.until(lambda: bool(world.replicas[0].arrivals))
+        await world.wait_until(lambda: bool(world.replicas[0].arrivals))
         await sock.close()
-        await world.until(lambda: world.replicas[0].arrivals[0].was_left)
+        await world.wait_until(lambda: world.replicas[0].arrivals[0].was_left)
         assert world.replicas[0].running == 0
 
     in_world(test)
@@ -195,13 +195,13 @@
         await world.start(replicas=1, event_s=60.0)
         routes = [route("slow", "/slow/", "streaming", max_attempts=1, timeout_ms=60000)]
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(2, routes))
-        await world.until(lambda: world.nodes[0]._configuration.version == 2)
+        await world.wait_until(lambda: world.nodes[0]._configuration.version == 2)
         sock = await world.connect()
         head = f"POST /slow/a HTTP/1.1\r\nHost: {HOST}\r\n{names.REQUEST_ID.decode()}: id-1\r\n"
         await sock.sendall(head.encode() + b"Content-Length: 0\r\n\r\n")
-        await world.until(lambda: bool(world.replicas[0].arrivals))
+        await world.wait_until(lambda: bool(world.replicas[0].arrivals))
         await sock.close()
-        await world.until(lambda: world.replicas[0].arrivals[0].was_left)
+        await world.wait_until(lambda: world.replicas[0].arrivals[0].was_left)
 
     in_world(test)
 
@@ -209,7 +209,7 @@
 def test_other_nodes_avoid_replica_during_long_prefill() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=40)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         headers = [
             (names.REQUEST_ID.decode(), "long"),
             (names.DEADLINE_MS.decode(), "3000"),
@@ -217,7 +217,7 @@
             (names.PREFIX_HASH.decode(), "aa:200,bb:100000"),
         ]
         task = await curio.spawn(world.call, "POST", "/chat/a", b"prompt", headers, 0)
-        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
+        await world.wait_until(lambda: any(replica.arrivals for replica in world.replicas))
         busy = next(replica for replica in world.replicas if replica.arrivals)
         for turn in range(6):
             assert (await world.ask("/chat/a", node=turn % 2)).is_whole
@@ -229,20 +229,20 @@
 
 def test_client_that_does_not_read_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(world: FleetWorld) -> None:
-        monkeypatch.setattr(reply, "SEND_STALL_S", 0.2)
+        monkeypatch.setattr(reply, "SEND_TIMEOUT_S", 0.2)
         await world.start(replicas=1, events=200, event_s=0.001)
         replica = world.replicas[0]
         replica.event_padding = 500_000
         patient = route("chat", "/chat/", "streaming", resumable=True, timeout_ms=60_000)
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(2, [patient]))
-        await world.until(lambda: world.nodes[0]._configuration.version == 2)
+        await world.wait_until(lambda: world.nodes[0]._configuration.version == 2)
         sock = await world.connect()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         head = f"POST /chat/a HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 0\r\n"
         head += f"{names.REQUEST_ID.decode()}: stalled\r\n\r\n"
         await sock.sendall(head.encode())
-        await world.until(lambda: replica.running == 1)
-        await world.until(lambda: replica.running == 0)
+        await world.wait_until(lambda: replica.running == 1)
+        await world.wait_until(lambda: replica.running == 0)
         assert not replica.arrivals[0].is_finished
         await sock.close()
 
@@ -257,7 +257,9 @@
         world.store.put(names.REPLICA_TABLE, "i-0", document)
         world.store.remove(names.REPLICA_TABLE, "i-1")
         directory = world.nodes[0]._directory
-        await world.until(lambda: directory.find("i-0") is None and directory.find("i-1") is None)
+        await world.wait_until(
+            lambda: directory.find("i-0") is None and directory.find("i-1") is None
+        )
         for _ in range(6):
             assert (await world.ask("/chat/a")).status == 200
         assert (len(first.arrivals), len(second.arrivals), len(third.arrivals)) == (0, 0, 6)
@@ -272,7 +274,7 @@
         routes = [route("new", "/new/", "streaming", resumable=True)]
         holder = world.nodes[0]._configuration
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(5, routes))
-        await world.until(lambda: holder.version == 5)
+        await world.wait_until(lambda: holder.version == 5)
         assert (await world.ask("/new/a")).status == 200
         assert (await world.ask("/chat/a")).status == 404
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(3))
@@ -299,11 +301,11 @@
         await world.start(replicas=2, nodes=1)
         node = await world.add_node()
         node._store._store._pool.address = "127.0.0.1:1"  # type: ignore[attr-defined]
-        await world.until(lambda: node.is_ready)
+        await world.wait_until(lambda: node.is_ready)
         answer = await world.ask("/chat/a", node=1)
         assert answer.event_ids() == [1, 2, 3, 4]
         world.store.remove(names.REPLICA_TABLE, "i-0")
-        await world.until(lambda: node._directory.find("i-0") is None)
+        await world.wait_until(lambda: node._directory.find("i-0") is None)
 
     in_world(test)
 
@@ -323,9 +325,9 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=40, event_s=0.02)
         request_task = await curio.spawn(world.ask, "/chat/a")
-        await world.until(lambda: bool(world.replicas[0].arrivals))
+        await world.wait_until(lambda: bool(world.replicas[0].arrivals))
         world.nodes[0].request_stop()
-        await world.until(lambda: world.nodes[0].is_leaving)
+        await world.wait_until(lambda: world.nodes[0].is_leaving)
         ready = await world.call(
             "GET", names.READY_PATH, address=world.nodes[0]._settings.ready_address
         )
@@ -339,17 +341,17 @@
 
 
 def test_stopping_node_refuses_requests_it_could_not_finish() -> None:
-    """A request that arrived late in the grace time was cut when the node ended."""
+    """Otherwise a request that arrives late in the grace time is cut off when the node ends."""
 
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=5, event_s=0.5)
         # Keeps the node from ending before its grace time is over.
         request_task = await curio.spawn(world.ask, "/chat/a")
-        await world.until(lambda: bool(world.replicas[0].arrivals))
+        await world.wait_until(lambda: bool(world.replicas[0].arrivals))
         node = world.nodes[0]
         node.request_stop()
-        await world.until(lambda: node.is_leaving)
-        await world.until(lambda: node._clock() >= node._last_begin_at)
+        await world.wait_until(lambda: node.is_leaving)
+        await world.wait_until(lambda: node._clock() >= node._last_begin_at)
         late = await world.ask("/chat/a", "late")
         assert late.status == 503
         assert float(late.headers["retry-after"]) > 0
@@ -400,7 +402,7 @@
         replica = world.replicas[0]
         assert (await world.ask("/chat/first")).status == 200
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(replica.slots)]
-        await world.until(lambda: replica.running == replica.slots)
+        await world.wait_until(lambda: replica.running == replica.slots)
         began = len(replica.arrivals)
         answers = [await world.ask("/chat/b") for _ in range(3)]
         assert [answer.status for answer in answers] == [503, 503, 503]
@@ -418,10 +420,12 @@
         replica = world.replicas[0]
         assert (await world.ask("/chat/first")).status == 200
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(replica.slots)]
-        await world.until(lambda: replica.running == replica.slots)
-        assert (await world.hand_in("j", count=12)).status == 202
+        await world.wait_until(lambda: replica.running == replica.slots)
+        assert (await world.submit_job("j", count=12)).status == 202
         retry_task = await curio.spawn(world.ask, "/chat/back", "back", 2700)
-        await world.until(lambda: any(arrival.request_id == "back" for arrival in replica.arrivals))
+        await world.wait_until(
+            lambda: any(arrival.request_id == "back" for arrival in replica.arrivals)
+        )
         # Items run for 2 s: one that got the first free slot was preempted, so none finished.
         items = [arrival for arrival in replica.arrivals if arrival.request_id.startswith("j-")]
         assert [item for item in items if item.is_finished] == []
@@ -441,7 +445,7 @@
         for number in range(6):
             unreachable = {**listed, "address": f"127.0.0.1:{free_port()}"}
             world.store.put(names.REPLICA_TABLE, f"dead-{number}", unreachable)
-        await world.until(lambda: len(world.nodes[0]._directory.all()) == 7)
+        await world.wait_until(lambda: len(world.nodes[0]._directory.all()) == 7)
         answer = await world.ask("/chat/a")
         assert (answer.status, answer.is_whole) == (200, True)
 
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -153,8 +153,8 @@
         replica.born_ms = 1000 + number
         world.store.put(names.REPLICA_TABLE, replica.replica_id, replica.document("model", "z1"))
     await world.add_node()
-    await world.until(lambda: world.nodes[0].is_ready)
-    await world.until(lambda: len(world.nodes[0]._directory.usable("model")) == replicas)
+    await world.wait_until(lambda: world.nodes[0].is_ready)
+    await world.wait_until(lambda: len(world.nodes[0]._directory.usable("model")) == replicas)
 
 
 async def restart(world: FleetWorld, number: int) -> None:
@@ -177,9 +177,9 @@
         (first,) = world.replicas
         first.always = Misdeed.RUN_SILENTLY
         request_task = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
-        await world.until(lambda: first.running == 1)
+        await world.wait_until(lambda: first.running == 1)
         await world.add_replica()
-        await world.until(lambda: len(world.nodes[0]._directory.usable("model")) == 2)
+        await world.wait_until(lambda: len(world.nodes[0]._directory.usable("model")) == 2)
         await restart(world, 0)
         answer = await request_task.join()
         assert answer.is_whole and answer.event_ids() == [1, 2, 3, 4]
@@ -194,7 +194,7 @@
         for replica in world.replicas:
             replica.always = Misdeed.RUN_SILENTLY
         request_task = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
-        await world.until(lambda: any(replica.running for replica in world.replicas))
+        await world.wait_until(lambda: any(replica.running for replica in world.replicas))
         await restart(world, 0 if world.replicas[0].running else 1)
         answer = await request_task.join()
         assert answer.status == 502
@@ -220,8 +220,8 @@
         await begin(world, 1)
         (first,) = world.replicas
         first.always = Misdeed.RUN_SILENTLY
-        await world.hand_in("j", 1)
-        await world.until(lambda: first.running == 1)
+        await world.submit_job("j", 1)
+        await world.wait_until(lambda: first.running == 1)
         monkeypatch.setattr(BatchRunner, "_waiting_item", record_waiting_item)
         await restart(world, 0)
         results = await world.until_done("j", 1)
@@ -241,7 +241,7 @@
         assert pool.opened == 1
         await restart(world, 0)
         start_known = lambda: world.nodes[0]._directory.all()[0].started_ms > 5000  # noqa: E731
-        await world.until(start_known)
+        await world.wait_until(start_known)
         assert (await world.ask("/chat/a")).is_whole
         assert pool.opened == 2
 
@@ -254,8 +254,8 @@
     is_abortable = True
     address = ("10.0.0.1", 80)
 
-    def __init__(self, opened_at: float, quiet_since: float) -> None:
-        self.opened_at, self.quiet_since = opened_at, quiet_since
+    def __init__(self, opened_at: float, last_activity_at: float) -> None:
+        self.opened_at, self.last_activity_at = opened_at, last_activity_at
         self.is_aborted = False
 
     def abort(self) -> None:
--- a/tests/serving/test_silent_connections.py
+++ b/tests/serving/test_silent_connections.py
@@ -22,7 +22,9 @@
     document["address"] = f"127.0.0.1:{proxy.address[1]}"
     world.store.put(names.REPLICA_TABLE, replica.replica_id, document)
     directory = world.nodes[0]._directory
-    await world.until(lambda: [replica.port for replica in directory.all()] == [proxy.address[1]])
+    await world.wait_until(
+        lambda: [replica.port for replica in directory.all()] == [proxy.address[1]]
+    )
     return proxy
 
 
@@ -57,8 +59,8 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=20, event_s=0.02)
         proxy = await replica_behind_proxy(world)
-        assert (await world.hand_in("j")).status == 202
-        await world.until(lambda: proxy.open_count >= 3)
+        assert (await world.submit_job("j")).status == 202
+        await world.wait_until(lambda: proxy.open_count >= 3)
         proxy.silence(way)
         results = await world.until_done("j", 3)
         assert {result["state"] for result in results} == {"succeeded"}
@@ -74,15 +76,15 @@
         await world.spawn(proxy.run)
         world.store_port = proxy.address[1]
         await world.start(replicas=1)
-        await world.until(lambda: world.coordinator() is not None)
-        assert (await world.hand_in("a")).status == 202
+        await world.wait_until(lambda: world.coordinator() is not None)
+        assert (await world.submit_job("a")).status == 202
         proxy.silence(way)
         async with curio.timeout_after(4.0):
-            answer = await world.hand_in("b")
+            answer = await world.submit_job("b")
             while answer.status != 202:
                 assert answer.status == 503
                 await curio.sleep(0.1)
-                answer = await world.hand_in("b")
+                answer = await world.submit_job("b")
             await world.until_done("b", 3)
 
     in_world(test)
--- a/tests/serving/test_slowdown.py
+++ b/tests/serving/test_slowdown.py
@@ -317,7 +317,7 @@
 def test_nodes_report_timings_of_requests_and_items_to_the_coordinator() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, nodes=2, events=10)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         coordinator = world.coordinator()
         assert coordinator is not None
         fleet = coordinator._fleet
@@ -335,15 +335,15 @@
         world.replicas[0].slowdown_percent = 250
         for number in range(2):
             assert (await world.ask("/chat/a", node=number)).status == 200
-        await world.until(lambda: len(request_timings) == 2)
+        await world.wait_until(lambda: len(request_timings) == 2)
         assert fleet.features.is_on(Feature.REPLICA_PACE)
         assert {(timing.replica_id, timing.slowdown_percent) for timing in request_timings} == {
             ("i-0", 250)
         }
         assert {timing.events for timing in request_timings} == {10}
-        await world.hand_in("j-1", count=2, node=1)
+        await world.submit_job("j-1", count=2, node=1)
         await world.until_done("j-1", 2, node=1)
-        await world.until(lambda: len(item_timings) == 2)
+        await world.wait_until(lambda: len(item_timings) == 2)
         reported = {
             (timing.replica_id, timing.events, timing.slowdown_percent) for timing in item_timings
         }
@@ -358,11 +358,11 @@
         client = world.nodes[0]._fleet.link
         item_timings: list[ItemTiming] = []
         client.record_item_timing = item_timings.append  # type: ignore[method-assign, assignment]
-        await world.hand_in("j-1", count=2)
+        await world.submit_job("j-1", count=2)
         await world.until_done("j-1", 2)
         assert item_timings == []
         world.replicas[0].slowdown_percent = 250
-        await world.hand_in("j-2", count=2)
+        await world.submit_job("j-2", count=2)
         await world.until_done("j-2", 2)
         assert len(item_timings) == 2
 
--- a/tests/serving/test_store_health.py
+++ b/tests/serving/test_store_health.py
@@ -62,17 +62,17 @@
         monkeypatch.setattr(follower, "MAX_RETRY_DELAY_S", HOUR_MS)  # type: ignore[attr-defined]
         monkeypatch.setattr(election, "VERIFY_INTERVAL_S", HOUR_MS)  # type: ignore[attr-defined]
         await world.start(replicas=1, nodes=3)
-        await world.until(lambda: len(world.coordinator_roster()) == 3)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 3)
         world.store.is_busy = True
         healths = [node._health for node in world.nodes]
         # A pending feed call may still be answered after another feed of the node has failed.
-        await world.until(lambda: all(all_feeds_failed(node) for node in world.nodes))
+        await world.wait_until(lambda: all(all_feeds_failed(node) for node in world.nodes))
         assert all(health.is_unavailable for health in healths)
         world.store.is_busy = False
         # A node other than the coordinator sees it first; the others learn it through that node.
         first = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await first._health.hint_recovery()
-        await world.until(lambda: not any(health.is_unavailable for health in healths))
+        await world.wait_until(lambda: not any(health.is_unavailable for health in healths))
 
     in_world(test)
 
--- a/tests/serving/test_tenants.py
+++ b/tests/serving/test_tenants.py
@@ -68,7 +68,9 @@
 async def put_configuration(world: FleetWorld, document: dict[str, Any]) -> None:
     world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, document)
     version = document["version"]
-    await world.until(lambda: all(node._configuration.version == version for node in world.nodes))
+    await world.wait_until(
+        lambda: all(node._configuration.version == version for node in world.nodes)
+    )
 
 
 async def call_on_job(world: FleetWorld, method: str, job_id: str, key: str) -> Answer:
@@ -179,7 +181,7 @@
 def test_a_node_without_the_store_receives_keys_from_its_peers() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         await follower._configuration_follower._health.record_failure()
         follower._configuration_follower._on_changes = ignore_page
@@ -213,7 +215,7 @@
 def test_a_job_is_visible_to_its_tenant_only() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2)
-        assert (await world.hand_in("j", key=FIRST_KEY)).status == 202
+        assert (await world.submit_job("j", key=FIRST_KEY)).status == 202
         for method in ("GET", "DELETE"):
             foreign_job = await call_on_job(world, method, "j", OTHER_TENANT_KEY)
             missing_job = await call_on_job(world, method, "no-such-job", OTHER_TENANT_KEY)
@@ -236,9 +238,9 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2, nodes=2, events=30, event_s=0.05)
         await put_configuration(world, with_tenants(2))
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
-        assert (await world.hand_in("j", node=0, key=FIRST_KEY)).status == 202
-        await world.until(lambda: any(replica.arrivals for replica in world.replicas))
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
+        assert (await world.submit_job("j", node=0, key=FIRST_KEY)).status == 202
+        await world.wait_until(lambda: any(replica.arrivals for replica in world.replicas))
         await world.kill_node(0)
         await world.until_done("j", 3, node=1, key=FIRST_KEY)
         arrivals = [arrival for replica in world.replicas for arrival in replica.arrivals]
@@ -252,10 +254,10 @@
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world)
         world.replicas[0].event_s = 5.0
-        assert (await world.hand_in("a", count=4, path="/few/x", key=FIRST_KEY)).status == 202
-        assert (await world.hand_in("b", count=4, path="/few/x", key=FIRST_KEY)).status == 429
+        assert (await world.submit_job("a", count=4, path="/few/x", key=FIRST_KEY)).status == 202
+        assert (await world.submit_job("b", count=4, path="/few/x", key=FIRST_KEY)).status == 429
         assert (
-            await world.hand_in("c", count=4, path="/few/x", key=OTHER_TENANT_KEY)
+            await world.submit_job("c", count=4, path="/few/x", key=OTHER_TENANT_KEY)
         ).status == 202
 
     in_world(test)
@@ -267,7 +269,7 @@
 def test_a_tenant_over_its_quota_is_refused_and_others_are_served() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2, rate_per_s=2.0, burst=4)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         answers = [
             await world.ask("/chat/a", key=FIRST_KEY, node=number % 2) for number in range(40)
         ]
@@ -287,7 +289,7 @@
 def test_most_quota_refusals_need_no_placement_request() -> None:
     async def test(world: FleetWorld) -> None:
         await start_with_tenants(world, nodes=2, rate_per_s=0.2, burst=1)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         index = world.nodes.index(follower)
         request_count = 0
@@ -326,8 +328,8 @@
         log.touch()
         world.log_path = str(log)
         await start_with_tenants(world, nodes=2, rate_per_s=1.0, burst=1)
-        await world.until(lambda: len(world.coordinator_roster()) == 2)
-        answers = [await world.hand_in("j", key=FIRST_KEY)]
+        await world.wait_until(lambda: len(world.coordinator_registry()) == 2)
+        answers = [await world.submit_job("j", key=FIRST_KEY)]
         for number in range(30):
             answers.append(await world.ask("/chat/a", key=FIRST_KEY, node=number % 2))
         answers.append(await world.ask("/chat/a", key="no-such-key"))
@@ -336,7 +338,7 @@
         # A process that has just started receives the configuration from a peer.
         follower = next(node for node in world.nodes if not node._fleet.coordinator.is_active)
         follower._configuration.current = None
-        await world.until(lambda: follower._configuration.current is not None)
+        await world.wait_until(lambda: follower._configuration.current is not None)
         assert any(b'"configuration"' in datagram for datagram in datagrams)
         metrics = await world.call(
             "GET", "/metrics", address=world.nodes[0]._settings.metrics_address
@@ -382,7 +384,7 @@
             lines = [json.loads(line) for line in log.read_text().splitlines()]
             return [line for line in lines if line["number"] == number]
 
-        await world.until(lambda: len(events(catalogue.TENANT_WITHIN_QUOTA)) == 1)
+        await world.wait_until(lambda: len(events(catalogue.TENANT_WITHIN_QUOTA)) == 1)
         (refused,) = events(catalogue.TENANT_REFUSED)
         (over,) = events(catalogue.TENANT_WITHIN_QUOTA)
         assert (refused["tenant"], over["tenant"]) == ("quiz", "quiz")
@@ -398,7 +400,7 @@
             names.OPERATOR_TABLE, names.CONFIGURATION_KEY, with_tenants(2, rate_per_s=9, burst=9)
         )
         await world.add_node()
-        await world.until(lambda: world.nodes[0].is_ready)
+        await world.wait_until(lambda: world.nodes[0].is_ready)
         async with curio.timeout_after(5):
             assert (await world.ask("/chat/a", key=FIRST_KEY)).status == 200
 
--- a/tests/unit/test_overload_monitor.py
+++ b/tests/unit/test_overload_monitor.py
@@ -198,7 +198,7 @@
 
     def add(self, size: int, now: float) -> None:
         self.waiting_bytes += size
-        self._budget.note_waiting(self, now)
+        self._budget.record_waiting(self, now)
 
     def read(self, size: int) -> None:
         self.waiting_bytes = max(0, self.waiting_bytes - size)
