--- a/src/cloverwalk/gateway/crash_ledger.py
+++ b/src/cloverwalk/gateway/crash_ledger.py
@@ -18,7 +18,7 @@
 
 CONTAINMENT_THRESHOLD = 3
 """Number of ended replicas from which a request is contained. One may be chance, and two happen to
-other requests that are retried at the same replica as the crashing one."""
+requests that are retried at the same replica as the crashing one."""
 
 SHARING_THRESHOLD = 2
 """Number of ended replicas from which a record is sent to all nodes. Each crash makes many records
@@ -266,7 +266,7 @@
         return [key for key, entry in self._entries.items() if entry.crashes >= SHARING_THRESHOLD]
 
     def shared_records(self, now: float) -> list[CrashRecord]:
-        """Return the records that all nodes should have, and those cleared in ``ANSWER_TTL_S``."""
+        """Return the records for all nodes, with those cleared within ``ANSWER_TTL_S``."""
         return self._records({*self._shared(), *self._cleared_at}, now)
 
     def local_records(self, now: float) -> list[CrashRecord]:
--- a/tests/serving/fleet_world.py
+++ b/tests/serving/fleet_world.py
@@ -21,7 +21,7 @@
 from cloverwalk.serving.node import ServingNode
 from cloverwalk.serving.settings import MachineLimits, ServingSettings
 
-WAIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 HOST = "site.example"
 NODE_HOSTS = ("127.0.0.2", "127.0.0.3", "127.0.0.4")
 FIRST_PORT = 20_000
@@ -184,7 +184,7 @@
         await self.nodes[index]._fleet.transport.close()
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
-        async with curio.timeout_after(WAIT_S):
+        async with curio.timeout_after(WAIT_TIMEOUT_S):
             while not condition():
                 await curio.sleep(0.01)
 
@@ -221,7 +221,7 @@
         host, port = address or self.nodes[node]._settings.client_address
         sock = await curio.open_connection(host, port)
         try:
-            async with curio.timeout_after(WAIT_S):
+            async with curio.timeout_after(WAIT_TIMEOUT_S):
                 await sock.sendall(data)
                 return await read_answer(sock, http)
         finally:
@@ -260,7 +260,7 @@
         return json.loads(answer.body)
 
     async def until_done(self, job_id: str, count: int, node: int = 0, key: str = "") -> list[Any]:
-        async with curio.timeout_after(2 * WAIT_S):
+        async with curio.timeout_after(2 * WAIT_TIMEOUT_S):
             while True:
                 page = await self.read_job(job_id, node=node, key=key)
                 if len(page["results"]) >= count:
--- a/tests/serving/scripted_replica.py
+++ b/tests/serving/scripted_replica.py
@@ -28,7 +28,7 @@
 from cloverwalk.telemetry.metrics import ServingMetrics
 
 READ_BYTES = 65536
-TEST_LIMIT_S = 20.0
+TEST_TIMEOUT_S = 20.0
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -361,7 +361,7 @@
         serving = await curio.spawn(replica.run)
         callers = Callers(replica.address)
         try:
-            async with curio.timeout_after(TEST_LIMIT_S):
+            async with curio.timeout_after(TEST_TIMEOUT_S):
                 await test(replica, callers)
         finally:
             await callers.close()
--- a/tests/serving/test_crashing_requests.py
+++ b/tests/serving/test_crashing_requests.py
@@ -214,8 +214,8 @@
             lambda: sum(replica.running for replica in world.replicas) == len(bodies)
         )
         await crashing.send(CRASHING)
-        for replica in neighbours:
-            await replica.join()
+        for neighbour_task in neighbours:
+            await neighbour_task.join()
         await crashing.wait_until_back()
         for body in bodies:
             assert (await crashing.send(body)).status == 200
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -16,7 +16,9 @@
 from cloverwalk.telemetry.request_history import describe_work_state, parse_line
 
 PROMISES = (408, 421, 429, 503)
-SENDS = 2
+"""Statuses that say that the request was not run."""
+
+MAX_SENDS = 2
 
 
 def runs(world: FleetWorld, request_id: str) -> int:
@@ -26,7 +28,7 @@
 async def send_while_promised(world: FleetWorld, path: str, request_id: str) -> list[Answer]:
     """Send a request, and retry it after a status that says "not run"."""
     answers = [await world.ask(path, request_id)]
-    while answers[-1].status in PROMISES and len(answers) < SENDS:
+    while answers[-1].status in PROMISES and len(answers) < MAX_SENDS:
         answers.append(await world.ask(path, request_id))
     return answers
 
--- a/tests/serving/test_replica_answers.py
+++ b/tests/serving/test_replica_answers.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from msgspec import Struct
 from scripted_replica import (
-    TEST_LIMIT_S,
+    TEST_TIMEOUT_S,
     Call,
     Callers,
     End,
@@ -38,14 +38,14 @@
 def disable_timeouts() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(item_call, "READ_INTERVAL_S", 0.0)
-        patch.setattr(replica_connection, "CONNECT_TIMEOUT_S", TEST_LIMIT_S)
+        patch.setattr(replica_connection, "CONNECT_TIMEOUT_S", TEST_TIMEOUT_S)
         for module, name in (
             (item_call, "ANSWER_TIMEOUT_S"),
             (item_call, "EVENT_TIMEOUT_S"),
             (answer_relay, "FIRST_EVENT_TIMEOUT_S"),
             (answer_relay, "EVENT_TIMEOUT_S"),
         ):
-            patch.setattr(module, name, TEST_LIMIT_S)
+            patch.setattr(module, name, TEST_TIMEOUT_S)
         yield
 
 
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -70,7 +70,7 @@
 
 
 def test_late_entry_does_not_restore_earlier_incarnation() -> None:
-    """From a peer with an older version, or from a late write of the store."""
+    """Such an entry comes from a peer with an older version, or from a late write to the store."""
     recorder = RestartRecorder(start(1, 5), start(3, 9))
     assert not recorder.directory.put(start(2, 5))
     assert not recorder.directory.put(start(4, 5))
@@ -81,7 +81,7 @@
 
 
 def test_replica_with_clock_set_back_is_used() -> None:
-    """An ended process does not write again and again."""
+    """More entries than an ended process can write late come from a running one."""
     recorder = RestartRecorder(start(1, 9))
     for number in range(MAX_LATE_ENTRIES + 1):
         recorder.directory.put(start(2 + number, 5))
@@ -160,8 +160,8 @@
 async def restart(world: FleetWorld, number: int) -> None:
     """Let a replica write its entry again, and then restart without closing its connections."""
     replica, directory = world.replicas[number], world.nodes[0]._directory
-    asked_at = steady_s()
-    while directory.confirmed_at <= asked_at:
+    began_at = steady_s()
+    while directory.confirmed_at <= began_at:
         document = replica.document("model", "z1")
         world.store.put(names.REPLICA_TABLE, replica.replica_id, document)
         await curio.sleep(0.01)
@@ -240,8 +240,8 @@
         assert (await world.ask("/chat/a")).is_whole
         assert pool.opened == 1
         await restart(world, 0)
-        start_known = lambda: world.nodes[0]._directory.all()[0].started_ms > 5000  # noqa: E731
-        await world.wait_until(start_known)
+        has_restarted = lambda: world.nodes[0]._directory.all()[0].started_ms > 5000  # noqa: E731
+        await world.wait_until(has_restarted)
         assert (await world.ask("/chat/a")).is_whole
         assert pool.opened == 2
 
@@ -385,7 +385,7 @@
 
 
 def test_draining_incarnation_is_no_evidence() -> None:
-    """It was told to end, so a request that it still had is no evidence."""
+    """It was about to end, so a request that it still had is no evidence."""
     leaving = start(2, 5, is_draining=True)
     assert crashes((start(1, 5), True), entries=[start(1, 5), leaving, start(3, 9)]) == 0
     renewed = [start(1, 5), leaving, start(3, 9), start(4, 9)]
--- a/tests/serving/test_silent_connections.py
+++ b/tests/serving/test_silent_connections.py
@@ -8,8 +8,8 @@
 from cloverwalk.gateway.answer_relay import FIRST_EVENT_TIMEOUT_S
 from cloverwalk.platform import names
 
-NORMAL_LATENCY_S = 0.6
-"""More than a request takes here, and less than one that meets a silent connection."""
+MAX_NORMAL_LATENCY_S = 0.6
+"""Longer than a request takes here, and shorter than one that meets a silent connection."""
 
 EACH_KIND = pytest.mark.parametrize("way", list(Silence))
 
@@ -47,9 +47,9 @@
         assert proxy.open_count >= 3
         proxy.silence(way)
         times = [await request_duration_s(world, "/chat/a") for _ in range(6)]
-        late_durations_s = [duration_s for duration_s in times if duration_s > NORMAL_LATENCY_S]
+        late_durations_s = [duration_s for duration_s in times if duration_s > MAX_NORMAL_LATENCY_S]
         assert len(late_durations_s) == 1
-        assert late_durations_s[0] < FIRST_EVENT_TIMEOUT_S + NORMAL_LATENCY_S
+        assert late_durations_s[0] < FIRST_EVENT_TIMEOUT_S + MAX_NORMAL_LATENCY_S
 
     in_world(test)
 
