--- a/src/cloverwalk/http/__init__.py
+++ b/src/cloverwalk/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over curio sockets, by h11 on both sides."""
+"""HTTP/1.1 client and server on curio sockets, with h11 for the protocol."""
--- a/src/cloverwalk/http/client.py
+++ b/src/cloverwalk/http/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client: pooled connections for calls, a connection of its own for each stream."""
+"""HTTP client connections, and a pool that reuses them for calls to one address."""
 
 import contextlib
 from typing import Any
@@ -12,11 +12,11 @@
 from cloverwalk.http.silence import watch_silence
 
 READ_BYTES = 65536
-MAX_IDLE = 16
+MAX_IDLE_CONNECTIONS = 16
 
 
 class HttpResponse(Struct):
-    """A whole answer."""
+    """A response; its body is empty until it has been read."""
 
     status: int
     headers: dict[str, str]
@@ -24,13 +24,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``."""
+    """Split ``host:port`` into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class ClientConnection:
-    """One connection; requests go one after the other."""
+    """One connection, which handles one request at a time."""
 
     def __init__(self, sock: Any, address: str) -> None:
         self._sock = sock
@@ -40,7 +40,7 @@
 
     @classmethod
     async def open(cls, address: str, timeout_s: float) -> "ClientConnection":
-        """Connect; raise NotSentError when that fails."""
+        """Connect to an address; raise NotSentError if that fails or times out."""
         try:
             async with curio.timeout_after(timeout_s):
                 sock = await curio.open_connection(*split_address(address))
@@ -51,7 +51,7 @@
         return cls(sock, address)
 
     async def send(self, method: str, path: str, headers: dict[str, str], body: bytes) -> None:
-        """Send a request whole."""
+        """Send a whole request."""
         self.is_used = True
         all_headers = [("Host", self._address), ("Content-Length", str(len(body)))]
         all_headers += list(headers.items())
@@ -70,7 +70,7 @@
             self._http.receive_data(await self._sock.recv(READ_BYTES))
 
     async def head(self) -> HttpResponse:
-        """Return status and headers of the answer; its body is still empty."""
+        """Read status and headers of the response; its body stays empty."""
         event = await self._next_event()
         if not isinstance(event, h11.Response):
             raise LostAnswerError(f"{self._address} closed the connection")
@@ -78,7 +78,10 @@
         return HttpResponse(event.status_code, headers, b"")
 
     async def next_part(self) -> bytes | None:
-        """Return the next part of the body, None at its end; LostAnswerError when cut."""
+        """Return the next part of the body, or None at its end.
+
+        Raises LostAnswerError if the server closes the connection before the end.
+        """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
@@ -87,27 +90,27 @@
         raise LostAnswerError(f"{self._address} closed the connection")
 
     async def read_body(self) -> bytes:
-        """Return the whole body."""
+        """Read the body to its end."""
         parts = []
         while (part := await self.next_part()) is not None:
             parts.append(part)
         return b"".join(parts)
 
-    async def read_whole(self) -> HttpResponse:
-        """Return the answer with its body."""
+    async def read_response(self) -> HttpResponse:
+        """Read the response with its body."""
         response = await self.head()
         response.body = await self.read_body()
         return response
 
     def reset(self) -> bool:
-        """Prepare for the next request; False when the connection must be closed."""
+        """Prepare for the next request; return False if the connection must be closed."""
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             return True
         return False
 
     async def shut_down(self) -> None:
-        """Break the connection under a task that reads from it, which then gets an error."""
+        """Shut the socket down, so that a task that reads from it gets an error."""
         with contextlib.suppress(OSError):
             await self._sock.shutdown(socket.SHUT_RDWR)
 
@@ -117,7 +120,7 @@
 
 
 class HttpPool:
-    """Calls to one address over kept connections."""
+    """Sends requests to one address and reuses idle connections."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -131,10 +134,10 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 1.0,
     ) -> HttpResponse:
-        """Send a request and return its answer.
+        """Send a request and return its response.
 
-        Raises NotSentError or LostAnswerError. A kept connection that the server closed
-        meanwhile counts as a lost answer: nothing tells whether the request was read.
+        Raises NotSentError or LostAnswerError. If the server has closed a reused connection,
+        the answer counts as lost, since the server may have read the request.
         """
         connection = self._idle.pop() if self._idle else None
         if connection is None:
@@ -142,14 +145,14 @@
         try:
             async with curio.timeout_after(timeout_s):
                 await connection.send(method, path, headers or {}, body)
-                response = await connection.read_whole()
+                response = await connection.read_response()
         except (OSError, curio.TaskTimeout, h11.ProtocolError, LostAnswerError) as error:
             await connection.close()
             raise LostAnswerError(f"no answer from {self.address}: {error!r}") from error
         except BaseException:
             await connection.close()
             raise
-        if connection.reset() and len(self._idle) < MAX_IDLE:
+        if connection.reset() and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             await connection.close()
--- a/src/cloverwalk/http/errors.py
+++ b/src/cloverwalk/http/errors.py
@@ -10,12 +10,12 @@
 
 
 class NotSentError(HttpError):
-    """The request never left: no connection could be made."""
+    """The request was not sent because no connection could be opened."""
 
     default_code = "http_not_sent"
 
 
 class LostAnswerError(HttpError):
-    """The request may have been received, but no whole answer came."""
+    """The server may have received the request, but no complete response arrived."""
 
     default_code = "http_lost_answer"
