--- a/src/cloverwalk/emulator/__init__.py
+++ b/src/cloverwalk/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the engines and the platform, and a discrete-event run of a whole fleet."""
+"""Emulators of engines, replicas and the platform, and a discrete-event simulation of a fleet."""
--- a/src/cloverwalk/emulator/engine_model.py
+++ b/src/cloverwalk/emulator/engine_model.py
@@ -1,8 +1,8 @@
-"""A model of a continuously batching engine, driven by a clock that is passed in.
+"""A model of an engine with continuous batching; callers pass the current time.
 
-Each step decodes one token for every running stream and prefills some of the waiting
-prompts. Step time grows with the running batch and with the tokens prefilled, which is how
-batch work harms online work even at a lower priority.
+Each step decodes one token for each running stream whose prefill is complete, and prefills some
+tokens of the others. A step takes longer with more running streams and more prefilled tokens, so
+batch work slows online work down even at a lower priority.
 """
 
 from collections import OrderedDict
@@ -16,15 +16,15 @@
 from cloverwalk.emulator.prefix_cache import PrefixCache
 
 PREFILL_CHUNK_TOKENS = 512
-KEPT_RESULTS = 5000
+MAX_ENDED_REQUESTS = 5000
 MODEL_BYTES = 100_000_000.0
-"""Size of a model's weights in the stand-in's weight store."""
+"""Size of a model's weights in the emulated weight store."""
 
-WAITING_PER_SLOT = 2
+MAX_WAITING_PER_SLOT = 2
 
 
 class StartRecord(Struct, frozen=True):
-    """One line of the engine's own log of starts."""
+    """A request that the engine started, as in its start log."""
 
     request_id: str
     attempt: int
@@ -45,7 +45,7 @@
 
 
 class StreamEnd(Struct, frozen=True):
-    """A stream that ended early, with all of its output, the resumed part included."""
+    """A stream that was aborted, with its whole output, including the resumed part."""
 
     request_id: str
     attempt: int
@@ -54,7 +54,7 @@
 
 
 class RequestStatus(Struct, frozen=True):
-    """What the engine knows of a request id."""
+    """The state of a request; ``text`` and ``tokens`` are set once it has finished."""
 
     state: str  # unknown, running, finished, aborted
     text: str = ""
@@ -62,7 +62,7 @@
 
 
 class LoadReport(Struct, frozen=True):
-    """A load report, which describes a moment ago."""
+    """The load of an engine at an earlier time."""
 
     at: float
     running: int
@@ -76,18 +76,18 @@
     epoch: int
     seed: int
     order: int
-    generated: int  # tokens in the whole answer so far
-    resumed: int
-    prefill_left: int = -1  # -1: still waiting for a slot
+    generated_tokens: int  # including the resumed tokens
+    resumed_tokens: int
+    remaining_prefill_tokens: int = -1  # -1 while waiting for a slot
 
     @property
     def text(self) -> str:
-        """Output so far, the resumed part included."""
-        return answer_tokens(self.seed, 0, self.generated)
+        """Output so far, including the resumed part."""
+        return answer_tokens(self.seed, 0, self.generated_tokens)
 
 
 class EngineModel:
-    """One engine."""
+    """The state of one engine."""
 
     def __init__(self, settings: EngineEmulatorSettings, random: Random) -> None:
         self.settings = settings
@@ -104,13 +104,13 @@
         self._step_ends_at: float | None = None
         self._step_s = 0.0
         self._prefilled: list[_Stream] = []
-        self._loads: list[LoadReport] = []
+        self._load_history: list[LoadReport] = []
         self.tokens_generated = 0
 
     # --- calls ---
 
     def adopt(self, epoch: int) -> list[StreamEnd] | None:
-        """Take a new owner's epoch; return the streams it aborts, None when it is stale."""
+        """Adopt the epoch of a new owner; return the aborted streams, None for a stale epoch."""
         if epoch < self.epoch:
             return None
         if epoch == self.epoch:
@@ -120,7 +120,7 @@
         return [self._abort(stream) for stream in old if stream.epoch < epoch]
 
     def start(self, work: Work, epoch: int, now: float) -> Refusal | None:
-        """Start work; return why it was not started, None when it was."""
+        """Add work to the waiting streams; return the reason for a refusal, or None."""
         reason = self._refusal(work, epoch)
         if reason is not None:
             return reason
@@ -139,156 +139,158 @@
         if work.model != self.model or self.is_loading:
             return Refusal.WRONG_MODEL
         if work.request_id in self._running or any(
-            one.work.request_id == work.request_id for one in self._waiting
+            stream.work.request_id == work.request_id for stream in self._waiting
         ):
             return Refusal.BUSY
-        if len(self._waiting) >= self.settings.slots * WAITING_PER_SLOT:
+        if len(self._waiting) >= self.settings.slots * MAX_WAITING_PER_SLOT:
             return Refusal.BUSY
         return None
 
     def cancel(self, request_id: str, attempt: int) -> StreamEnd | None:
-        """Stop a stream; return its output so far, None when it does not run."""
-        stream = self._find(request_id)
+        """Abort a stream; return its output so far, or None if there is no such stream."""
+        stream = self._find_stream(request_id)
         if stream is None or stream.work.attempt != attempt:
             return None
         return self._abort(stream)
 
-    def _find(self, request_id: str) -> _Stream | None:
+    def _find_stream(self, request_id: str) -> _Stream | None:
         stream = self._running.get(request_id)
         if stream is not None:
             return stream
-        return next((one for one in self._waiting if one.work.request_id == request_id), None)
+        return next((entry for entry in self._waiting if entry.work.request_id == request_id), None)
 
     def _abort(self, stream: _Stream) -> StreamEnd:
         request_id = stream.work.request_id
         if self._running.pop(request_id, None) is None:
             self._waiting.remove(stream)
-        elif stream.prefill_left <= 0:
-            self.cache.add(stream.work.prompt, stream.work.prompt + stream.text, self._last_now)
-        self._keep(request_id, RequestStatus("aborted"))
-        return StreamEnd(request_id, stream.work.attempt, stream.text, stream.generated)
+        elif stream.remaining_prefill_tokens <= 0:
+            self.cache.add(stream.work.prompt, stream.work.prompt + stream.text, self._last_step_at)
+        self._record_end(request_id, RequestStatus("aborted"))
+        return StreamEnd(request_id, stream.work.attempt, stream.text, stream.generated_tokens)
 
     def status(self, request_id: str) -> RequestStatus:
-        """Return what is known of a request."""
-        if self._find(request_id) is not None:
+        """Return the state of a request."""
+        if self._find_stream(request_id) is not None:
             return RequestStatus("running")
         return self._ended.get(request_id, RequestStatus("unknown"))
 
     def begin_load(self, epoch: int) -> bool:
-        """Begin to obey a fenced order to load a model; False when stale or not idle."""
+        """Begin to load a model; return False if the epoch is stale or the engine is not idle."""
         if epoch < self.epoch or self._running or self._waiting or self.is_loading:
             return False
         self.is_loading = True
         return True
 
     def finish_load(self, model: str) -> None:
-        """The weights are here: serve the new model with an empty cache."""
+        """Serve the new model, with an empty cache, once its weights are loaded."""
         self.is_loading = False
         self.model = model
         self.cache.clear()
 
-    def _keep(self, request_id: str, status: RequestStatus) -> None:
+    def _record_end(self, request_id: str, status: RequestStatus) -> None:
         self._ended[request_id] = status
-        if len(self._ended) > KEPT_RESULTS:
+        if len(self._ended) > MAX_ENDED_REQUESTS:
             self._ended.popitem(last=False)
 
     # --- steps ---
 
-    _last_now = 0.0
+    _last_step_at = 0.0
 
     @property
     def running_count(self) -> int:
-        """Streams that have a slot."""
+        """Number of streams that have a slot."""
         return len(self._running)
 
     def next_step_at(self, now: float) -> float | None:
-        """Return when the present step ends; begins one when there is work."""
+        """Return the end time of the current step, which begins if there is work; else None."""
         if self._step_ends_at is None and (self._running or self._waiting):
             self._begin_step(now)
         return self._step_ends_at
 
     def _begin_step(self, now: float) -> None:
         self._admit()
-        budget = PREFILL_CHUNK_TOKENS
+        remaining_tokens = PREFILL_CHUNK_TOKENS
         self._prefilled = []
-        in_order = sorted(
-            (one for one in self._running.values() if one.prefill_left > 0),
-            key=lambda one: (one.work.priority, one.order),
+        prefilling = sorted(
+            (entry for entry in self._running.values() if entry.remaining_prefill_tokens > 0),
+            key=lambda entry: (entry.work.priority, entry.order),
         )
-        for stream in in_order:
-            taken = min(budget, stream.prefill_left)
-            stream.prefill_left -= taken
-            budget -= taken
-            if stream.prefill_left == 0:
+        for stream in prefilling:
+            prefilled_tokens = min(remaining_tokens, stream.remaining_prefill_tokens)
+            stream.remaining_prefill_tokens -= prefilled_tokens
+            remaining_tokens -= prefilled_tokens
+            if stream.remaining_prefill_tokens == 0:
                 self._prefilled.append(stream)
-            if budget == 0:
+            if remaining_tokens == 0:
                 break
-        prefill_s = (PREFILL_CHUNK_TOKENS - budget) / self.settings.prefill_tokens_per_s
+        prefill_s = (PREFILL_CHUNK_TOKENS - remaining_tokens) / self.settings.prefill_tokens_per_s
         decode_s = self.settings.step_base_s
         decode_s += self.settings.step_per_stream_s * len(self._running)
         self._step_s = decode_s + prefill_s
         self._step_ends_at = now + self._step_s
 
     def _admit(self) -> None:
-        self._waiting.sort(key=lambda one: (one.work.priority, one.order))
+        self._waiting.sort(key=lambda entry: (entry.work.priority, entry.order))
         while self._waiting and len(self._running) < self.settings.slots:
             stream = self._waiting.pop(0)
             prefix = stream.work.prompt + stream.work.resume_text
             tokens = count_tokens(prefix)
             cached = self.cache.cached_tokens(prefix)
-            stream.prefill_left = max(1, tokens - cached)
+            stream.remaining_prefill_tokens = max(1, tokens - cached)
             self._running[stream.work.request_id] = stream
 
     def step(self, now: float) -> list[Emission]:
-        """End the present step; return the output."""
+        """End the current step; return its output."""
         self._step_ends_at = None
-        self._last_now = now
+        self._last_step_at = now
         for stream in self._prefilled:
             self.cache.add(stream.work.prompt, stream.work.prompt, now)
         self._prefilled = []
         emissions = []
         for stream in list(self._running.values()):
-            if stream.prefill_left == 0:
+            if stream.remaining_prefill_tokens == 0:
                 emission = self._decode(stream, now)
                 if emission is not None:
                     emissions.append(emission)
-        self._note_load(now)
+        self._record_load(now)
         return emissions
 
     def _decode(self, stream: _Stream, now: float) -> Emission | None:
         work = stream.work
-        first = stream.generated
-        stream.generated = min(first + 1, max(work.max_tokens, stream.resumed))
-        self.tokens_generated += stream.generated - first
-        finished = stream.generated >= work.max_tokens
+        first = stream.generated_tokens
+        stream.generated_tokens = min(first + 1, max(work.max_tokens, stream.resumed_tokens))
+        self.tokens_generated += stream.generated_tokens - first
+        finished = stream.generated_tokens >= work.max_tokens
         if finished:
             del self._running[work.request_id]
             text = stream.text
-            self._keep(work.request_id, RequestStatus("finished", text, stream.generated))
+            self._record_end(
+                work.request_id, RequestStatus("finished", text, stream.generated_tokens)
+            )
             self.cache.add(work.prompt, work.prompt + text, now)
         if not work.stream:
             if not finished:
                 return None
-            first = stream.resumed
-        tokens = stream.generated - first
+            first = stream.resumed_tokens
+        tokens = stream.generated_tokens - first
         text = answer_tokens(stream.seed, first, tokens)
         return Emission(work.request_id, work.attempt, first, tokens, text, finished, self._step_s)
 
     # --- reports ---
 
-    def _note_load(self, now: float) -> None:
-        if self._loads and now - self._loads[-1].at < 0.1:
+    def _record_load(self, now: float) -> None:
+        if self._load_history and now - self._load_history[-1].at < 0.1:
             return
         report = LoadReport(now, len(self._running), len(self._waiting), self._step_s, self.leaving)
-        self._loads.append(report)
-        del self._loads[:-100]
+        self._load_history.append(report)
+        del self._load_history[:-100]
 
     def load(self, now: float) -> LoadReport:
-        """Return the load as it was ``load_lag_s`` ago; the leaving sign lags as well."""
-        before = now - self.settings.load_lag_s
-        late = [report for report in self._loads if report.at <= before]
-        if not late:
-            return LoadReport(before, 0, 0, 0.0, self.leaving)
-        if before - late[-1].at > 1.0:  # idle since
-            return LoadReport(before, 0, 0, 0.0, self.leaving)
-        return late[-1]
+        """Return the load, including the leaving flag, as it was ``load_lag_s`` ago."""
+        visible_until = now - self.settings.load_lag_s
+        visible = [report for report in self._load_history if report.at <= visible_until]
+        if not visible:
+            return LoadReport(visible_until, 0, 0, 0.0, self.leaving)
+        if visible_until - visible[-1].at > 1.0:  # the engine was idle afterwards
+            return LoadReport(visible_until, 0, 0, 0.0, self.leaving)
+        return visible[-1]
--- a/src/cloverwalk/emulator/engine_server.py
+++ b/src/cloverwalk/emulator/engine_server.py
@@ -1,4 +1,4 @@
-"""The engine stand-in as a process: the model behind HTTP."""
+"""HTTP server of an emulated engine."""
 
 import time
 from random import Random
@@ -33,20 +33,20 @@
 from cloverwalk.http.server import HttpServer
 from cloverwalk.pipeline.problem import PipelineError, json_reply, problem_reply
 
-REGISTER_RETRY_S = 0.5
-WEIGHTS_RETRY_S = 2.0
+REGISTER_RETRY_DELAY_S = 0.5
+WEIGHTS_RETRY_DELAY_S = 2.0
 StreamKey = tuple[str, int]
 
 
 class KvBody(Struct, frozen=True):
-    """POST /v1/kv/export and /v1/kv/import: cached blocks of a prompt."""
+    """Cached blocks of a prompt: body of POST /v1/kv/export and /v1/kv/import."""
 
     prompt: str
     blocks: list[int] = []
 
 
 class StartLine(Struct, frozen=True):
-    """One line of the log of starts."""
+    """An entry of the response to GET /v1/starts."""
 
     request_id: str
     attempt: int
@@ -55,20 +55,20 @@
 
 
 class EngineServer:
-    """Serves one engine model."""
+    """Serves one engine model over HTTP and runs its steps."""
 
     def __init__(self, settings: EngineEmulatorSettings) -> None:
         self.settings = settings
         self.model = EngineModel(settings, Random(settings.replica_id))
         self.server = HttpServer(
-            HttpSettings(), settings.host, settings.port, self._on_request, self._on_gone
+            HttpSettings(), settings.host, settings.port, self._on_request, self._on_disconnect
         )
         self._streams: dict[StreamKey, int] = {}
-        self._work = curio.Event()
+        self._work_available = curio.Event()
 
     @property
     def address(self) -> str:
-        """Where the engine listens."""
+        """Host and port on which the engine listens."""
         return f"{self.settings.host}:{self.server.port}"
 
     async def run(self) -> None:
@@ -89,14 +89,14 @@
                 await pool.call("PUT", "/v1/machines", json.encode(machine))
                 return
             except HttpError:
-                await curio.sleep(REGISTER_RETRY_S)
+                await curio.sleep(REGISTER_RETRY_DELAY_S)
 
     async def _step_loop(self) -> None:
         while True:
             ends_at = self.model.next_step_at(time.monotonic())
             if ends_at is None:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 continue
             await curio.sleep(max(0.0, ends_at - time.monotonic()))
             for emission in self.model.step(time.monotonic()):
@@ -124,7 +124,7 @@
         body = StreamBody(0, end.tokens, end.text, finished=False, cut=reason)
         await self._send((end.request_id, end.attempt), body, is_last=True)
 
-    async def _on_gone(self, connection: int) -> None:
+    async def _on_disconnect(self, connection: int) -> None:
         for key, number in list(self._streams.items()):
             if number == connection:
                 del self._streams[key]
@@ -155,14 +155,14 @@
                 await self._reply(request, StatusBody(status.state, status.text, status.tokens))
             case ("GET", "load"):
                 load = self.model.load(time.monotonic())
-                body_out = LoadBody(load.running, load.waiting, load.step_s, load.leaving)
-                await self._reply(request, body_out)
+                load_body = LoadBody(load.running, load.waiting, load.step_s, load.leaving)
+                await self._reply(request, load_body)
             case ("GET", "cache_events"):
                 await self._cache_events(request)
             case ("GET", "starts"):
                 lines = [
-                    StartLine(one.request_id, one.attempt, one.epoch, one.at)
-                    for one in self.model.starts
+                    StartLine(start.request_id, start.attempt, start.epoch, start.at)
+                    for start in self.model.starts
                 ]
                 await self._reply(request, lines)
             case ("POST", "kv"):
@@ -183,7 +183,7 @@
         self._streams[(body.work.request_id, body.work.attempt)] = request.connection
         headers = [Header("Content-Type", "text/event-stream")]
         await self.server.push(BeginStream(request.connection, 200, headers))
-        await self._work.set()
+        await self._work_available.set()
 
     async def _order(self, request: HttpRequest) -> None:
         order = json.decode(request.body, type=OrderBody)
@@ -202,12 +202,12 @@
     async def _load(self, order: OrderBody) -> bool:
         if not self.model.begin_load(order.epoch):
             return False
-        await curio.sleep(await self._weights_s())
+        await curio.sleep(await self._weights_load_time_s())
         self.model.finish_load(order.model)
         return True
 
-    async def _weights_s(self) -> float:
-        """Return how long the weight store takes; at once without a platform."""
+    async def _weights_load_time_s(self) -> float:
+        """Return how long the weights take to load; 0 without a platform."""
         if not self.settings.platform:
             return 0.0
         try:
@@ -215,14 +215,14 @@
             response = await HttpPool(self.settings.platform).call("GET", path)
             return float(json.decode(response.body)["seconds"])
         except (HttpError, KeyError, msgspec.DecodeError):
-            return WEIGHTS_RETRY_S
+            return WEIGHTS_RETRY_DELAY_S
 
     async def _cache_events(self, request: HttpRequest) -> None:
         after = int(request.query.get("after", "0") or "0")
         before = time.monotonic() - self.settings.event_lag_s
         events = self.model.cache.events(after, before)
         await self._reply(
-            request, [CacheEventBody(one.number, one.added, one.removed) for one in events]
+            request, [CacheEventBody(event.number, event.added, event.removed) for event in events]
         )
 
     async def _kv(self, request: HttpRequest) -> None:
--- a/src/cloverwalk/emulator/memory_store.py
+++ b/src/cloverwalk/emulator/memory_store.py
@@ -1,4 +1,4 @@
-"""A store in memory with the faults of a real one, for tests and demonstrations."""
+"""An in-memory metadata store with fault injection, for tests and demonstrations."""
 
 from bisect import bisect_right
 from collections import deque
@@ -17,12 +17,12 @@
     Transaction,
 )
 
-WAIT_STEP_S = 0.005
-"""How often a waiting feed looks for changes, unless the owner of the store says otherwise."""
+FEED_POLL_INTERVAL_S = 0.005
+"""Default interval at which a waiting change feed checks for changes."""
 
 
 class CommitFault(Enum):
-    """What goes wrong with one transaction."""
+    """A fault of one commit."""
 
     LOST_ANSWER = "done, not answered"
     NOT_DONE = "refused, nothing done"
@@ -30,14 +30,14 @@
 
 
 class MemoryStore:
-    """Rows with versions from one counter. Faults are queued, one for each coming commit."""
+    """Rows whose versions come from one counter; each commit takes its fault from a queue."""
 
     def __init__(self) -> None:
         self._rows: dict[RowKey, Row] = {}
         self._keys_by_part: dict[tuple[str, str], set[RowKey]] = {}
         self._changes_by_table: dict[str, list[Row]] = {}
         self._oldest_version = 0
-        self.wait_step_s = WAIT_STEP_S
+        self.feed_poll_interval_s = FEED_POLL_INTERVAL_S
         self.version = 0
         self.now_ms = 0.0
         self.is_down = False
@@ -46,10 +46,10 @@
         self.commits = 0
         self.reads = 0
 
-    # --- the port ---
+    # --- store interface ---
 
     async def commit(self, transaction: Transaction, timeout_s: float) -> CommitOutcome:
-        """Try once to commit, or meet the next fault."""
+        """Commit a transaction, or apply the next queued fault."""
         await curio.sleep(0)
         self.commits += 1
         if self.is_down:
@@ -68,8 +68,8 @@
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> RowPage:
-        """Return rows with ``start`` <= key < ``end`` in order of their keys."""
-        await self._reach()
+        """Return the rows with ``start`` <= key, and < ``end`` if that is set, sorted by key."""
+        await self._begin_read()
         keys = self._keys_by_part.get((table, part), set())
         rows = [
             self._rows[key]
@@ -79,39 +79,42 @@
         return RowPage(rows[:limit], self.version, self.now_ms, len(rows) > limit)
 
     async def read_table(self, table: str) -> RowPage:
-        """Return the rows of all parts of a table."""
-        await self._reach()
+        """Return the rows of a table in all of its parts."""
+        await self._begin_read()
         rows = [row for key, row in sorted(self._rows.items()) if key.table == table]
         return RowPage(rows, self.version, self.now_ms)
 
     async def changes(self, table: str, since: int, wait_s: float) -> RowPage:
-        """Return the changes after a version, as soon as there are any."""
+        """Return the changes after a version; wait up to ``wait_s`` for the first one."""
         waited_s = 0.0
         while True:
-            await self._reach()
+            await self._begin_read()
             if since < self._oldest_version:
                 raise HistoryLostError("compacted")
             changes = self._changes_by_table.get(table, [])
             rows = changes[bisect_right(changes, since, key=lambda row: row.version) :]
             if rows or waited_s >= wait_s:
                 return RowPage(rows, self.version, self.now_ms)
-            await curio.sleep(self.wait_step_s)
-            waited_s += self.wait_step_s
+            await curio.sleep(self.feed_poll_interval_s)
+            waited_s += self.feed_poll_interval_s
 
-    async def _reach(self) -> None:
+    async def _begin_read(self) -> None:
         await curio.sleep(0)
         self.reads += 1
         if self.is_down:
             raise StoreError("the store is down")
 
-    # --- its state ---
+    # --- state ---
 
     def apply(self, transaction: Transaction) -> CommitOutcome:
-        """Carry out a transaction at once."""
+        """Apply a transaction immediately if its expectations hold."""
         for expectation in transaction.expectations:
             if self._version_of(expectation.row_key) != expectation.version:
                 return CommitOutcome(
-                    CommitStatus.CONFLICT, self.version, self.now_ms, self._present(transaction)
+                    CommitStatus.CONFLICT,
+                    self.version,
+                    self.now_ms,
+                    self._current_rows(transaction),
                 )
         self.version += 1
         for put in transaction.puts:
@@ -120,40 +123,44 @@
             if key in self._rows:
                 del self._rows[key]
                 self._keys_by_part[key.table, key.part].discard(key)
-                self._note_change(Row(key, None, self.version))
+                self._record_change(Row(key, None, self.version))
         return CommitOutcome(CommitStatus.COMMITTED, self.version, self.now_ms)
 
     def _set(self, row: Row) -> None:
         key = row.row_key
         self._rows[key] = row
         self._keys_by_part.setdefault((key.table, key.part), set()).add(key)
-        self._note_change(row)
+        self._record_change(row)
 
-    def _note_change(self, row: Row) -> None:
+    def _record_change(self, row: Row) -> None:
         self._changes_by_table.setdefault(row.row_key.table, []).append(row)
 
     def _version_of(self, key: RowKey) -> int:
         row = self._rows.get(key)
         return 0 if row is None else row.version
 
-    def _present(self, transaction: Transaction) -> list[Row]:
-        keys = [one.row_key for one in transaction.expectations]
+    def _current_rows(self, transaction: Transaction) -> list[Row]:
+        keys = [expectation.row_key for expectation in transaction.expectations]
         return [self._rows.get(key, Row(key, None, 0)) for key in keys]
 
-    def run_late(self) -> None:
-        """Carry out the transactions that were to be done later."""
+    def apply_late(self) -> None:
+        """Apply the transactions that ``CommitFault.LATE`` delayed."""
         late, self.late = self.late, []
         for transaction in late:
             self.apply(transaction)
 
-    def forget_history(self) -> None:
-        """Drop the changes so far."""
+    def drop_history(self) -> None:
+        """Drop all recorded changes, so that a feed from an earlier version fails."""
         self._changes_by_table.clear()
         self._oldest_version = self.version
 
     def parts(self, table: str) -> set[str]:
-        """Return the parts of a table that hold rows."""
-        return {part for (one, part), keys in self._keys_by_part.items() if one == table and keys}
+        """Return the parts of a table that contain rows."""
+        return {
+            part
+            for (row_table, part), keys in self._keys_by_part.items()
+            if row_table == table and keys
+        }
 
     def values(self, table: str) -> dict[str, bytes]:
         """Return the values of a table by key."""
--- a/src/cloverwalk/emulator/platform_model.py
+++ b/src/cloverwalk/emulator/platform_model.py
@@ -1,7 +1,7 @@
 """A model of the platform's services: table, objects, weights and machine list.
 
-Every service is rate-limited and can be made down, slow, or to lose the answer after the
-effect. The model says what happens; daemon and simulation carry out the delays.
+Calls are rate-limited. Faults make the platform unavailable or slow, or lose answers of calls that
+took effect. The model keeps the state; the server and the simulation apply the delays.
 """
 
 from random import Random
@@ -22,7 +22,7 @@
 
 
 class Faults(Struct, forbid_unknown_fields=True):
-    """Fault switches. ``lose_answers`` is the share of answers lost after the effect."""
+    """Active faults. ``lose_answers`` is the fraction of applied calls without an answer."""
 
     down: bool = False
     slow_s: float = 0.0
@@ -30,7 +30,7 @@
 
 
 class PlatformModel:
-    """The state of the platform."""
+    """The state of the platform, with its faults and rate limits."""
 
     def __init__(self, settings: PlatformEmulatorSettings, random: Random) -> None:
         self.settings = settings
@@ -38,27 +38,29 @@
         self.rows: dict[str, Row] = {}
         self.objects: dict[str, str] = {}
         self._machines: dict[str, Machine] = {}
-        self._listed: list[tuple[float, dict[str, Machine]]] = []
+        self._machine_history: list[tuple[float, dict[str, Machine]]] = []
         self._random = random
-        self._bucket = TokenBucket(settings.calls_per_s, settings.calls_per_s, 0.0)
-        self._weights = TokenBucket(settings.weight_bytes_per_s, settings.weight_bytes_per_s, 0.0)
+        self._call_bucket = TokenBucket(settings.calls_per_s, settings.calls_per_s, 0.0)
+        self._weights_bucket = TokenBucket(
+            settings.weight_bytes_per_s, settings.weight_bytes_per_s, 0.0
+        )
         self.call_count = 0
 
     # --- faults ---
 
     def admits(self, now: float) -> bool:
-        """Return whether a call gets in: the platform is up and below its rate limit."""
+        """Count a call; return whether the platform is up and the call is within the rate limit."""
         self.call_count += 1
-        return not self.faults.down and self._bucket.take(now)
+        return not self.faults.down and self._call_bucket.take(now)
 
     def loses_answer(self) -> bool:
-        """Decide whether the answer of a call that took effect is lost."""
+        """Decide at random whether the answer of a call that took effect is lost."""
         return self._random.random() < self.faults.lose_answers
 
     # --- table ---
 
     def commit(self, transaction: Transaction) -> CommitReply:
-        """Apply a transaction if all of its checks hold."""
+        """Apply a transaction if all of its version checks hold."""
         conflicts = []
         is_conflict = False
         for check in transaction.checks:
@@ -70,15 +72,15 @@
         if is_conflict:
             return CommitReply(CommitStatus.CONFLICT, conflicts)
         for put in transaction.puts:
-            before = self.rows.get(put.key)
-            version = before.version + 1 if before else 1
+            current = self.rows.get(put.key)
+            version = current.version + 1 if current else 1
             self.rows[put.key] = Row(put.key, version, put.value, transaction.op_id)
         for key in transaction.deletes:
             self.rows.pop(key, None)
         return CommitReply(CommitStatus.COMMITTED)
 
     def read(self, prefix: str, exact: bool) -> ReadReply:
-        """Return the rows of a prefix, or the one row of a key."""
+        """Return the rows whose keys have a prefix, or with ``exact`` the row of that key."""
         if exact:
             row = self.rows.get(prefix)
             return ReadReply(True, [row] if row else [])
@@ -88,7 +90,7 @@
     # --- objects ---
 
     def put_object(self, name: str, body: str) -> ObjectReply:
-        """Write an object if there is none of that name."""
+        """Write an object unless one of that name exists."""
         self.objects.setdefault(name, body)
         return ObjectReply(True)
 
@@ -98,31 +100,35 @@
         return ObjectReply(body is not None, body or "")
 
     def weight_wait_s(self, size_bytes: float, now: float) -> float:
-        """Take a read of model weights into account; return the seconds it takes."""
-        wait_s = self._weights.wait_s(now, size_bytes)
+        """Return the duration of a weight read; count it if the rate limit permits it now."""
+        wait_s = self._weights_bucket.wait_s(now, size_bytes)
         if wait_s == 0.0:
-            self._weights.take(now, size_bytes)
+            self._weights_bucket.take(now, size_bytes)
             return size_bytes / self.settings.weight_bytes_per_s
         return wait_s
 
     # --- machines ---
 
     def set_machine(self, machine: Machine, now: float) -> None:
-        """Add or change a machine; the list shows it after its lag."""
+        """Add or change a machine; the list shows it after ``machine_lag_s``."""
         self._machines = {**self._machines, machine.machine_id: machine}
-        self._listed.append((now, self._machines))
+        self._machine_history.append((now, self._machines))
 
     def remove_machine(self, machine_id: str, now: float) -> None:
-        """Remove a machine; the list shows it after its lag."""
-        self._machines = {k: m for k, m in self._machines.items() if k != machine_id}
-        self._listed.append((now, self._machines))
+        """Remove a machine; the list shows that after ``machine_lag_s``."""
+        self._machines = {
+            listed_id: machine
+            for listed_id, machine in self._machines.items()
+            if listed_id != machine_id
+        }
+        self._machine_history.append((now, self._machines))
 
     def machines(self, now: float, zone: str = "") -> list[Machine]:
-        """Return a zone's list, or the whole, as it was ``machine_lag_s`` ago."""
-        before = now - self.settings.machine_lag_s
-        while len(self._listed) > 1 and self._listed[1][0] <= before:
-            self._listed.pop(0)
-        if self._listed and self._listed[0][0] <= before:
-            listed = self._listed[0][1].values()
+        """Return the machines of a zone, or of all, as they were ``machine_lag_s`` ago."""
+        visible_until = now - self.settings.machine_lag_s
+        while len(self._machine_history) > 1 and self._machine_history[1][0] <= visible_until:
+            self._machine_history.pop(0)
+        if self._machine_history and self._machine_history[0][0] <= visible_until:
+            listed = self._machine_history[0][1].values()
             return [machine for machine in listed if zone in ("", machine.zone)]
         return []
--- a/src/cloverwalk/emulator/platform_replica.py
+++ b/src/cloverwalk/emulator/platform_replica.py
@@ -1,6 +1,6 @@
-"""A stand-in of a replica: streams events, keeps slots, and misbehaves as told.
+"""An emulated replica that streams events, has slots, and injects faults on request.
 
-Text of a request's event n is ``ID:n``, so that any replica goes on where another stopped.
+The data of a request's event n is ``ID:n``, so that any replica can resume another's stream.
 """
 
 import contextlib
@@ -17,17 +17,17 @@
 from cloverwalk.platform import names
 
 READ_BYTES = 65536
-STUTTER_S = 0.4
-"""Pause of a stuttering stream; less than the silence after which a node moves on."""
+STUTTER_PAUSE_S = 0.4
+"""Shorter than the time without data after which a node tries another replica."""
 
-STUTTER_EVERY = 4
-SILENCE_STEP_S = 3600.0
-WAIT_STEP_S = 0.01
-"""How often a waiting request looks for a free slot."""
+STUTTER_INTERVAL_EVENTS = 4
+DISCONNECT_CHECK_INTERVAL_S = 3600.0
+SLOT_CHECK_INTERVAL_S = 0.01
+"""Interval at which a waiting request checks for a free slot."""
 
 
 class PlatformReplica:
-    """One replica behind an address."""
+    """One replica, which listens on an address."""
 
     def __init__(
         self, replica_id: str, address: tuple[str, int], events: int = 4, event_s: float = 0.002
@@ -38,32 +38,33 @@
         self.event_s = event_s
         self.slots = 8
         self.seq = 0
-        self.born_ms = 0
-        """Told in its entry, 0: not told. It starts again under its id with another one."""
+        self.started_at_ms = 0
+        """Start time in its store entry, 0: omitted. A restart under the same id changes it."""
 
         self.event_padding = 0
         """Characters added to the data of each event."""
 
         self.slowdown_percent: int | None = None
-        """What it tells of its pace, 100 for its usual one; None: nothing."""
+        """Slowdown that it reports, 100 for its baseline; None: not reported."""
 
         self.unproved_status = 503
         self.max_waiting: int | None = None
-        """Requests that may wait for a slot, others are refused; None: all run at once."""
+        """Maximum number of requests that wait for a slot; more are refused. None: slots do not
+        limit requests, and all run concurrently."""
 
         self.observer: ReplicaObserver | None = None
         self.choose_misdeed: Callable[[Arrival], Misdeed | None] | None = None
-        """Asked for each request where it is set."""
+        """Returns the fault of each request, in place of ``misdeeds`` and ``default_misdeed``."""
 
-        self.events_of: Callable[[Arrival], int] | None = None
-        """Number of events of an answer, in place of ``events``."""
+        self.choose_event_count: Callable[[Arrival], int] | None = None
+        """Returns the number of events of an answer, in place of ``events``."""
 
         self.waiting = 0
         self.misdeeds: deque[Misdeed | None] = deque()
-        self.always: Misdeed | None = None
+        self.default_misdeed: Misdeed | None = None
         self.arrivals: list[Arrival] = []
         self.running = 0
-        self.most_running = 0
+        self.max_running = 0
         self._serving: set[Any] = set()
         self._sock = curio.tcp_server_socket(*address, backlog=128)
 
@@ -75,7 +76,7 @@
                 await curio.spawn(self._serve, client, daemon=True)
 
     async def crash(self) -> None:
-        """Break all connections off; ``run`` is cancelled by who started it."""
+        """Abort all connections. The caller that started ``run`` has to cancel it."""
         for task in list(self._serving):
             await task.cancel()
 
@@ -84,7 +85,7 @@
         self._serving.add(task)
         http = h11.Connection(h11.SERVER)
         try:
-            while await self._serve_one(client, http):
+            while await self._serve_request(client, http):
                 http.start_next_cycle()
         except (OSError, h11.ProtocolError):
             pass
@@ -92,7 +93,7 @@
             self._serving.discard(task)
             await client.close()
 
-    async def _serve_one(self, client: Any, http: h11.Connection) -> bool:
+    async def _serve_request(self, client: Any, http: h11.Connection) -> bool:
         arrival = await self._read(client, http)
         if arrival is None:
             return False
@@ -110,12 +111,12 @@
             return False
         if not await self._wait_for_slot(client):
             return False
-        return await self._run_counted(client, http, arrival, misdeed)
+        return await self._run_in_slot(client, http, arrival, misdeed)
 
     def _next_misdeed(self, arrival: Arrival) -> Misdeed | None:
         if self.choose_misdeed is not None:
             return self.choose_misdeed(arrival)
-        return self.misdeeds.popleft() if self.misdeeds else self.always
+        return self.misdeeds.popleft() if self.misdeeds else self.default_misdeed
 
     # --- slots ---
 
@@ -125,41 +126,41 @@
         return self.running >= self.slots and self.waiting >= self.max_waiting
 
     async def _wait_for_slot(self, client: Any) -> bool:
-        """Wait for a free slot; return False when the caller leaves before."""
+        """Wait for a free slot; return False if the caller disconnects before that."""
         if self.max_waiting is None:
             return True
         self.waiting += 1
         try:
             while self.running >= self.slots:
-                if await self._caller_left(client, WAIT_STEP_S):
+                if await self._caller_disconnected(client, SLOT_CHECK_INTERVAL_S):
                     return False
         finally:
             self.waiting -= 1
         return True
 
-    async def _run_counted(
+    async def _run_in_slot(
         self, client: Any, http: h11.Connection, arrival: Arrival, misdeed: Misdeed | None
     ) -> bool:
         self.running += 1
-        self.most_running = max(self.most_running, self.running)
+        self.max_running = max(self.max_running, self.running)
         if self.observer is not None:
             self.observer.began(self.replica_id, arrival)
         try:
             if misdeed is Misdeed.SILENT:
-                while not await self._caller_left(client, SILENCE_STEP_S):
+                while not await self._caller_disconnected(client, DISCONNECT_CHECK_INTERVAL_S):
                     continue
-                raise OSError("the caller left")
+                raise OSError("the caller disconnected")
             arrival.has_run = True
             return await self._run(client, http, arrival, misdeed)
         except OSError:
-            self._end(arrival, RunEnd.LEFT)
+            self._record_end(arrival, RunEnd.LEFT)
             raise
         finally:
             self.running -= 1
-            self._end(arrival, RunEnd.CRASHED)
+            self._record_end(arrival, RunEnd.CRASHED)
 
-    def _end(self, arrival: Arrival, end: RunEnd) -> None:
-        """Note the first reason why a run ended."""
+    def _record_end(self, arrival: Arrival, end: RunEnd) -> None:
+        """Record how a run ended, unless that is already recorded."""
         if arrival.end is None:
             arrival.end = end
             if self.observer is not None:
@@ -188,7 +189,7 @@
             else:
                 return None
 
-    def _headers(self, arrival: Arrival) -> list[tuple[bytes, bytes]]:
+    def _response_headers(self, arrival: Arrival) -> list[tuple[bytes, bytes]]:
         load = f"{self.running},0,{self.slots}"
         if self.slowdown_percent is not None:
             load += f",{self.slowdown_percent}"
@@ -201,15 +202,15 @@
     async def _refuse(
         self, client: Any, http: h11.Connection, arrival: Arrival, status: int
     ) -> None:
-        headers = [*self._headers(arrival), (names.NOT_EXECUTED, b"1")]
-        await self._whole(client, http, status, headers, b"")
+        headers = [*self._response_headers(arrival), (names.NOT_EXECUTED, b"1")]
+        await self._send_response(client, http, status, headers, b"")
 
     async def _refuse_and_cut(self, client: Any, http: h11.Connection, arrival: Arrival) -> None:
         length = (b"Content-Length", b"10")
-        headers = [*self._headers(arrival), (names.NOT_EXECUTED, b"1"), length]
+        headers = [*self._response_headers(arrival), (names.NOT_EXECUTED, b"1"), length]
         await client.sendall(http.send(h11.Response(status_code=503, headers=headers)) or b"")
 
-    async def _whole(
+    async def _send_response(
         self,
         client: Any,
         http: h11.Connection,
@@ -227,9 +228,9 @@
     async def _run(
         self, client: Any, http: h11.Connection, arrival: Arrival, misdeed: Misdeed | None
     ) -> bool:
-        signed = [*self._headers(arrival), (names.SIGNATURE, b"signature")]
+        signed_headers = [*self._response_headers(arrival), (names.SIGNATURE, b"signature")]
         if misdeed in (Misdeed.RESET_UNANSWERED, Misdeed.RESET, Misdeed.GARBAGE):
-            self._end(arrival, RunEnd.CUT)
+            self._record_end(arrival, RunEnd.CUT)
         if misdeed is Misdeed.RESET:
             _reset_at_close(client)
         if misdeed in (Misdeed.RESET_UNANSWERED, Misdeed.RESET):
@@ -241,21 +242,21 @@
             return False
         if misdeed in (Misdeed.FAIL, Misdeed.IMPOSSIBLE):
             status = 500 if misdeed is Misdeed.FAIL else 422
-            self._end(arrival, RunEnd.FAILED if status == 500 else RunEnd.IMPOSSIBLE)
-            await self._whole(client, http, status, signed, b"failed")
+            self._record_end(arrival, RunEnd.FAILED if status == 500 else RunEnd.IMPOSSIBLE)
+            await self._send_response(client, http, status, signed_headers, b"failed")
             return True
         if misdeed is Misdeed.UNPROVED_REFUSAL:
-            await self._whole(client, http, self.unproved_status, signed, b"busy")
+            await self._send_response(client, http, self.unproved_status, signed_headers, b"busy")
             return True
         if misdeed is Misdeed.LATE_ANSWER:
             await client.sendall(_foreign_answer())
         if misdeed is Misdeed.LATE_REFUSAL:
-            await client.sendall(_nameless_refusal())
+            await client.sendall(_refusal_without_id())
         if misdeed is Misdeed.PROOF_ON_SUCCESS:
-            signed.append((names.NOT_EXECUTED, b"1"))
+            signed_headers.append((names.NOT_EXECUTED, b"1"))
         if misdeed is Misdeed.UNSIGNED:
-            signed = self._headers(arrival)
-        await self._stream(client, http, arrival, signed, misdeed)
+            signed_headers = self._response_headers(arrival)
+        await self._stream(client, http, arrival, signed_headers, misdeed)
         if misdeed is Misdeed.SECOND_ANSWER:
             await client.sendall(_foreign_answer())
         return misdeed not in (Misdeed.CUT, Misdeed.RESET_MIDWAY)
@@ -268,39 +269,43 @@
         headers: list[tuple[bytes, bytes]],
         misdeed: Misdeed | None,
     ) -> None:
-        kind = (b"Content-Type", b"text/event-stream")
-        head = h11.Response(status_code=200, headers=[*headers, kind])
+        content_type = (b"Content-Type", b"text/event-stream")
+        head = h11.Response(status_code=200, headers=[*headers, content_type])
         await client.sendall(http.send(head) or b"")
         last = arrival.headers.get(names.LAST_EVENT_ID.decode().lower())
         first = 1 if last is None else int(last) + 1
-        events = self.events if self.events_of is None else self.events_of(arrival)
+        events = (
+            self.events if self.choose_event_count is None else self.choose_event_count(arrival)
+        )
         for number in range(first, events + 1):
-            stutters = misdeed is Misdeed.STUTTER and number % STUTTER_EVERY == 0
-            if await self._caller_left(client, STUTTER_S if stutters else self.event_s):
-                arrival.was_left = True
-                raise OSError("the caller left")
+            stutters = misdeed is Misdeed.STUTTER and number % STUTTER_INTERVAL_EVENTS == 0
+            if await self._caller_disconnected(
+                client, STUTTER_PAUSE_S if stutters else self.event_s
+            ):
+                arrival.caller_disconnected = True
+                raise OSError("the caller disconnected")
             text = self._event(arrival, number)
             if misdeed is Misdeed.RESET_MIDWAY and number > events // 2:
-                self._end(arrival, RunEnd.CUT)
+                self._record_end(arrival, RunEnd.CUT)
                 _reset_at_close(client)
                 return
             if misdeed is Misdeed.CUT and number > events // 2:
-                self._end(arrival, RunEnd.CUT)
+                self._record_end(arrival, RunEnd.CUT)
                 await client.sendall(http.send(h11.Data(data=text[: len(text) // 2])) or b"")
                 return
             await client.sendall(http.send(h11.Data(data=text)) or b"")
         arrival.is_finished = True
-        self._end(arrival, RunEnd.FINISHED)
+        self._record_end(arrival, RunEnd.FINISHED)
         await client.sendall(http.send(h11.EndOfMessage()) or b"")
 
     def _event(self, arrival: Arrival, number: int) -> bytes:
-        """Return an event; runs are told apart where an observer numbers them."""
+        """Return an event; its data includes the run number if there is an observer."""
         run = f":{arrival.run}" if self.observer is not None else ""
         padding = "x" * self.event_padding
         return f"id: {number}\ndata: {arrival.request_id}:{number}{run}{padding}\n\n".encode()
 
-    async def _caller_left(self, client: Any, wait_s: float) -> bool:
-        """Wait for some time; return whether the caller closed meanwhile."""
+    async def _caller_disconnected(self, client: Any, wait_s: float) -> bool:
+        """Wait for ``wait_s``; return whether the caller closed the connection during it."""
         data: bytes | None = None
         async with curio.ignore_after(wait_s):
             with contextlib.suppress(ConnectionError):
@@ -310,14 +315,14 @@
         return False
 
     def runs(self, request_id: str) -> int:
-        """Return how often the replica has begun to work on a request."""
-        return sum(one.has_run for one in self.arrivals if one.request_id == request_id)
+        """Return how often the replica has started to run a request."""
+        return sum(arrival.has_run for arrival in self.arrivals if arrival.request_id == request_id)
 
     def document(self, service: str, zone: str, state: str = "ready") -> dict[str, Any]:
-        """Return the entry that the replica keeps in the store."""
+        """Return the store entry of the replica, with the next sequence number."""
         host, port = self.address
         self.seq += 1
-        born = {"born": self.born_ms} if self.born_ms else {}
+        started_fields = {"born": self.started_at_ms} if self.started_at_ms else {}
         return {
             "service": service,
             "address": f"{host}:{port}",
@@ -327,12 +332,12 @@
             "state": state,
             "cold_left_ms": 0,
             "seq": self.seq,
-            **born,
+            **started_fields,
         }
 
 
 def _reset_at_close(client: Any) -> None:
-    """Have the peer of a connection see a reset, not an end, once it is closed."""
+    """Make a later close of a connection send a reset instead of a normal end."""
     client._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
@@ -348,6 +353,6 @@
     return b"\r\n".join(lines)
 
 
-def _nameless_refusal() -> bytes:
+def _refusal_without_id() -> bytes:
     lines = [b"HTTP/1.1 503 Busy", names.NOT_EXECUTED + b": 1", b"Content-Length: 0", b"", b""]
     return b"\r\n".join(lines)
--- a/src/cloverwalk/emulator/platform_server.py
+++ b/src/cloverwalk/emulator/platform_server.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as a process: the model behind HTTP, with fault switches."""
+"""HTTP server of the emulated platform, with an endpoint that sets its faults."""
 
 import time
 from random import Random
@@ -18,7 +18,7 @@
 
 
 class PlatformServer:
-    """Serves the platform model. ``PUT /v1/faults`` and ``PUT /v1/machines`` always work."""
+    """Serves the platform model. Faults do not affect PUT /v1/faults and PUT /v1/machines."""
 
     def __init__(self, settings: PlatformEmulatorSettings) -> None:
         self.settings = settings
@@ -27,7 +27,7 @@
 
     @property
     def address(self) -> str:
-        """Where the platform listens."""
+        """Host and port on which the platform listens."""
         return f"{self.settings.host}:{self.server.port}"
 
     async def run(self) -> None:
@@ -60,13 +60,13 @@
             return
         reply = self._apply(request)
         if self.model.loses_answer():
-            return  # the caller's time-out ends it: the effect stays
+            return  # the caller times out, although the call took effect
         if self.model.faults.slow_s > 0:
-            await curio.spawn(self._late(reply), daemon=True)
+            await curio.spawn(self._push_delayed(reply), daemon=True)
             return
         await self.server.push(reply)
 
-    async def _late(self, reply: ReplyPart) -> None:
+    async def _push_delayed(self, reply: ReplyPart) -> None:
         await curio.sleep(self.model.faults.slow_s)
         await self.server.push(reply)
 
@@ -88,10 +88,10 @@
                 self.model.put_object(name, request.body.decode())
                 return json_reply(connection, 200, {"name": name})
             case ("GET", ["objects"]):
-                found = self.model.get_object(name)
+                object_reply = self.model.get_object(name)
                 headers = [Header("Content-Type", "application/octet-stream")]
-                status = 200 if found.found else 404
-                return SendReply(connection, status, headers, found.body.encode())
+                status = 200 if object_reply.found else 404
+                return SendReply(connection, status, headers, object_reply.body.encode())
             case ("GET", ["machines"]):
                 zone = request.query.get("zone", "")
                 machines = self.model.machines(time.monotonic(), zone)
--- a/src/cloverwalk/emulator/platform_store_server.py
+++ b/src/cloverwalk/emulator/platform_store_server.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' metadata store over HTTP, on the rows of ``MemoryStore``."""
+"""HTTP server of an emulated metadata store, which keeps its rows in a ``MemoryStore``."""
 
 import json
 import time
@@ -32,32 +32,32 @@
 
 
 class PlatformStoreServer:
-    """Serves the store. ``refused_hosts`` get 503, ``is_silent`` answers nobody."""
+    """Serves the store. ``is_silent`` leaves all calls unanswered, ``is_busy`` answers 503."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.rows = MemoryStore()
         self.is_silent = False
         self.is_busy = False
         self.lose_answers = 0
-        """So many coming writes are done and not answered."""
+        """Number of next writes that are applied but not answered."""
 
-        self.failing_status = 0
-        """Status by which coming writes are answered though they are done; 0: none."""
+        self.applied_error_status = 0
+        """Status of the response to writes that are applied nevertheless; 0: none."""
 
         self.write_delay_s = 0.0
-        """Time between the effect of a write and its answer."""
+        """Delay between a write taking effect and its answer."""
 
         self.delay_s = 0.0
-        """Time between a call and its effect."""
+        """Delay between a call and its effect."""
 
         self.answer_delay_s = 0.0
-        """Time between the effect of any call and its answer."""
+        """Delay between any call taking effect and its answer."""
 
         self.refuse_share = 0.0
-        """Share of the calls that get 503; nothing is done."""
+        """Fraction of the calls that are answered with 503 and have no effect."""
 
         self.lose_share = 0.0
-        """Share of the writes that are done and not answered."""
+        """Fraction of the writes that are applied but not answered."""
 
         self.random = Random(0)
         self.calls = 0
@@ -65,7 +65,7 @@
             address,
             PlatformCodec(),
             lambda: LIMITS,
-            self._answer,
+            self._handle_request,
             lambda error: None,
             time.monotonic,
             MAX_CONNECTIONS,
@@ -76,7 +76,7 @@
         await self.server.serve()
 
     def put(self, table: str, key: str, document: Any) -> int:
-        """Write a document as the operator or a replica does."""
+        """Write a document, as an operator or a replica does; return its version."""
         put = Put(RowKey(table, "", key), json.dumps(document).encode())
         return self.rows.apply(Transaction(puts=[put])).version
 
@@ -84,7 +84,7 @@
         """Remove a row."""
         self.rows.apply(Transaction(removals=[RowKey(table, "", key)]))
 
-    async def _answer(self, request: ClientRequest, reply: Reply) -> None:
+    async def _handle_request(self, request: ClientRequest, reply: Reply) -> None:
         self.calls += 1
         self.rows.now_ms = time.monotonic() * 1000
         if self.is_silent:
@@ -97,8 +97,8 @@
         status, document = await self._call(request)
         if request.method == "POST" and self._loses_answer():
             raise ClientGoneError("the answer is lost")
-        if request.method == "POST" and self.failing_status:
-            await reply.respond(self.failing_status, [], b"")
+        if request.method == "POST" and self.applied_error_status:
+            await reply.respond(self.applied_error_status, [], b"")
             return
         if request.method == "POST" and self.write_delay_s > 0:
             await curio.sleep(self.write_delay_s)
@@ -128,7 +128,11 @@
                 query.get("target_version", ""),
                 int(query.get("limit", "500")),
             )
-            return 200, {**self._stamp(), "rows": wire_rows(page.rows), "more": page.has_more}
+            return 200, {
+                **self._version_fields(),
+                "rows": wire_rows(page.rows),
+                "more": page.has_more,
+            }
         if url.path == names.FEED_PATH:
             return await self._feed(query)
         return 404, {}
@@ -139,7 +143,7 @@
             page = await self.rows.changes(query["table"], int(query["since_revision"]), wait_s)
         except HistoryLostError:
             return 410, {}
-        return 200, {**self._stamp(), "rows": wire_rows(page.rows)}
+        return 200, {**self._version_fields(), "rows": wire_rows(page.rows)}
 
     async def _transaction(self, wire: Any) -> tuple[int, Any]:
         transaction = transaction_of(wire)
@@ -147,10 +151,10 @@
             return 400, {}
         outcome = self.rows.apply(transaction)
         if outcome.status is CommitStatus.COMMITTED:
-            return 200, self._stamp()
-        return 412, {**self._stamp(), "rows": wire_rows(outcome.conflicts)}
+            return 200, self._version_fields()
+        return 412, {**self._version_fields(), "rows": wire_rows(outcome.conflicts)}
 
-    def _stamp(self) -> dict[str, Any]:
+    def _version_fields(self) -> dict[str, Any]:
         return {"ver": self.rows.version, "now_ms": self.rows.now_ms}
 
     def _parts(self, table: str) -> list[str]:
@@ -162,16 +166,16 @@
 
 
 def transaction_of(wire: Any) -> Transaction:
-    """Return the transaction that a body describes."""
+    """Decode the body of a transaction call."""
     return Transaction(
-        [Expectation(_key(one), one["ver"]) for one in wire["expected_revision"]],
-        [Put(_key(one), b64decode(one["value"])) for one in wire["put"]],
-        [_key(one) for one in wire["remove"]],
+        [Expectation(_key(entry), entry["ver"]) for entry in wire["expected_revision"]],
+        [Put(_key(entry), b64decode(entry["value"])) for entry in wire["put"]],
+        [_key(entry) for entry in wire["remove"]],
     )
 
 
 def wire_rows(rows: list[Row]) -> list[dict[str, Any]]:
-    """Return rows as an answer carries them."""
+    """Encode rows for a response body."""
     wire = []
     for row in rows:
         key = row.row_key
--- a/src/cloverwalk/emulator/prefix_cache.py
+++ b/src/cloverwalk/emulator/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache of limited memory, in blocks, with events that come late and with gaps."""
+"""A block-based prefix cache of limited size, whose published events can be lost."""
 
 from collections import OrderedDict
 from random import Random
@@ -12,7 +12,7 @@
 
 
 class CacheEvent(Struct, frozen=True):
-    """Prefixes that came into or left a cache. Numbers without a gap mean none was lost."""
+    """Prefixes added to and removed from a cache; a gap between numbers means a lost event."""
 
     number: int
     added: list[str]
@@ -21,14 +21,14 @@
 
 
 class PrefixCache:
-    """Least recently used blocks; a block is named by all text up to its end."""
+    """A least-recently-used cache of blocks; a block's name is a hash of all text up to its end."""
 
-    def __init__(self, capacity_tokens: int, loss: float, random: Random) -> None:
+    def __init__(self, capacity_tokens: int, event_loss: float, random: Random) -> None:
         self._capacity_blocks = max(1, capacity_tokens // BLOCK_TOKENS)
         self._blocks: OrderedDict[int, str] = OrderedDict()
         self._events: list[CacheEvent] = []
-        self._number = 0
-        self._loss = loss
+        self._last_event_number = 0
+        self._event_loss = event_loss
         self._random = random
 
     @staticmethod
@@ -54,7 +54,7 @@
         return cached
 
     def add(self, prompt: str, text: str, now: float) -> None:
-        """Keep the blocks of ``text``, which begins with ``prompt``."""
+        """Cache the blocks of ``text``, which starts with ``prompt``."""
         prefix = prefix_hash(prompt)
         for name in self.block_names(text):
             self._blocks[name] = prefix
@@ -65,21 +65,21 @@
         self._publish([prefix], sorted(removed - {prefix}), now)
 
     def _publish(self, added: list[str], removed: list[str], now: float) -> None:
-        self._number += 1
-        if self._random.random() >= self._loss:
-            self._events.append(CacheEvent(self._number, added, removed, now))
+        self._last_event_number += 1
+        if self._random.random() >= self._event_loss:
+            self._events.append(CacheEvent(self._last_event_number, added, removed, now))
             del self._events[:-1000]
 
     def events(self, after: int, before: float) -> list[CacheEvent]:
-        """Return the events with a higher number that happened until ``before``."""
-        return [one for one in self._events if one.number > after and one.at <= before]
+        """Return the events with a number above ``after`` that happened until ``before``."""
+        return [event for event in self._events if event.number > after and event.at <= before]
 
     def export_blocks(self, text: str) -> list[int]:
         """Return the cached blocks of a text, for another engine to import."""
         return [name for name in self.block_names(text) if name in self._blocks]
 
     def import_blocks(self, prompt: str, names: list[int], now: float) -> None:
-        """Take blocks of another engine."""
+        """Add blocks that another engine exported."""
         prefix = prefix_hash(prompt)
         for name in names:
             self._blocks[name] = prefix
@@ -88,5 +88,5 @@
         self._publish([prefix], [], now)
 
     def clear(self) -> None:
-        """Drop everything, as when a model is loaded."""
+        """Remove all blocks, as when another model is loaded."""
         self._blocks.clear()
--- a/src/cloverwalk/emulator/replica_runs.py
+++ b/src/cloverwalk/emulator/replica_runs.py
@@ -1,4 +1,4 @@
-"""Requests at a stand-in of a replica: what it does with them, and who hears of it."""
+"""Requests at an emulated replica: faults, ends of runs, and the observer of runs."""
 
 import enum
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class Misdeed(enum.Enum):
-    """What a replica does with one answer."""
+    """A fault in how a replica handles one request."""
 
     CUT = "break the connection after half of the events"
     GARBAGE = "send what is not an answer"
@@ -30,7 +30,7 @@
 
 
 class RunEnd(enum.Enum):
-    """How a run at a replica ended."""
+    """How the processing of a request at a replica ended."""
 
     FINISHED = "finished"
     CUT = "cut"
@@ -52,23 +52,23 @@
     body: bytes
     has_run: bool = False
     is_finished: bool = False
-    was_left: bool = False
+    caller_disconnected: bool = False
     """The caller closed the connection before the end."""
 
     run: int = 0
-    """Number of the run, as the observer gave it."""
+    """Number of the run, assigned by the observer."""
 
     end: RunEnd | None = None
     method: str = "POST"
 
 
 class ReplicaObserver(Protocol):
-    """Hears what a replica runs. Ends are told before the last bytes of an answer go out."""
+    """Is notified of runs; of their end before the last bytes of the answer are sent."""
 
     def began(self, replica_id: str, arrival: Arrival) -> None:
-        """The replica works on a request from now on."""
+        """Called when the replica starts to process a request."""
         ...
 
     def ended(self, replica_id: str, arrival: Arrival) -> None:
-        """It does not any more; ``arrival.end`` tells why."""
+        """Called when the processing has ended; ``arrival.end`` is the reason."""
         ...
--- a/src/cloverwalk/emulator/simulation.py
+++ b/src/cloverwalk/emulator/simulation.py
@@ -1,7 +1,7 @@
-"""A discrete-event run of nodes, engines and the platform on a seeded clock and network.
+"""A seeded discrete-event simulation of nodes, engines, the platform and the network.
 
-The nodes are the very state machines of the daemon. Faults: kills, restarts, pauses, cuts
-between zones, outages, slow stores, lost answers, lost and reordered messages.
+The nodes are the same state machines that the daemon runs. Faults: kills, restarts, pauses,
+partitions between zones, outages, slow stores, lost answers, lost and reordered messages.
 """
 
 import heapq
@@ -34,12 +34,12 @@
 from cloverwalk.emulator.platform_model import PlatformModel
 from cloverwalk.node.node import Node
 
-CUT_NOTICE_S = 0.2
-LOAD_REPORT_S = 0.25
+CUT_DETECTION_DELAY_S = 0.2
+LOAD_REPORT_INTERVAL_S = 0.25
 
 
 class NetworkSettings(Struct, frozen=True):
-    """Delays in seconds; each message takes between half and one and a half of its delay."""
+    """Delays in seconds; each message takes 0.5 to 1.5 times its delay."""
 
     local_s: float = 0.0003
     between_zones_s: float = 0.001
@@ -50,7 +50,7 @@
 
 
 class HttpAnswer(Struct):
-    """What a simulated caller gets: ``cut`` when the connection broke before the end."""
+    """A simulated caller's response; ``cut``: the connection was closed before its end."""
 
     status: int = 0
     headers: dict[str, str] = {}
@@ -69,18 +69,18 @@
     node: str
     answer: HttpAnswer
     on_answer: Callable[[HttpAnswer], None]
-    is_answered: bool = False  # the node has sent the end of its answer
-    done: bool = False
+    is_answered: bool = False  # the node has sent its answer to the end
+    is_done: bool = False
 
 
-class _Timed(NamedTuple):
+class _ScheduledAction(NamedTuple):
     at: float
     order: int
     action: Callable[[], None]
 
 
 class SimulatedNode:
-    """A node and the process around it."""
+    """A node and the state of its process."""
 
     def __init__(self, settings: NodeSettings, node: Node) -> None:
         self.settings = settings
@@ -101,12 +101,12 @@
         self.zone = zone
         self.alive = True
         self.step_scheduled = False
-        self.streams: dict[tuple[str, int], str] = {}  # (request, attempt) > node
+        self.streams: dict[tuple[str, int], str] = {}  # node by (request id, attempt)
         self.cache_read: dict[str, int] = {}
 
 
 class Simulation:
-    """The whole run. ``now`` is in seconds from 0."""
+    """The simulated fleet. ``now`` is in seconds and starts at 0."""
 
     def __init__(self, seed: int, network: NetworkSettings | None = None) -> None:
         self.random = Random(seed)
@@ -116,29 +116,31 @@
         self.engines: dict[str, SimulatedEngine] = {}
         self.platform = PlatformModel(PlatformEmulatorSettings(), Random(seed + 1))
         self.cuts: set[frozenset[str]] = set()
-        self.store_cuts: set[str] = set()  # zones that don't reach the platform
+        self.store_cuts: set[str] = set()  # zones that cannot reach the platform
         self.logs: list[tuple[float, str, ev.WriteLog]] = []
         self.on_instruction: Callable[[str, ev.Instruction], None] | None = None
-        self._queue: list[_Timed] = []
-        self._order = 0
+        self._queue: list[_ScheduledAction] = []
+        self._scheduled_count = 0
         self._connections: dict[int, _Connection] = {}
         self._connection_count = 0
-        self._engine_order: dict[tuple[str, str], float] = {}
+        self._last_arrival_at: dict[tuple[str, str], float] = {}
         self.introduces_all = True
 
     # --- time ---
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
-        self._order += 1
-        heapq.heappush(self._queue, _Timed(max(when, self.now), self._order, action))
+        """Schedule an action at a time, or now if that time has passed."""
+        self._scheduled_count += 1
+        heapq.heappush(
+            self._queue, _ScheduledAction(max(when, self.now), self._scheduled_count, action)
+        )
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action after a delay."""
         self.at(self.now + delay_s, action)
 
     def run_until(self, when: float) -> None:
-        """Let time pass until ``when``."""
+        """Run all actions scheduled until ``when``."""
         while self._queue and self._queue[0].at <= when:
             timed = heapq.heappop(self._queue)
             self.now = timed.at
@@ -146,7 +148,7 @@
         self.now = when
 
     def run_while(self, condition: Callable[[], bool], limit_s: float) -> bool:
-        """Let time pass while a condition holds; return False when the limit came first."""
+        """Run actions while a condition holds; return False if it still holds at the limit."""
         end = self.now + limit_s
         while condition():
             if not self._queue or self._queue[0].at > end:
@@ -156,10 +158,10 @@
             timed.action()
         return True
 
-    # --- building ---
+    # --- setup ---
 
     def add_node(self, settings: NodeSettings) -> SimulatedNode:
-        """Add a node; its first tick comes at once."""
+        """Add a node; its first tick comes within ``TICK_S``."""
         node = Node(settings, Random(self.random.getrandbits(64)), self.now)
         simulated = SimulatedNode(settings, node)
         self.nodes[settings.node_id] = simulated
@@ -169,23 +171,26 @@
         return simulated
 
     def _introduce_to_all(self, node_id: str) -> None:
-        # The daemon says hello to the peers of its settings file; here to every node.
+        # The daemon sends hello to the peers in its settings; a simulated node, to every node.
         for other in self.nodes:
             if other != node_id:
                 self.introduce(node_id, other)
 
-    def introduce(self, one: str, other: str) -> None:
-        """Let two nodes know each other."""
-        self._deliver_hello(one, other)
-        self._deliver_hello(other, one)
+    def introduce(self, first: str, second: str) -> None:
+        """Send hello messages between two nodes in both directions."""
+        self._deliver_hello(first, second)
+        self._deliver_hello(second, first)
 
     def _deliver_hello(self, sender: str, receiver: str) -> None:
         message = self.nodes[sender].node.hello()
         event = ev.PeerReceived(sender, "", message)
-        self.after(self._delay(self._between(sender, receiver)), lambda: self.feed(receiver, event))
+        self.after(
+            self._random_delay_s(self._base_delay_s(sender, receiver)),
+            lambda: self.feed(receiver, event),
+        )
 
     def add_engine(self, settings: EngineEmulatorSettings) -> SimulatedEngine:
-        """Add an engine and list its machine."""
+        """Add an engine, and its machine to the list of the platform."""
         model = EngineModel(settings, Random(self.random.getrandbits(64)))
         engine = SimulatedEngine(model, settings.zone)
         self.engines[settings.replica_id] = engine
@@ -207,7 +212,7 @@
         self.after(self.random.uniform(0.0, TICK_S), tick)
 
     def feed(self, node_id: str, event: ev.Event) -> None:
-        """Give an event to a node and carry out what it says."""
+        """Pass an event to a node and execute its instructions."""
         simulated = self.nodes.get(node_id)
         if simulated is None or not simulated.alive or simulated.stopped:
             return
@@ -215,14 +220,14 @@
             simulated.deferred.append(event)
             return
         for instruction in simulated.node.handle(event, self.now):
-            self._carry_out(node_id, simulated, instruction)
+            self._execute(node_id, simulated, instruction)
 
     def kill(self, node_id: str) -> None:
-        """End a node without warning; its connections break."""
+        """Stop a node abruptly, which closes its connections."""
         simulated = self.nodes[node_id]
         simulated.alive = False
         simulated.generation += 1
-        self._break_connections(node_id)
+        self._cut_connections(node_id)
         for engine_id, engine in self.engines.items():
             for key, owner in list(engine.streams.items()):
                 if owner == node_id:
@@ -236,25 +241,25 @@
         engine.streams.pop(key, None)
         engine.model.cancel(*key)
 
-    def _break_connections(self, node_id: str, only_unanswered: bool = False) -> None:
+    def _cut_connections(self, node_id: str, only_unanswered: bool = False) -> None:
         for connection in list(self._connections.values()):
-            if connection.node != node_id or connection.done:
+            if connection.node != node_id or connection.is_done:
                 continue
             if not (only_unanswered and connection.is_answered):
                 self._finish(connection, cut=True)
 
     def restart(self, node_id: str) -> None:
-        """Start a node anew, with nothing kept."""
+        """Replace a node by a new one without state."""
         if self.nodes[node_id].alive:
             self.kill(node_id)
         self.add_node(self.nodes.pop(node_id).settings)
 
     def pause(self, node_id: str) -> None:
-        """Freeze a node as SIGSTOP does: its connections stay open."""
+        """Pause a node as SIGSTOP does; its connections stay open."""
         self.nodes[node_id].paused = True
 
     def resume(self, node_id: str) -> None:
-        """Let a frozen node go on, with all that came meanwhile."""
+        """Resume a paused node and pass it the events deferred during the pause."""
         simulated = self.nodes[node_id]
         simulated.paused = False
         deferred, simulated.deferred = simulated.deferred, []
@@ -262,14 +267,12 @@
             self.feed(node_id, event)
 
     def stop(self, node_id: str) -> None:
-        """Ask for a planned stop (SIGTERM)."""
+        """Request a planned stop, as SIGTERM does."""
         self.feed(node_id, ev.StopRequested())
 
     # --- instructions ---
 
-    def _carry_out(
-        self, node_id: str, simulated: SimulatedNode, instruction: ev.Instruction
-    ) -> None:
+    def _execute(self, node_id: str, simulated: SimulatedNode, instruction: ev.Instruction) -> None:
         if self.on_instruction is not None:
             self.on_instruction(node_id, instruction)
         match instruction:
@@ -280,11 +283,11 @@
             case ev.StopWork():
                 self._stop_work(node_id, instruction)
             case ev.AdoptEngine():
-                self._adopt(node_id, instruction)
+                self._adopt_engine(node_id, instruction)
             case ev.LoadModel():
                 self._load_model(node_id, instruction)
             case ev.QueryEngine():
-                self._query(node_id, instruction)
+                self._query_engine(node_id, instruction)
             case ev.CommitToStore() | ev.ReadStore() | ev.PutObject() | ev.GetObject():
                 self._call_store(node_id, instruction)
             case ev.ListMachines():
@@ -294,9 +297,9 @@
             case ev.Stopped():
                 simulated.stopped = True
                 simulated.alive = False
-                self._break_connections(node_id, only_unanswered=True)
+                self._cut_connections(node_id, only_unanswered=True)
             case _:
-                self._to_client(instruction)
+                self._send_to_client(instruction)
 
     # --- network ---
 
@@ -306,24 +309,24 @@
             return self.nodes[name].settings.zone
         return self.engines[name].zone
 
-    def cut(self, one: str, other: str) -> None:
-        """Cut two zones off from each other."""
-        self.cuts.add(frozenset((one, other)))
+    def cut(self, first_zone: str, second_zone: str) -> None:
+        """Partition two zones from each other."""
+        self.cuts.add(frozenset((first_zone, second_zone)))
 
     def heal(self) -> None:
-        """End every cut."""
+        """End all partitions."""
         self.cuts.clear()
         self.store_cuts.clear()
 
-    def reaches(self, one: str, other: str) -> bool:
-        """Return whether messages pass between two names."""
-        return frozenset((self.zone_of(one), self.zone_of(other))) not in self.cuts
+    def reaches(self, first: str, second: str) -> bool:
+        """Return whether two nodes or engines can exchange messages."""
+        return frozenset((self.zone_of(first), self.zone_of(second))) not in self.cuts
 
-    def _between(self, one: str, other: str) -> float:
-        same = self.zone_of(one) == self.zone_of(other)
-        return self.network.local_s if same else self.network.between_zones_s
+    def _base_delay_s(self, first: str, second: str) -> float:
+        is_same_zone = self.zone_of(first) == self.zone_of(second)
+        return self.network.local_s if is_same_zone else self.network.between_zones_s
 
-    def _delay(self, delay_s: float) -> float:
+    def _random_delay_s(self, delay_s: float) -> float:
         return delay_s * self.random.uniform(0.5, 1.5)
 
     def _send_peer(self, sender: str, send: ev.SendToPeer) -> None:
@@ -336,32 +339,32 @@
             or not self.reaches(sender, receiver)
         ):
             event = ev.PeerUnreachable(receiver)
-            self.after(CUT_NOTICE_S, lambda: self.feed(sender, event))
+            self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(sender, event))
             return
         if self.network.loss and self.random.random() < self.network.loss:
             return
-        delay_s = self._delay(self._between(sender, receiver))
+        delay_s = self._random_delay_s(self._base_delay_s(sender, receiver))
         delay_s += self.random.uniform(0.0, self.network.reorder_s)
         received = ev.PeerReceived(sender, "", send.message)
         self.after(delay_s, lambda: self.feed(receiver, received))
 
     # --- engines ---
 
-    def _to_node_in_order(self, replica: str, node_id: str, event: ev.Event) -> None:
+    def _send_to_node_in_order(self, replica: str, node_id: str, event: ev.Event) -> None:
         key = (replica, node_id)
-        at = self.now + self._delay(self._between(replica, node_id))
-        at = max(at, self._engine_order.get(key, 0.0))
-        self._engine_order[key] = at
+        at = self.now + self._random_delay_s(self._base_delay_s(replica, node_id))
+        at = max(at, self._last_arrival_at.get(key, 0.0))
+        self._last_arrival_at[key] = at
         self.at(at, lambda: self.feed(node_id, event))
 
-    def _engine_call(
+    def _call_engine(
         self, node_id: str, replica: str, call: Callable[[SimulatedEngine], None]
     ) -> bool:
         engine = self.engines.get(replica)
         if engine is None or not engine.alive or not self.reaches(node_id, replica):
             return False
         self.after(
-            self._delay(self._between(node_id, replica)),
+            self._random_delay_s(self._base_delay_s(node_id, replica)),
             lambda: call(engine) if engine.alive else None,
         )
         return True
@@ -374,16 +377,16 @@
             reason = engine.model.start(work, start.epoch, self.now)
             if reason is not None:
                 event = ev.EngineRefused(replica, work.request_id, work.attempt, reason.value)
-                self._to_node_in_order(replica, node_id, event)
+                self._send_to_node_in_order(replica, node_id, event)
                 return
             engine.streams[(work.request_id, work.attempt)] = node_id
             if not self.nodes[node_id].alive:
                 self._connection_closed(replica, (work.request_id, work.attempt))
             self._schedule_step(replica, engine)
 
-        if not self._engine_call(node_id, replica, arrive):
+        if not self._call_engine(node_id, replica, arrive):
             event = ev.EngineRefused(replica, work.request_id, work.attempt, "unreachable")
-            self.after(CUT_NOTICE_S, lambda: self.feed(node_id, event))
+            self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(node_id, event))
 
     def _schedule_step(self, replica: str, engine: SimulatedEngine) -> None:
         if engine.step_scheduled or not engine.alive:
@@ -398,12 +401,12 @@
             if not engine.alive:
                 return
             for emission in engine.model.step(self.now):
-                self._emit(replica, engine, emission)
+                self._send_chunk(replica, engine, emission)
             self._schedule_step(replica, engine)
 
         self.at(at, step)
 
-    def _emit(self, replica: str, engine: SimulatedEngine, emission: Emission) -> None:
+    def _send_chunk(self, replica: str, engine: SimulatedEngine, emission: Emission) -> None:
         key = (emission.request_id, emission.attempt)
         node_id = engine.streams.get(key)
         if emission.finished:
@@ -413,7 +416,7 @@
         if not self.reaches(replica, node_id):
             engine.streams.pop(key, None)
             engine.model.cancel(*key)
-            self._lose_stream(replica, node_id, key)
+            self._report_lost_stream(replica, node_id, key)
             return
         event = ev.EngineChunk(
             replica,
@@ -425,11 +428,11 @@
             emission.finished,
             emission.step_s,
         )
-        self._to_node_in_order(replica, node_id, event)
+        self._send_to_node_in_order(replica, node_id, event)
 
-    def _lose_stream(self, replica: str, node_id: str, key: tuple[str, int]) -> None:
+    def _report_lost_stream(self, replica: str, node_id: str, key: tuple[str, int]) -> None:
         event = ev.EngineCut(replica, key[0], key[1], "lost")
-        self.after(CUT_NOTICE_S, lambda: self.feed(node_id, event))
+        self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(node_id, event))
 
     def _stop_work(self, node_id: str, stop: ev.StopWork) -> None:
         replica = stop.replica
@@ -439,11 +442,11 @@
             end = engine.model.cancel(*key)
             engine.streams.pop(key, None)
             if end is not None:
-                self._to_node_in_order(replica, node_id, _cut_event(replica, end, "cancelled"))
+                self._send_to_node_in_order(replica, node_id, _cut_event(replica, end, "cancelled"))
 
-        self._engine_call(node_id, replica, arrive)
+        self._call_engine(node_id, replica, arrive)
 
-    def _adopt(self, node_id: str, adopt: ev.AdoptEngine) -> None:
+    def _adopt_engine(self, node_id: str, adopt: ev.AdoptEngine) -> None:
         replica = adopt.replica
 
         def arrive(engine: SimulatedEngine) -> None:
@@ -453,9 +456,9 @@
                 owner = engine.streams.pop(key, None)
                 if owner is not None:
                     event = _cut_event(replica, end, "aborted")
-                    self._to_node_in_order(replica, owner, event)
+                    self._send_to_node_in_order(replica, owner, event)
             settings = engine.model.settings
-            self._to_node_in_order(
+            self._send_to_node_in_order(
                 replica,
                 node_id,
                 ev.EngineAdopted(
@@ -463,14 +466,14 @@
                 ),
             )
 
-        if not self._engine_call(node_id, replica, arrive):
+        if not self._call_engine(node_id, replica, arrive):
             event = ev.EngineAdopted(replica, adopt.epoch, False)
-            self.after(CUT_NOTICE_S, lambda: self.feed(node_id, event))
+            self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(node_id, event))
 
     def _load_model(self, node_id: str, load: ev.LoadModel) -> None:
         def answer(accepted: bool, model: str) -> None:
             event = ev.ModelLoaded(load.replica, load.epoch, accepted, model)
-            self._to_node_in_order(load.replica, node_id, event)
+            self._send_to_node_in_order(load.replica, node_id, event)
 
         def arrive(engine: SimulatedEngine) -> None:
             if not engine.model.begin_load(load.epoch):
@@ -486,11 +489,11 @@
 
             self.after(self.platform.weight_wait_s(MODEL_BYTES, self.now), loaded)
 
-        if not self._engine_call(node_id, load.replica, arrive):
+        if not self._call_engine(node_id, load.replica, arrive):
             event = ev.ModelLoaded(load.replica, load.epoch, False, "")
-            self.after(CUT_NOTICE_S, lambda: self.feed(node_id, event))
+            self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(node_id, event))
 
-    def _query(self, node_id: str, query: ev.QueryEngine) -> None:
+    def _query_engine(self, node_id: str, query: ev.QueryEngine) -> None:
         replica = query.replica
 
         def answer(state: str, text: str = "", tokens: int = 0) -> ev.EngineStatus:
@@ -499,10 +502,10 @@
         def arrive(engine: SimulatedEngine) -> None:
             status = engine.model.status(query.request_id)
             event = answer(status.state, status.text, status.tokens)
-            self._to_node_in_order(replica, node_id, event)
+            self._send_to_node_in_order(replica, node_id, event)
 
-        if not self._engine_call(node_id, replica, arrive):
-            self.after(CUT_NOTICE_S, lambda: self.feed(node_id, answer("unreachable")))
+        if not self._call_engine(node_id, replica, arrive):
+            self.after(CUT_DETECTION_DELAY_S, lambda: self.feed(node_id, answer("unreachable")))
 
     def _report_load(self, replica: str, engine: SimulatedEngine) -> None:
         def report() -> None:
@@ -512,25 +515,25 @@
             event = ev.EngineLoad(replica, load.running, load.step_s, load.leaving)
             for node_id, simulated in self.nodes.items():
                 if replica in simulated.node.replicas.owned and self.reaches(replica, node_id):
-                    self._to_node_in_order(replica, node_id, event)
-            self.after(LOAD_REPORT_S, report)
+                    self._send_to_node_in_order(replica, node_id, event)
+            self.after(LOAD_REPORT_INTERVAL_S, report)
 
-        self.after(LOAD_REPORT_S, report)
+        self.after(LOAD_REPORT_INTERVAL_S, report)
 
     def kill_engine(self, replica: str) -> None:
-        """End an engine; its streams break."""
+        """Stop an engine abruptly, which loses its streams."""
         engine = self.engines[replica]
         engine.alive = False
         for key, node_id in engine.streams.items():
-            self._lose_stream(replica, node_id, key)
+            self._report_lost_stream(replica, node_id, key)
         engine.streams.clear()
 
     def restart_engine(self, replica: str) -> None:
-        """Start an engine anew, with nothing kept but its log of starts."""
-        old = self.engines[replica]
-        model = EngineModel(old.model.settings, Random(self.random.getrandbits(64)))
-        model.starts = old.model.starts
-        engine = SimulatedEngine(model, old.zone)
+        """Replace an engine by a new one that keeps only the start log."""
+        previous = self.engines[replica]
+        model = EngineModel(previous.model.settings, Random(self.random.getrandbits(64)))
+        model.starts = previous.model.starts
+        engine = SimulatedEngine(model, previous.zone)
         self.engines[replica] = engine
         self._report_load(replica, engine)
 
@@ -541,15 +544,15 @@
         node_id: str,
         call: ev.CommitToStore | ev.ReadStore | ev.PutObject | ev.GetObject,
     ) -> None:
-        reached = self.zone_of(node_id) not in self.store_cuts
-        delay_s = self._delay(self.network.platform_s)
+        is_reachable = self.zone_of(node_id) not in self.store_cuts
+        delay_s = self._random_delay_s(self.network.platform_s)
 
         def arrive() -> None:
             faults = self.platform.faults
-            if not reached or not self.platform.admits(self.now):
+            if not is_reachable or not self.platform.admits(self.now):
                 self.after(delay_s, lambda: self.feed(node_id, _store_failure(call, False)))
                 return
-            answer = self._apply(call)
+            answer = self._apply_store_call(call)
             if self.platform.loses_answer() or faults.slow_s > STORE_TIMEOUT_S:
                 event = _store_failure(call, True)
                 self.after(STORE_TIMEOUT_S, lambda: self.feed(node_id, event))
@@ -558,7 +561,7 @@
 
         self.after(delay_s, arrive)
 
-    def _apply(
+    def _apply_store_call(
         self, call: ev.CommitToStore | ev.ReadStore | ev.PutObject | ev.GetObject
     ) -> ev.Event:
         platform = self.platform
@@ -576,9 +579,11 @@
         down = self.platform.faults.down or self.zone_of(node_id) in self.store_cuts
         machines = None if down else self.platform.machines(self.now, zone)
         event = ev.MachinesListed(zone, machines)
-        self.after(self._delay(2 * self.network.platform_s), lambda: self.feed(node_id, event))
+        self.after(
+            self._random_delay_s(2 * self.network.platform_s), lambda: self.feed(node_id, event)
+        )
 
-    # --- callers ---
+    # --- clients ---
 
     def request(
         self,
@@ -590,7 +595,7 @@
         body: bytes = b"",
         query: dict[str, str] | None = None,
     ) -> None:
-        """Send an HTTP request as a caller; ``on_answer`` gets the whole answer or a cut."""
+        """Send a client's HTTP request; ``on_answer`` gets the complete answer or a cut one."""
         self._connection_count += 1
         number = self._connection_count
         answer = HttpAnswer(byte_times=[])
@@ -600,22 +605,22 @@
 
         def arrive() -> None:
             simulated = self.nodes.get(node_id)
-            if connection.done:
+            if connection.is_done:
                 return
             if simulated is None or not simulated.alive or simulated.stopped:
                 self._finish(connection, cut=True)
                 return
             self.feed(node_id, ev.ClientRequest(request))
 
-        self.after(self._delay(self.network.client_s), arrive)
+        self.after(self._random_delay_s(self.network.client_s), arrive)
 
-    def _to_client(self, instruction: ev.Instruction) -> None:
+    def _send_to_client(self, instruction: ev.Instruction) -> None:
         if not isinstance(
             instruction, ev.SendReply | ev.BeginStream | ev.StreamData | ev.EndStream
         ):
             return
         connection = self._connections.get(instruction.connection)
-        if connection is None or connection.done:
+        if connection is None or connection.is_done:
             return
         if isinstance(instruction, ev.SendReply | ev.EndStream):
             connection.is_answered = True
@@ -628,17 +633,21 @@
         instruction: ev.SendReply | ev.BeginStream | ev.StreamData | ev.EndStream,
     ) -> None:
         answer = connection.answer
-        if connection.done:
+        if connection.is_done:
             return
         match instruction:
             case ev.SendReply():
                 answer.status = instruction.status
-                answer.headers = {one.name.lower(): one.value for one in instruction.headers}
+                answer.headers = {
+                    header.name.lower(): header.value for header in instruction.headers
+                }
                 answer.body = instruction.body
                 self._finish(connection, cut=False)
             case ev.BeginStream():
                 answer.status = instruction.status
-                answer.headers = {one.name.lower(): one.value for one in instruction.headers}
+                answer.headers = {
+                    header.name.lower(): header.value for header in instruction.headers
+                }
             case ev.StreamData():
                 answer.body += instruction.data
                 answer.byte_times.append(self.now)
@@ -646,7 +655,7 @@
                 self._finish(connection, cut=not instruction.whole)
 
     def _finish(self, connection: _Connection, cut: bool) -> None:
-        connection.done = True
+        connection.is_done = True
         connection.answer.cut = cut
         self._connections.pop(connection.number, None)
         connection.on_answer(connection.answer)
--- a/src/cloverwalk/soak/faults.py
+++ b/src/cloverwalk/soak/faults.py
@@ -39,7 +39,7 @@
     def begin(self, fault: int, action: Action) -> None:
         """Apply a fault."""
         if action.kind is ActionKind.STORE_FORGET:
-            self._store.rows.forget_history()
+            self._store.rows.drop_history()
             return
         self._active[fault] = action
         self._apply()
--- a/src/cloverwalk/soak/replicas.py
+++ b/src/cloverwalk/soak/replicas.py
@@ -177,11 +177,11 @@
         start_number = next(self._start_numbers)
         replica_id = reused_id or f"i-{host.number}-{start_number}"
         replica = PlatformReplica(replica_id, host.address, event_s=EVENT_INTERVAL_S)
-        replica.born_ms = FIRST_STARTED_AT_MS + start_number
+        replica.started_at_ms = FIRST_STARTED_AT_MS + start_number
         replica.slots = SLOTS_PER_REPLICA
         replica.max_waiting = MAX_QUEUED_REQUESTS
         replica.observer = self.run_recorder
-        replica.events_of = requested_events
+        replica.choose_event_count = requested_events
         replica.choose_misdeed = self._misdeed_chooser(replica_id, host.number)
         self.run_recorder.service_by_replica[replica_id] = host.service
         host.replica = replica
--- a/src/cloverwalk/soak/run.py
+++ b/src/cloverwalk/soak/run.py
@@ -102,7 +102,7 @@
     def _build(self, network: SoakNetwork) -> None:
         plan, history = self._plan, self._history
         self._store = PlatformStoreServer((network.store_host, network.port))
-        self._store.rows.wait_step_s = FEED_POLL_INTERVAL_S
+        self._store.rows.feed_poll_interval_s = FEED_POLL_INTERVAL_S
         self._store.random = Random(f"soak-store/{plan.seed}")
         self._operator = Operator(self._store, history)
         replica_random = Random(f"soak-replicas/{plan.seed}")
--- a/tests/serving/test_batch.py
+++ b/tests/serving/test_batch.py
@@ -56,12 +56,12 @@
 def test_failing_items_are_dead_after_allowed_attempts() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
-        world.replicas[0].always = Misdeed.FAIL
+        world.replicas[0].default_misdeed = Misdeed.FAIL
         assert (await world.hand_in("j", count=1)).status == 202
         results = await world.until_done("j", 1)
         assert results[0]["state"] == "dead_letter"
         assert len(world.replicas[0].arrivals) == 3
-        world.replicas[0].always = Misdeed.IMPOSSIBLE
+        world.replicas[0].default_misdeed = Misdeed.IMPOSSIBLE
         assert (await world.hand_in("k", count=1)).status == 202
         results = await world.until_done("k", 1)
         assert results[0]["state"] == "dead_letter"
@@ -73,7 +73,7 @@
 def test_raised_attempt_limit_applies_to_accepted_items() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
-        world.replicas[0].always = Misdeed.FAIL
+        world.replicas[0].default_misdeed = Misdeed.FAIL
         assert (await world.hand_in("j", count=1)).status == 202
         raised = route(
             "jobs", "/jobs/", "batch", completion_target_ms=20000, retention_s=60, max_attempts=5
@@ -175,7 +175,7 @@
         tasks = [await curio.spawn(world.ask, "/chat/a") for _ in range(6)]
         for task in tasks:
             assert (await task.join()).is_whole
-        assert world.replicas[0].most_running <= world.replicas[0].slots
+        assert world.replicas[0].max_running <= world.replicas[0].slots
         results = await world.until_done("j", 12)
         assert set(texts(results).values()) == {expected_text(f"j-{n}", 100) for n in range(12)}
 
@@ -273,7 +273,7 @@
 def test_items_end_when_route_is_removed() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1, events=500, event_s=0.02)
-        world.replicas[0].always = Misdeed.REFUSE
+        world.replicas[0].default_misdeed = Misdeed.REFUSE
         assert (await world.hand_in("j")).status == 202
         routes = [route("chat", "/chat/", "streaming", resumable=True)]
         world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(9, routes))
--- a/tests/serving/test_online.py
+++ b/tests/serving/test_online.py
@@ -75,7 +75,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=3, events=12)
         for replica in world.replicas[:2]:
-            replica.always = Misdeed.CUT
+            replica.default_misdeed = Misdeed.CUT
         answer = await world.ask("/chat/a", "id-1")
         assert answer.is_whole
         assert answer.event_ids() == list(range(1, 13))
@@ -89,7 +89,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
-            replica.always = Misdeed.CUT
+            replica.default_misdeed = Misdeed.CUT
         answer = await world.ask("/once/a", "id-1")
         assert answer.status == 200
         assert not answer.is_whole
@@ -128,7 +128,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
-            replica.always = misdeed
+            replica.default_misdeed = misdeed
         answer = await world.ask("/once/a")
         assert answer.status == 502
         assert sum(len(replica.arrivals) for replica in world.replicas) == 1
@@ -139,12 +139,12 @@
 def test_refused_request_tries_next_replica_then_gets_retry_after() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
-        world.replicas[0].always = Misdeed.REFUSE
-        world.replicas[1].always = Misdeed.REFUSE
+        world.replicas[0].default_misdeed = Misdeed.REFUSE
+        world.replicas[1].default_misdeed = Misdeed.REFUSE
         answer = await world.ask("/once/a")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
-        world.replicas[1].always = None
+        world.replicas[1].default_misdeed = None
         assert (await world.ask("/once/a")).event_ids() == [1, 2, 3, 4]
 
     in_world(test)
@@ -184,7 +184,7 @@
         await sock.sendall(head.encode() + b"Content-Length: 0\r\n\r\n")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         await sock.close()
-        await world.until(lambda: world.replicas[0].arrivals[0].was_left)
+        await world.until(lambda: world.replicas[0].arrivals[0].caller_disconnected)
         assert world.replicas[0].running == 0
 
     in_world(test)
@@ -201,7 +201,7 @@
         await sock.sendall(head.encode() + b"Content-Length: 0\r\n\r\n")
         await world.until(lambda: bool(world.replicas[0].arrivals))
         await sock.close()
-        await world.until(lambda: world.replicas[0].arrivals[0].was_left)
+        await world.until(lambda: world.replicas[0].arrivals[0].caller_disconnected)
 
     in_world(test)
 
@@ -387,7 +387,7 @@
 def test_request_past_deadline_gets_504() -> None:
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=1)
-        world.replicas[0].always = Misdeed.SILENT
+        world.replicas[0].default_misdeed = Misdeed.SILENT
         answer = await world.ask("/once/a", deadline_ms=300)
         assert answer.status == 504
 
--- a/tests/serving/test_refusals.py
+++ b/tests/serving/test_refusals.py
@@ -51,7 +51,7 @@
         for path, max_runs in (("/once/a", 1), ("/safe/a", 3)):
             for status in PROMISES:
                 for replica in world.replicas:
-                    replica.always = Misdeed.UNPROVED_REFUSAL
+                    replica.default_misdeed = Misdeed.UNPROVED_REFUSAL
                     replica.unproved_status = status
                 request_id = f"{path[1:5]}-{status}"
                 answers = await send_while_promised(world, path, request_id)
@@ -67,7 +67,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=4)
         for replica in world.replicas:
-            replica.always = misdeed
+            replica.default_misdeed = misdeed
         for path, max_runs in (("/once/a", 1), ("/safe/a", 3), ("/chat/a", 3)):
             request_id = f"{path[1:5]}-{misdeed.name}"
             (answer,) = await send_while_promised(world, path, request_id)
@@ -82,7 +82,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
-            replica.always = Misdeed.RESET_UNANSWERED
+            replica.default_misdeed = Misdeed.RESET_UNANSWERED
         # Last, since the node caches the refusal of a tenant for a moment.
         refusing = (
             PlacementVerdict.RETRY_LATER,
@@ -104,12 +104,12 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
-            replica.always = Misdeed.REFUSE_AND_CUT
+            replica.default_misdeed = Misdeed.REFUSE_AND_CUT
         refused = await world.ask("/once/a", "refused")
         assert refused.status == 503
         assert float(refused.headers["retry-after"]) > 0
         assert runs(world, "refused") == 0
-        world.replicas[1].always = None
+        world.replicas[1].default_misdeed = None
         assert (await world.ask("/once/a", "served")).event_ids() == [1, 2, 3, 4]
 
     in_world(test)
@@ -133,7 +133,7 @@
     async def test(world: FleetWorld) -> None:
         await world.start(replicas=2)
         for replica in world.replicas:
-            replica.always = Misdeed.PROOF_ON_SUCCESS
+            replica.default_misdeed = Misdeed.PROOF_ON_SUCCESS
         answers = await send_while_promised(world, "/once/a", "id-1")
         assert [answer.status for answer in answers] == [200]
         assert runs(world, "id-1") == 1
@@ -148,7 +148,7 @@
         world.log_path = str(log)
         await world.start(replicas=1)
         for request_id, misdeed in (("not", Misdeed.REFUSE), ("may", Misdeed.RESET_UNANSWERED)):
-            world.replicas[0].always = misdeed
+            world.replicas[0].default_misdeed = misdeed
             await world.ask("/once/a", request_id)
         lines = [line for text in log.read_text().splitlines() if (line := parse_line(text))]
         ended = {line.fields["request"]: line for line in lines if line.number == REQUEST_ENDED}
--- a/tests/serving/test_restarted_replicas.py
+++ b/tests/serving/test_restarted_replicas.py
@@ -150,7 +150,7 @@
     world.store.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, configuration(2, routes))
     for number in range(replicas):
         replica = await world.add_replica()
-        replica.born_ms = 1000 + number
+        replica.started_at_ms = 1000 + number
         world.store.put(names.REPLICA_TABLE, replica.replica_id, replica.document("model", "z1"))
     await world.add_node()
     await world.until(lambda: world.nodes[0].is_ready)
@@ -165,8 +165,8 @@
         document = replica.document("model", "z1")
         world.store.put(names.REPLICA_TABLE, replica.replica_id, document)
         await curio.sleep(0.01)
-    replica.always = None
-    replica.born_ms += 5000
+    replica.default_misdeed = None
+    replica.started_at_ms += 5000
     world.store.put(names.REPLICA_TABLE, replica.replica_id, replica.document("model", "z1"))
 
 
@@ -175,7 +175,7 @@
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         (first,) = world.replicas
-        first.always = Misdeed.RUN_SILENTLY
+        first.default_misdeed = Misdeed.RUN_SILENTLY
         request_task = await curio.spawn(world.ask, "/chat/a", "q1", PATIENT_MS)
         await world.until(lambda: first.running == 1)
         await world.add_replica()
@@ -192,7 +192,7 @@
     async def test(world: FleetWorld) -> None:
         await begin(world, 2)
         for replica in world.replicas:
-            replica.always = Misdeed.RUN_SILENTLY
+            replica.default_misdeed = Misdeed.RUN_SILENTLY
         request_task = await curio.spawn(world.ask, "/once/a", "q1", PATIENT_MS)
         await world.until(lambda: any(replica.running for replica in world.replicas))
         await restart(world, 0 if world.replicas[0].running else 1)
@@ -219,7 +219,7 @@
     async def test(world: FleetWorld) -> None:
         await begin(world, 1)
         (first,) = world.replicas
-        first.always = Misdeed.RUN_SILENTLY
+        first.default_misdeed = Misdeed.RUN_SILENTLY
         await world.hand_in("j", 1)
         await world.until(lambda: first.running == 1)
         monkeypatch.setattr(BatchRunner, "_waiting_item", record_waiting_item)
