--- a/src/cloverwalk/emulator/memory_store.py
+++ b/src/cloverwalk/emulator/memory_store.py
@@ -143,7 +143,7 @@
         keys = [expectation.row_key for expectation in transaction.expectations]
         return [self._rows.get(key, Row(key, None, 0)) for key in keys]
 
-    def apply_late(self) -> None:
+    def run_late(self) -> None:
         """Apply the transactions that ``CommitFault.LATE`` delayed."""
         late, self.late = self.late, []
         for transaction in late:
--- a/src/cloverwalk/emulator/silent_proxy.py
+++ b/src/cloverwalk/emulator/silent_proxy.py
@@ -58,8 +58,8 @@
             self._open.discard(number)
             await client.close()
 
-    async def _forward(self, number: int, source: Any, target: Any, way: Silence) -> None:
+    async def _forward(self, number: int, source: Any, target: Any, direction: Silence) -> None:
         while data := await source.recv(READ_BYTES):
             silenced = self._silenced.get(number)
-            if silenced is None or (silenced is Silence.ANSWERS and way is Silence.BOTH):
+            if silenced is None or (silenced is Silence.ANSWERS and direction is Silence.BOTH):
                 await target.sendall(data)
--- a/src/cloverwalk/emulator/simulation.py
+++ b/src/cloverwalk/emulator/simulation.py
@@ -142,9 +142,9 @@
     def run_until(self, when: float) -> None:
         """Run all actions scheduled until ``when``."""
         while self._queue and self._queue[0].at <= when:
-            timed = heapq.heappop(self._queue)
-            self.now = timed.at
-            timed.action()
+            scheduled = heapq.heappop(self._queue)
+            self.now = scheduled.at
+            scheduled.action()
         self.now = when
 
     def run_while(self, condition: Callable[[], bool], limit_s: float) -> bool:
@@ -153,9 +153,9 @@
         while condition():
             if not self._queue or self._queue[0].at > end:
                 return not condition()
-            timed = heapq.heappop(self._queue)
-            self.now = timed.at
-            timed.action()
+            scheduled = heapq.heappop(self._queue)
+            self.now = scheduled.at
+            scheduled.action()
         return True
 
     # --- setup ---
--- a/tests/serving/test_job_refusals.py
+++ b/tests/serving/test_job_refusals.py
@@ -49,7 +49,7 @@
                 self._rewrite(job_key("j"))
                 self._rewrite(quota_key("jobs"))
             case Interference.LATE_WRITES:
-                self.apply_late()
+                self.run_late()
         return await super().commit(transaction, timeout_s)
 
     def _rewrite(self, key: RowKey) -> None:
@@ -162,7 +162,7 @@
         schedule(store, course, final_fault)
         node = without_retry_delays(OwnerNode("n1", store, ManualClock(0.05)))
         status = await submit_status(node, max_queued_tokens)
-        store.apply_late()
+        store.run_late()
         is_accepted = "j" in store.values(JOB_TABLE)
         assert not (is_accepted and status in NOT_RUN_STATUSES)
         assert is_accepted or status != 202
@@ -178,7 +178,7 @@
         await node.submit(submission("j"), batch_route())
         schedule(store, course, final_fault)
         status = await end_status(node)
-        store.apply_late()
+        store.run_late()
         is_ended = decode_record(store.values(JOB_TABLE)["j"]).is_ended
         assert not (is_ended and status in NOT_RUN_STATUSES)
         assert is_ended or status != 200
@@ -196,7 +196,7 @@
         node = without_retry_delays(OwnerNode("n1", store, ManualClock(0.01)))
         assert await submit_status(node, 1000) == 503
         assert store.late
-        store.apply_late()
+        store.run_late()
         assert store.values(JOB_TABLE) == {}
 
     curio.run(main)
--- a/tests/serving/test_jobs.py
+++ b/tests/serving/test_jobs.py
@@ -102,7 +102,7 @@
         store.commit_faults.extend(faults)
         first = OwnerNode("n1", store, ManualClock())
         await first.submit(submission("j"), batch_route(1000))
-        store.apply_late()
+        store.run_late()
         second = OwnerNode("n2", store, ManualClock())
         await second.submit(submission("j"), batch_route(1000))
         assert list(store.values(JOB_TABLE)) == ["j"]
@@ -240,7 +240,7 @@
             now_listed = await listed(OwnerNode("reader", store, ManualClock()), "j")
             assert now_listed[: len(seen)] == seen
             seen = now_listed
-            store.apply_late()
+            store.run_late()
         assert len(set(seen)) == len(seen)
         assert sorted(seen) == [f"j-{number}" for number in range(5)]
 
