--- a/src/cloverwalk/cli/api.py
+++ b/src/cloverwalk/cli/api.py
@@ -54,7 +54,7 @@
         except HttpError as error:
             # It may have been carried out: trying another node could do it twice.
             raise CommandError(str(error), EXIT_UNREACHABLE) from error
-        return _checked(response)
+        return _raise_for_status(response)
     raise CommandError(f"no node answered; {problem}", EXIT_UNREACHABLE)
 
 
@@ -68,7 +68,7 @@
         await pool.close()
 
 
-def _checked(response: HttpResponse) -> HttpResponse:
+def _raise_for_status(response: HttpResponse) -> HttpResponse:
     if response.status < 400:
         return response
     exit_code = EXIT_CONFLICT if response.status == 412 else EXIT_REFUSED
--- a/src/cloverwalk/cli/batch.py
+++ b/src/cloverwalk/cli/batch.py
@@ -9,7 +9,7 @@
 from cloverwalk.cli.api import call, decode, json_option, node_option, print_json
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
 @click.group()
@@ -60,14 +60,14 @@
         headers["Cloverwalk-Deadline-Ms"] = str(max(1, int(deadline_s * 1000)))
     answer = decode(call(nodes, "POST", "/v1/batches", body, headers))
     if wait:
-        answer = _follow(answer["id"], int(answer["total"]), nodes)
+        answer = _wait_for_end(answer["id"], int(answer["total"]), nodes)
     if as_json:
         print_json(answer)
     else:
         click.echo(answer["id"])
 
 
-def _follow(job_id: str, total: int, nodes: tuple[str, ...]) -> dict[str, object]:
+def _wait_for_end(job_id: str, total: int, nodes: tuple[str, ...]) -> dict[str, object]:
     with click.progressbar(length=total, label=job_id, file=sys.stderr) as bar:
         shown = 0
         while True:
@@ -76,7 +76,7 @@
             shown = answer["completed"]
             if answer["status"] != "running":
                 return answer
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
 @batch.command("status")
--- a/src/cloverwalk/cli/demo.py
+++ b/src/cloverwalk/cli/demo.py
@@ -16,7 +16,7 @@
 
     Example: cloverwalk demo --seconds 5
     """
-    report: DemoReport = curio.run(run_demo, seconds, _say)
+    report: DemoReport = curio.run(run_demo, seconds, _print_line)
     for line in report.lines():
         click.echo(line)
     click.echo(report.json())
@@ -24,6 +24,6 @@
         raise CommandError("the demo lost or doubled work; see the report", EXIT_REFUSED)
 
 
-def _say(line: str) -> None:
+def _print_line(line: str) -> None:
     click.echo(line)
     sys.stdout.flush()
--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -34,8 +34,8 @@
     for path in logs:
         with path.open(encoding="utf-8", errors="replace") as file:
             lines += [line for text in file if (line := parse_line(text)) is not None]
-    story = request_history(lines, request_id)
-    if not story:
+    history = request_history(lines, request_id)
+    if not history:
         message = f"{request_id}: no line of {len(lines)} names it; it may have reached no node"
         raise CommandError(message, EXIT_USAGE, "not_logged")
     if as_json:
@@ -48,12 +48,12 @@
                     "event": line.event,
                     **line.fields,
                 }
-                for line in story
+                for line in history
             ]
         )
         return
-    for line in story:
+    for line in history:
         click.echo(line.text())
-        known = describe_work_state(line)
-        if known:
-            click.echo(f"{NOTE_INDENT}{known}")
+        work_state = describe_work_state(line)
+        if work_state:
+            click.echo(f"{NOTE_INDENT}{work_state}")
--- a/src/cloverwalk/cli/features.py
+++ b/src/cloverwalk/cli/features.py
@@ -9,7 +9,7 @@
 from cloverwalk.core import catalogue
 from cloverwalk.telemetry.request_history import LogLine, parse_line
 
-HEAD = "part              state  nodes  why"
+HEADINGS = "part              state  nodes  why"
 
 
 @click.command()
@@ -24,19 +24,19 @@
 
     Example: cloverwalk features node-*.log
     """
-    rows = _last_states(_lines(logs))
+    rows = _last_states(_read_lines(logs))
     if not rows:
         raise CommandError("the files name no part of the policy", EXIT_USAGE, "not_logged")
     if as_json:
         keys = ("feature", "is_on", "reason", "nodes")
-        print_json([dict(zip(keys, one, strict=True)) for one in rows])
+        print_json([dict(zip(keys, row, strict=True)) for row in rows])
         return
-    click.echo(HEAD)
+    click.echo(HEADINGS)
     for feature, is_on, reason, nodes in rows:
         click.echo(f"{feature:16}  {'on' if is_on else 'off':5}  {nodes:5}  {reason}")
 
 
-def _lines(logs: tuple[Path, ...]) -> list[LogLine]:
+def _read_lines(logs: tuple[Path, ...]) -> list[LogLine]:
     lines: list[LogLine] = []
     for path in logs:
         with path.open(encoding="utf-8", errors="replace") as file:
--- a/src/cloverwalk/cli/fleet.py
+++ b/src/cloverwalk/cli/fleet.py
@@ -28,11 +28,11 @@
     flags = [name for name in ("table_stale", "store_down") if answer[name]]
     suffix = f"  [{', '.join(flags)}]" if flags else ""
     click.echo(f"as seen by {answer['node']}, table version {answer['table_version']}{suffix}")
-    for one in answer["nodes"]:
-        state = "leaving" if one["leaving"] else ("live" if one["live"] else "suspected")
-        shards = len(one["shards"])
-        click.echo(f"{one['node']:12} {one['zone']:12} {state:10} shards {shards}")
-        for replica in one["replicas"]:
+    for node in answer["nodes"]:
+        state = "leaving" if node["leaving"] else ("live" if node["live"] else "suspected")
+        shards = len(node["shards"])
+        click.echo(f"{node['node']:12} {node['zone']:12} {state:10} shards {shards}")
+        for replica in node["replicas"]:
             mark = " leaving" if replica["leaving"] else ""
             click.echo(
                 f"    {replica['replica']:12} {replica['model']:14} epoch {replica['epoch']}"
--- a/src/cloverwalk/cli/session.py
+++ b/src/cloverwalk/cli/session.py
@@ -50,9 +50,11 @@
     if as_json:
         print_json(answer)
         return
-    for one in answer["sessions"]:
-        state = "closed" if one["closed"] else "open"
-        click.echo(f"{one['session_id']}  {state:6}  {one['tenant']}  {one['name']}")
+    for session_row in answer["sessions"]:
+        state = "closed" if session_row["closed"] else "open"
+        click.echo(
+            f"{session_row['session_id']}  {state:6}  {session_row['tenant']}  {session_row['name']}"
+        )
 
 
 @session.command("close")
--- a/src/cloverwalk/cli/settings.py
+++ b/src/cloverwalk/cli/settings.py
@@ -46,5 +46,5 @@
 
 def _lines(value: object, path: str) -> list[str]:
     if isinstance(value, dict):
-        return [line for key, one in value.items() for line in _lines(one, f"{path}{key}.")]
+        return [line for key, item in value.items() for line in _lines(item, f"{path}{key}.")]
     return [] if value is None else [f"{path.rstrip('.')} = {value!r}"]
--- a/src/cloverwalk/cli/soak.py
+++ b/src/cloverwalk/cli/soak.py
@@ -15,10 +15,10 @@
 from cloverwalk.soak.report import HEADINGS, summary_lines, table_row
 from cloverwalk.soak.run import Soak, SoakResult
 
-NODE_BYTES = 100_000_000
+NODE_MEMORY_BYTES = 100_000_000
 """Memory that one process is taken to need; a node has 36 MB under the load of a soak."""
 
-MEMORY_SHARE = 0.5
+MAX_MEMORY_FRACTION = 0.5
 """Share of the machine's memory that a soak may use."""
 
 EXIT_STOPPED = 130
@@ -76,16 +76,16 @@
         return
     results: list[SoakResult] = []
     for plan in plans:
-        results.append(run_one(plan, out))
+        results.append(run_soak(plan, out))
         if results[-1].was_stopped:
             break
     if len(plans) > 1:
         click.echo(HEADINGS)
         for result in results:
             click.echo(table_row(result))
-    if any(one.violations for one in results):
+    if any(result.violations for result in results):
         raise click.exceptions.Exit(EXIT_REFUSED)
-    if any(one.was_stopped for one in results):
+    if any(result.was_stopped for result in results):
         raise click.exceptions.Exit(EXIT_STOPPED)
 
 
@@ -101,15 +101,17 @@
     found = re.fullmatch(r"(\d+)-(\d+)", seed_range)
     if found is None or int(found[1]) > int(found[2]):
         raise SoakInputError(f"--seeds: {seed_range!r} is not FIRST-LAST")
-    return [draw_plan(one, nodes, minutes) for one in range(int(found[1]), int(found[2]) + 1)]
+    return [draw_plan(number, nodes, minutes) for number in range(int(found[1]), int(found[2]) + 1)]
 
 
 def check_memory(nodes: int) -> None:
     """Raise SoakInputError when the machine has no memory for so many processes."""
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
-    most = int(memory * MEMORY_SHARE / NODE_BYTES)
-    if nodes > most:
-        raise SoakInputError(f"--nodes: this machine has memory for {most}, {nodes} are asked for")
+    max_nodes = int(memory * MAX_MEMORY_FRACTION / NODE_MEMORY_BYTES)
+    if nodes > max_nodes:
+        raise SoakInputError(
+            f"--nodes: this machine has memory for {max_nodes}, {nodes} are asked for"
+        )
 
 
 def print_schedule(plan: Plan) -> None:
@@ -122,7 +124,7 @@
         click.echo(action.line())
 
 
-def run_one(plan: Plan, out: Path | None) -> SoakResult:
+def run_soak(plan: Plan, out: Path | None) -> SoakResult:
     """Run one soak and print what came of it."""
     print_schedule(plan)
     if out is None:
--- a/src/cloverwalk/cli/table.py
+++ b/src/cloverwalk/cli/table.py
@@ -21,7 +21,7 @@
     """
 
 
-def _match(if_version: int | None) -> dict[str, str]:
+def _if_match_header(if_version: int | None) -> dict[str, str]:
     return {} if if_version is None else {"If-Match": f'"{if_version}"'}
 
 
@@ -63,7 +63,7 @@
             raise CommandError(f"{cell!r} is not COLUMN=VALUE", EXIT_USAGE)
     values = dict(cell.split("=", 1) for cell in cells)
     body = json.encode({"session": session, "kind": kind, "cells": values})
-    answer = decode(call(nodes, "PATCH", "/v1/table", body, _match(if_version)))
+    answer = decode(call(nodes, "PATCH", "/v1/table", body, _if_match_header(if_version)))
     click.echo(f"version {answer['version']} is in force")
 
 
@@ -96,7 +96,7 @@
         body = path.read_bytes()
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
-    headers = {"Content-Type": "text/csv", **_match(if_version)}
+    headers = {"Content-Type": "text/csv", **_if_match_header(if_version)}
     answer = decode(call(nodes, "PUT", "/v1/table", body, headers))
     click.echo(f"version {answer['version']} is in force")
 
@@ -113,5 +113,5 @@
     if as_json:
         print_json(answer)
         return
-    for one in answer["versions"]:
-        click.echo(f"version {one['version']}: {one['rows']} rows")
+    for version in answer["versions"]:
+        click.echo(f"version {version['version']}: {version['rows']} rows")
--- a/src/cloverwalk/cli/tenants.py
+++ b/src/cloverwalk/cli/tenants.py
@@ -12,9 +12,9 @@
 from cloverwalk.http.errors import HttpError
 from cloverwalk.telemetry.tenant_metrics import TenantOutcome
 
-TIMEOUT_S = 5.0
+METRICS_TIMEOUT_S = 5.0
 METRICS_PATH = "/metrics"
-HEAD = (
+HEADINGS = (
     "tenant                    node                    answered  over quota  ended  rate/s  burst"
 )
 _ADDRESS = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
@@ -52,14 +52,14 @@
             continue
         labels = dict(_LABEL.findall(sample.group(2)))
         use = by_tenant.setdefault(labels["tenant"], TenantUse(labels["tenant"], node))
-        figure = float(sample.group(3))
+        value = float(sample.group(3))
         match sample.group(1):
             case "requests_total":
-                use.counts[labels["outcome"]] = round(figure)
+                use.counts[labels["outcome"]] = round(value)
             case "rate_per_s":
-                use.rate_per_s = figure
+                use.rate_per_s = value
             case "burst":
-                use.burst = figure
+                use.burst = value
     return list(by_tenant.values())
 
 
@@ -78,46 +78,46 @@
         if not _ADDRESS.match(address):
             raise CommandError(f"{address!r} is not an address such as 10.1.0.10:7735", EXIT_USAGE)
     uses: list[TenantUse] = []
-    silent: list[str] = []
+    unreachable: list[str] = []
     for address in addresses:
         try:
             text = curio.run(_fetch, address)
         except HttpError as error:
-            silent.append(f"{address}: {error}")
+            unreachable.append(f"{address}: {error}")
             continue
         uses += parse_metrics(address, text)
-    for problem in silent:
+    for problem in unreachable:
         click.echo(f"no answer from {problem}", err=True)
-    if len(silent) == len(addresses):
+    if len(unreachable) == len(addresses):
         raise CommandError("no node answered", EXIT_UNREACHABLE)
-    _print([one for one in uses if only in (None, one.tenant)], as_json)
+    _print([use for use in uses if only in (None, use.tenant)], as_json)
 
 
 async def _fetch(address: str) -> str:
     pool = HttpPool(address)
     try:
-        response = await pool.call("GET", METRICS_PATH, b"", {}, timeout_s=TIMEOUT_S)
+        response = await pool.call("GET", METRICS_PATH, b"", {}, timeout_s=METRICS_TIMEOUT_S)
     finally:
         await pool.close()
     return response.body.decode()
 
 
 def _print(uses: list[TenantUse], as_json: bool) -> None:
-    uses.sort(key=lambda one: (-one.total, one.tenant, one.node))
+    uses.sort(key=lambda use: (-use.total, use.tenant, use.node))
     if as_json:
-        print_json([attrs.asdict(one) for one in uses])
+        print_json([attrs.asdict(use) for use in uses])
         return
-    click.echo(HEAD)
-    for one in uses:
+    click.echo(HEADINGS)
+    for use in uses:
         answered, over, ended = (
-            one.counts.get(outcome, 0)
+            use.counts.get(outcome, 0)
             for outcome in (TenantOutcome.ANSWERED, TenantOutcome.OVER_QUOTA, TenantOutcome.ENDED)
         )
         click.echo(
-            f"{one.tenant:24}  {one.node:22}  {answered:8}  {over:10}  {ended:5}"
-            f"  {_limit(one.rate_per_s):>6}  {_limit(one.burst):>5}"
+            f"{use.tenant:24}  {use.node:22}  {answered:8}  {over:10}  {ended:5}"
+            f"  {_limit(use.rate_per_s):>6}  {_limit(use.burst):>5}"
         )
 
 
-def _limit(figure: float | None) -> str:
-    return "-" if figure is None else f"{figure:g}"
+def _limit(value: float | None) -> str:
+    return "-" if value is None else f"{value:g}"
