--- a/src/cloverwalk/cli/__init__.py
+++ b/src/cloverwalk/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line interface, ``cloverwalk``."""
--- a/src/cloverwalk/cli/api.py
+++ b/src/cloverwalk/cli/api.py
@@ -1,4 +1,4 @@
-"""Calls to a node's HTTP interface, with errors turned into exit codes."""
+"""Calls the HTTP interface of a node and turns errors into exit codes."""
 
 import re
 from typing import Any
@@ -40,7 +40,9 @@
     body: bytes = b"",
     headers: dict[str, str] | None = None,
 ) -> HttpResponse:
-    """Call the first node that can be reached; raise CommandError otherwise."""
+    """Call the first node that can be reached.
+
+    Raises CommandError if none can be reached, or if the node returns an error."""
     problem = ""
     for address in nodes:
         if not _ADDRESS.match(address):
@@ -52,7 +54,7 @@
             problem = str(error)
             continue
         except HttpError as error:
-            # It may have been carried out: trying another node could do it twice.
+            # The node may have processed the call; calling another node could repeat it.
             raise CommandError(str(error), EXIT_UNREACHABLE) from error
         return _raise_for_status(response)
     raise CommandError(f"no node answered; {problem}", EXIT_UNREACHABLE)
@@ -85,7 +87,7 @@
 
 
 def decode(response: HttpResponse) -> dict[str, Any]:
-    """Return a JSON body; an empty map when it is none."""
+    """Return the JSON object in the body, or an empty dict if there is none."""
     try:
         body = json.decode(response.body)
     except msgspec.DecodeError:
@@ -94,5 +96,5 @@
 
 
 def print_json(body: object) -> None:
-    """Print JSON on one line."""
+    """Print a value as one line of JSON."""
     click.echo(json.encode(body).decode())
--- a/src/cloverwalk/cli/batch.py
+++ b/src/cloverwalk/cli/batch.py
@@ -27,7 +27,7 @@
 @click.option("--model", required=True, help="Model of all items.")
 @click.option("--key", help="Idempotency key: a repeated submit gives the same job.")
 @click.option("--deadline-s", type=float, help="Seconds until the results are needed.")
-@click.option("--wait", is_flag=True, help="Wait for the end and show progress.")
+@click.option("--wait", is_flag=True, help="Wait until the job ends and show progress.")
 @node_option
 @json_option
 def submit_command(
@@ -41,7 +41,7 @@
     nodes: tuple[str, ...],
     as_json: bool,
 ) -> None:
-    """Submit a JSONL file: one {"custom_id", "body": {"messages", "max_tokens"}} a line.
+    """Submit a JSONL file; each line is {"custom_id", "body": {"messages", "max_tokens"}}.
 
     Example: cloverwalk batch submit items.jsonl --session s-... --model quizmind --wait
     """
@@ -84,7 +84,7 @@
 @node_option
 @json_option
 def status_command(job_id: str, nodes: tuple[str, ...], as_json: bool) -> None:
-    """Show how far a job is.
+    """Show the status and progress of a job.
 
     Example: cloverwalk batch status levee.3.0123abcd
     """
@@ -120,7 +120,7 @@
 @click.argument("job_id")
 @node_option
 def cancel_command(job_id: str, nodes: tuple[str, ...]) -> None:
-    """Cancel a job; when this returns "cancelled", none of it runs.
+    """Cancel a job; once this prints "cancelled", none of its items runs.
 
     Example: cloverwalk batch cancel levee.3.0123abcd
     """
--- a/src/cloverwalk/cli/demo.py
+++ b/src/cloverwalk/cli/demo.py
@@ -1,4 +1,4 @@
-"""``cloverwalk demo``: two zones, stand-ins and a small load in one process on one loop."""
+"""``cloverwalk demo``: two zones, emulators and a small load in one process."""
 
 import sys
 
@@ -12,7 +12,7 @@
 @click.command()
 @click.option("--seconds", default=12.0, show_default=True, help="How long the load runs.")
 def demo(seconds: float) -> None:
-    """Run a small fleet for a quarter of a minute and report what its callers saw.
+    """Run a small fleet for some seconds and report the results of its callers.
 
     Example: cloverwalk demo --seconds 5
     """
@@ -21,7 +21,7 @@
         click.echo(line)
     click.echo(report.json())
     if not report.is_good:
-        raise CommandError("the demo lost or doubled work; see the report", EXIT_REFUSED)
+        raise CommandError("the demo lost work or ran it twice; see the report", EXIT_REFUSED)
 
 
 def _print_line(line: str) -> None:
--- a/src/cloverwalk/cli/errors.py
+++ b/src/cloverwalk/cli/errors.py
@@ -1,25 +1,25 @@
-"""Errors of the command line and its exit codes."""
+"""Errors and exit codes of the command line."""
 
 from cloverwalk.core.errors import CloverwalkError
 
 EXIT_REFUSED = 1
-"""The cluster answered with a problem."""
+"""A node returned an error response, or the command found a failure."""
 
 EXIT_USAGE = 2
-"""The command's words or a file are wrong (click's own code)."""
+"""An argument or an input file is invalid; click uses the same code."""
 
 EXIT_UNREACHABLE = 3
 """No node answered."""
 
 EXIT_SETTINGS = 4
-"""A settings file has faults."""
+"""A settings file is invalid."""
 
 EXIT_CONFLICT = 5
-"""Somebody else changed it first."""
+"""The resource was changed concurrently (HTTP 412)."""
 
 
 class CommandError(CloverwalkError):
-    """A command failed; ``exit_code`` is for scripts."""
+    """A command failed; the process ends with ``exit_code``."""
 
     default_code = "command_failed"
 
--- a/src/cloverwalk/cli/experiment.py
+++ b/src/cloverwalk/cli/experiment.py
@@ -46,7 +46,7 @@
 )
 @click.option("--seed", default=1, show_default=True, help="First seed.")
 @click.option("--seeds", default=5, show_default=True, type=click.IntRange(1, 100))
-@click.option("--duration-s", type=float, help="In place of the scenario's own.")
+@click.option("--duration-s", type=float, help="Overrides the duration of the scenario.")
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for JSON, table and plot.")
 @json_option
 def run_command(
--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -1,4 +1,4 @@
-"""``cloverwalk explain``."""
+"""``cloverwalk explain``: prints the history of a request from logs."""
 
 from pathlib import Path
 
@@ -6,6 +6,7 @@
 
 from cloverwalk.cli.api import json_option, print_json
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
+from cloverwalk.core.catalogue import CATALOGUE
 from cloverwalk.telemetry.request_history import (
     LogLine,
     describe_work_state,
@@ -23,10 +24,10 @@
 )
 @json_option
 def explain(request_id: str, logs: tuple[Path, ...], as_json: bool) -> None:
-    """Print the story of a request, item or job from the logs of many nodes.
+    """Print the history of a request, item or job from the logs of many nodes.
 
-    Lines are in order of time; what the nodes learned meanwhile (configuration, replicas,
-    store, peers) stands between them. Below a refusal stands what was known of the work.
+    Lines are sorted by time and include changes of configuration, replicas, store and peers
+    at the same nodes. A refusal is followed by the state of the work at that time.
 
     Example: cloverwalk explain 9c41d07be2a35f68 node-*.log
     """
@@ -36,7 +37,9 @@
             lines += [line for text in file if (line := parse_line(text)) is not None]
     history = request_history(lines, request_id)
     if not history:
-        message = f"{request_id}: no line of {len(lines)} names it; it may have reached no node"
+        message = (
+            f"{request_id}: none of {len(lines)} log lines mentions it; no node may have got it"
+        )
         raise CommandError(message, EXIT_USAGE, "not_logged")
     if as_json:
         print_json(
@@ -53,7 +56,24 @@
         )
         return
     for line in history:
-        click.echo(line.text())
+        click.echo(_sentence(line))
         work_state = describe_work_state(line)
         if work_state:
             click.echo(f"{NOTE_INDENT}{work_state}")
+
+
+def _sentence(line: LogLine) -> str:
+    """Return what happened, followed by the fields of the line.
+
+    Lines of another version may have a number that the catalogue does not contain.
+
+    >>> _sentence(LogLine(1.5, "n1", 420, "item_started", "info", {"request": "i", "job": "j"}))
+    '1.500 n1 420 item_started: An item was sent to a replica. (request=i, job=j)'
+    >>> _sentence(LogLine(1.5, "n1", 9999, "new_event", "info", {}))
+    '1.500 n1 9999 new_event: This event is not in the catalogue.'
+    """
+    event = CATALOGUE.get(line.number)
+    meaning = event.meaning if event else "This event is not in the catalogue."
+    values = ", ".join(f"{key}={value}" for key, value in line.fields.items())
+    suffix = f" ({values})" if values else ""
+    return f"{line.time_s:.3f} {line.node} {line.number} {line.event}: {meaning}{suffix}"
--- a/src/cloverwalk/cli/features.py
+++ b/src/cloverwalk/cli/features.py
@@ -1,4 +1,4 @@
-"""``cloverwalk features``."""
+"""``cloverwalk features``: shows from logs which features of the policy are on."""
 
 from pathlib import Path
 
@@ -9,8 +9,6 @@
 from cloverwalk.core import catalogue
 from cloverwalk.telemetry.request_history import LogLine, parse_line
 
-HEADINGS = "part              state  nodes  why"
-
 
 @click.command()
 @click.argument(
@@ -18,22 +16,24 @@
 )
 @json_option
 def features(logs: tuple[Path, ...], as_json: bool) -> None:
-    """Tell which parts of the policy are on, and why, from the logs of nodes.
+    """Show which features of the policy are on, and why, from the logs of nodes.
 
-    A part that only the coordinator decides by may be known to fewer nodes than others.
+    Features that only the coordinator uses may be logged by fewer nodes than others.
 
     Example: cloverwalk features node-*.log
     """
     rows = _last_states(_read_lines(logs))
     if not rows:
-        raise CommandError("the files name no part of the policy", EXIT_USAGE, "not_logged")
+        raise CommandError(
+            "the files contain no log line about a feature of the policy", EXIT_USAGE, "not_logged"
+        )
     if as_json:
         keys = ("feature", "is_on", "reason", "nodes")
         print_json([dict(zip(keys, row, strict=True)) for row in rows])
         return
-    click.echo(HEADINGS)
     for feature, is_on, reason, nodes in rows:
-        click.echo(f"{feature:16}  {'on' if is_on else 'off':5}  {nodes:5}  {reason}")
+        state = "on" if is_on else "off"
+        click.echo(f"{feature} is {state} at {nodes} node(s), reason: {reason}")
 
 
 def _read_lines(logs: tuple[Path, ...]) -> list[LogLine]:
@@ -45,7 +45,7 @@
 
 
 def _last_states(lines: list[LogLine]) -> list[tuple[str, bool, str, int]]:
-    """Return the last word of each node on each part, with how many nodes say the same."""
+    """Return the last logged states of each feature, with the number of nodes in each state."""
     last: dict[tuple[str, str], tuple[bool, str]] = {}
     for line in lines:
         if line.number == catalogue.FEATURE_CHANGED:
--- a/src/cloverwalk/cli/fleet.py
+++ b/src/cloverwalk/cli/fleet.py
@@ -7,7 +7,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Read the fleet.
+    """Show the state of the fleet.
 
     Example: cloverwalk fleet show
     """
--- a/src/cloverwalk/cli/main.py
+++ b/src/cloverwalk/cli/main.py
@@ -1,7 +1,7 @@
-"""``cloverwalk``: the one command.
+"""The ``cloverwalk`` command.
 
-Exit codes: 0 done; 1 the cluster refused; 2 wrong words or input file; 3 no node answered;
-4 faults in a settings file; 5 somebody else changed it first.
+Exit codes: 0 done; 1 refused or failed; 2 invalid argument or input file; 3 no node answered;
+4 invalid settings file; 5 the resource was changed concurrently.
 """
 
 import sys
@@ -29,7 +29,7 @@
 
 
 class _Group(click.Group):
-    """Turns the program's own errors into messages and exit codes."""
+    """Prints errors of commands and exits with their codes."""
 
     def invoke(self, ctx: click.Context) -> Any:
         try:
--- a/src/cloverwalk/cli/platform.py
+++ b/src/cloverwalk/cli/platform.py
@@ -1,4 +1,4 @@
-"""``cloverwalk platform``: the serving node on the users' platform."""
+"""``cloverwalk platform``: settings of a serving node on the users' platform."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 @click.group()
 def platform() -> None:
-    """Check what a serving node on the users' platform is given.
+    """Check the settings of a serving node on the users' platform.
 
     Example: cloverwalk platform check local.toml
     """
@@ -22,7 +22,7 @@
 @click.argument("path", type=click.Path(path_type=Path))
 @json_option
 def check_command(path: Path, as_json: bool) -> None:
-    """Check a settings file and show what a node takes from it; a fault ends with exit code 4.
+    """Check a settings file and show the resulting settings; exit code 4 if it is invalid.
 
     Example: cloverwalk platform check local.toml
     """
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -1,4 +1,4 @@
-"""``cloverwalk report``."""
+"""``cloverwalk report``: prints from logs what a fleet did in each second."""
 
 from pathlib import Path
 from typing import Any
@@ -19,10 +19,6 @@
 from cloverwalk.telemetry.startup_report import StageTimes, startup_stages
 from cloverwalk.telemetry.timeline import P95, SecondStats, timeline_of
 
-SECOND_HEADINGS = "second  answered  first p50 ms  p95 ms  online  batch  unlisted  given up"
-LATE_HEADINGS = "second  kind     cause           count  tenant"
-START_HEADINGS = f"{'stage':32}  starts  p50 ms  p95 ms  last ms"
-
 
 @click.command()
 @click.argument(
@@ -31,11 +27,11 @@
 @click.option(
     "--plot",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Also write a picture (PNG) here; needs matplotlib.",
+    help="Also write a plot (PNG) to this file; needs matplotlib.",
 )
-@click.option("--starts", is_flag=True, help="Tell how long starts of processes took instead.")
-@click.option("--slots", is_flag=True, help="Tell what replicas' slots were used for instead.")
-@click.option("--late", is_flag=True, help="Tell why requests and items were late instead.")
+@click.option("--starts", is_flag=True, help="Show how long process starts took instead.")
+@click.option("--slots", is_flag=True, help="Show the use of the replicas' slots instead.")
+@click.option("--late", is_flag=True, help="Show why requests and items were late instead.")
 @json_option
 def report(
     logs: tuple[Path, ...],
@@ -45,10 +41,11 @@
     late: bool,
     as_json: bool,
 ) -> None:
-    """Tell second by second what a fleet did, from the logs of its nodes.
+    """Show what a fleet did in each second, from the logs of its nodes.
 
-    Answers and their first events, work in flight at replicas, items that wait for their
-    results to be listed, and what was given up, by code.
+    Each second has the answered requests with their times to the first event, the work in flight
+    at replicas, the items whose results are not listed yet, and the requests that ended
+    without an answer by code.
 
     Example: cloverwalk report node-*.log --plot day.png
     """
@@ -67,53 +64,56 @@
         return
     seconds = timeline_of(lines)
     if not seconds:
-        raise CommandError("the files hold no log line of a node", EXIT_USAGE, "not_logged")
+        raise CommandError("the files contain no log line of a node", EXIT_USAGE, "not_logged")
     if plot is not None:
         _plot(seconds, plot)
     if as_json:
         print_json([_document(second) for second in seconds])
         return
-    click.echo(SECOND_HEADINGS)
     for second in seconds:
-        click.echo(_row(second))
+        click.echo(_sentence(second))
 
 
 def _show_slots(seconds: list[SlotSecond], as_json: bool) -> None:
     if not seconds:
-        raise CommandError("the files hold no line of a coordinator", EXIT_USAGE, "not_logged")
+        raise CommandError(
+            "the files contain no log line of a coordinator", EXIT_USAGE, "not_logged"
+        )
     if as_json:
         print_json([attrs.asdict(second) for second in seconds])
         return
     uses = [use for use in SlotUse if any(use.value in second.seconds_by_use for second in seconds)]
-    click.echo("second  " + "  ".join(f"{use.value:>11}" for use in uses))
     for second in seconds:
-        times = "  ".join(f"{second.seconds_by_use.get(use.value, 0.0):11.1f}" for use in uses)
-        click.echo(f"{second.at_s:6}  {times}")
+        times = ", ".join(
+            f"{use.value} {second.seconds_by_use.get(use.value, 0.0):.1f} s" for use in uses
+        )
+        click.echo(f"second {second.at_s}: the slots were used for {times}")
 
 
 def _show_late(counts: list[LateCount], as_json: bool) -> None:
     if as_json:
         print_json([attrs.asdict(count) for count in counts])
         return
-    click.echo(LATE_HEADINGS)
     for late_count in counts:
         kind = "item" if late_count.is_item else "request"
+        tenant = f" of tenant {late_count.tenant}" if late_count.tenant else ""
         click.echo(
-            f"{late_count.at_s:6}  {kind:7}  {late_count.cause:14}  {late_count.count:5}  {late_count.tenant}".rstrip()
+            f"second {late_count.at_s}: {late_count.count} {kind}(s){tenant} late,"
+            f" cause {late_count.cause}"
         )
 
 
 def _show_starts(stages: list[StageTimes], as_json: bool) -> None:
     if not stages:
-        raise CommandError("the files hold no start of a node", EXIT_USAGE, "not_logged")
+        raise CommandError("the files contain no start of a node", EXIT_USAGE, "not_logged")
     if as_json:
         print_json([_stage_document(stage) for stage in stages])
         return
-    click.echo(START_HEADINGS)
     for stage in stages:
         click.echo(
-            f"{stage.stage:32}  {len(stage.after_ms):6}  {stage.quantile(0.5):6.0f}"
-            f"  {stage.quantile(P95):6.0f}  {stage.after_ms[-1]:7.0f}"
+            f"{stage.stage}: reached in {len(stage.after_ms)} start(s) after"
+            f" {stage.quantile(0.5):.0f} ms (p50), {stage.quantile(P95):.0f} ms (p95),"
+            f" {stage.after_ms[-1]:.0f} ms (slowest)"
         )
 
 
@@ -140,19 +140,27 @@
     }
 
 
-def _row(second: SecondStats) -> str:
+def _sentence(second: SecondStats) -> str:
+    """Return the statistics of a second as text.
+
+    >>> _sentence(SecondStats(3, answered=1, first_ms=[9.0], online=1))
+    'second 3: 1 answered, first event p50 9 ms, p95 9 ms; 1 online, 0 batch in flight; 0 unlisted'
+    """
     median, high = second.first_event_quantile_ms(0.5), second.first_event_quantile_ms(P95)
-    given_up = " ".join(
-        f"{code}={count}" for code, count in sorted(second.given_up_by_code.items())
+    given_up = ", ".join(
+        f"{count} {code}" for code, count in sorted(second.given_up_by_code.items())
     )
+    suffix = f"; ended without an answer: {given_up}" if given_up else ""
     return (
-        f"{second.at_s:6}  {second.answered:8}  {_number(median):>12}  {_number(high):>6}"
-        f"  {second.online:6}  {second.batch:5}  {second.unlisted:8}  {given_up}"
-    ).rstrip()
+        f"second {second.at_s}: {second.answered} answered,"
+        f" first event p50 {_milliseconds(median)}, p95 {_milliseconds(high)};"
+        f" {second.online} online, {second.batch} batch in flight;"
+        f" {second.unlisted} unlisted{suffix}"
+    )
 
 
-def _number(value: float | None) -> str:
-    return "-" if value is None else f"{value:.0f}"
+def _milliseconds(value: float | None) -> str:
+    return "none" if value is None else f"{value:.0f} ms"
 
 
 def _plot(seconds: list[SecondStats], path: Path) -> None:
@@ -165,18 +173,26 @@
     from matplotlib import pyplot
 
     times = [second.at_s for second in seconds]
-    figure, (first, work, lost) = pyplot.subplots(3, 1, figsize=(9, 9), sharex=True)
-    for share, label in ((0.5, "median"), (P95, "95 in 100")):
-        first.plot(times, [one.first_event_quantile_ms(share) for one in seconds], label=label)
-    first.set_ylabel("first event, ms")
-    work.plot(times, [second.online for second in seconds], label="online at replicas")
-    work.plot(times, [second.batch for second in seconds], label="items at replicas")
-    work.plot(times, [second.unlisted for second in seconds], label="items not listed")
-    work.set_ylabel("in flight")
-    lost.bar(times, [second.given_up_by_code.total() for second in seconds], label="given up")
-    lost.set_ylabel("requests a second")
-    lost.set_xlabel("time, s")
-    for axes in (first, work, lost):
+    figure, (first_event_axes, work_axes, ended_axes) = pyplot.subplots(
+        3, 1, figsize=(9, 9), sharex=True
+    )
+    for quantile, label in ((0.5, "median"), (P95, "95th percentile")):
+        first_event_axes.plot(
+            times, [one.first_event_quantile_ms(quantile) for one in seconds], label=label
+        )
+    first_event_axes.set_ylabel("first event, ms")
+    work_axes.plot(times, [second.online for second in seconds], label="online at replicas")
+    work_axes.plot(times, [second.batch for second in seconds], label="items at replicas")
+    work_axes.plot(times, [second.unlisted for second in seconds], label="items not listed")
+    work_axes.set_ylabel("in flight")
+    ended_axes.bar(
+        times,
+        [second.given_up_by_code.total() for second in seconds],
+        label="ended without an answer",
+    )
+    ended_axes.set_ylabel("requests a second")
+    ended_axes.set_xlabel("time, s")
+    for axes in (first_event_axes, work_axes, ended_axes):
         axes.legend()
     try:
         figure.savefig(path, dpi=110)
--- a/src/cloverwalk/cli/run.py
+++ b/src/cloverwalk/cli/run.py
@@ -23,7 +23,7 @@
     "--settings",
     "path",
     type=click.Path(path_type=Path),
-    help="A TOML settings file; flags go before it.",
+    help="A TOML settings file; flags override it.",
 )
 set_option = click.option(
     "--set",
@@ -37,7 +37,7 @@
 def merged(
     path: Path | None, part: str, flags: dict[str, Any], assignments: tuple[str, ...]
 ) -> dict[str, Any]:
-    """Return one part of a settings file with flags laid over it."""
+    """Return one part of a settings file, overridden by flags and ``--set`` assignments."""
     raw = read_toml(path).get(part, {}) if path else {}
     if not isinstance(raw, dict):
         raise CommandError(f"[{part}] must be a table", EXIT_USAGE)
@@ -70,7 +70,7 @@
 
 
 def run_loop(main: Callable[[], Awaitable[None]]) -> None:
-    """Run a curio program; turn a busy port into a plain message."""
+    """Run a curio program; raise CommandError on an OSError such as a port in use."""
     try:
         curio.run(main)
     except OSError as error:
@@ -95,7 +95,7 @@
 @click.option("--peer-port", type=int, help="Port for other nodes.")
 @click.option("--peer", "peers", multiple=True, help="Peer address of another node.")
 def node(path: Path | None, assignments: tuple[str, ...], **flags: Any) -> None:
-    """Run a node. SIGTERM stops it without cutting off a request.
+    """Run a node. SIGTERM stops it without aborting requests.
 
     Example: cloverwalk node --settings node.toml --http-port 8081
     """
@@ -113,7 +113,7 @@
 
 @click.group()
 def emulator() -> None:
-    """Run stand-ins for the systems that cloverwalk serves.
+    """Run emulators of the model engine and the platform.
 
     Example: cloverwalk emulator platform --port 9100
     """
@@ -124,12 +124,12 @@
 @set_option
 @click.option("--replica-id", help="Name of the replica.")
 @click.option("--zone", help="Zone of the replica.")
-@click.option("--model", help="Model it has loaded.")
+@click.option("--model", help="Model that the replica has loaded.")
 @click.option("--host", help="IP number to listen on.")
 @click.option("--port", type=int, help="Port to listen on.")
-@click.option("--platform", help="Platform stand-in to be listed at.")
+@click.option("--platform", help="Address of the platform emulator to register with.")
 def engine(path: Path | None, assignments: tuple[str, ...], **flags: Any) -> None:
-    """Run a model engine stand-in.
+    """Run a model engine emulator.
 
     Example: cloverwalk emulator engine --replica-id r1 --zone levee --port 9201
     --platform 127.0.0.1:9100
@@ -147,7 +147,7 @@
 @click.option("--host", help="IP number to listen on.")
 @click.option("--port", type=int, help="Port to listen on.")
 def platform(path: Path | None, assignments: tuple[str, ...], **flags: Any) -> None:
-    """Run a platform stand-in: tables, objects, weights, machine list.
+    """Run a platform emulator: tables, objects, weights, machine list.
 
     Example: cloverwalk emulator platform --port 9100
     """
--- a/src/cloverwalk/cli/session.py
+++ b/src/cloverwalk/cli/session.py
@@ -15,8 +15,8 @@
 
 
 @session.command("open")
-@click.option("--tenant", required=True, help="Who the session belongs to.")
-@click.option("--name", required=True, help="A name for people.")
+@click.option("--tenant", required=True, help="Tenant that owns the session.")
+@click.option("--name", required=True, help="Display name.")
 @click.option("--key", help="Idempotency key: a repeated open gives the same session.")
 @node_option
 @json_option
@@ -50,18 +50,16 @@
     if as_json:
         print_json(answer)
         return
-    for session_row in answer["sessions"]:
-        state = "closed" if session_row["closed"] else "open"
-        click.echo(
-            f"{session_row['session_id']}  {state:6}  {session_row['tenant']}  {session_row['name']}"
-        )
+    for entry in answer["sessions"]:
+        state = "closed" if entry["closed"] else "open"
+        click.echo(f"{entry['session_id']}  {state:6}  {entry['tenant']}  {entry['name']}")
 
 
 @session.command("close")
 @click.argument("session_id")
 @node_option
 def close_command(session_id: str, nodes: tuple[str, ...]) -> None:
-    """Close a session for good.
+    """Close a session permanently.
 
     Example: cloverwalk session close s-0123456789abcdef01234567
     """
--- a/src/cloverwalk/cli/settings.py
+++ b/src/cloverwalk/cli/settings.py
@@ -20,7 +20,7 @@
 @settings.command("check")
 @click.argument("path", type=click.Path(path_type=Path))
 def check_command(path: Path) -> None:
-    """Check a file; every fault is printed, exit code 4.
+    """Check a file; if it is invalid, print every fault and exit with code 4.
 
     Example: cloverwalk settings check node.toml
     """
--- a/src/cloverwalk/cli/soak.py
+++ b/src/cloverwalk/cli/soak.py
@@ -1,4 +1,4 @@
-"""``cloverwalk soak``: the serving node's program under faults, as separate processes."""
+"""``cloverwalk soak``: serving nodes under faults, as separate processes."""
 
 import os
 import re
@@ -15,14 +15,14 @@
 from cloverwalk.soak.report import HEADINGS, summary_lines, table_row
 from cloverwalk.soak.run import Soak, SoakResult
 
-NODE_MEMORY_BYTES = 100_000_000
-"""Memory that one process is taken to need; a node has 36 MB under the load of a soak."""
+NODE_BYTES = 100_000_000
+"""Assumed memory of a node process, with a margin for load."""
 
 MAX_MEMORY_FRACTION = 0.5
-"""Share of the machine's memory that a soak may use."""
+"""Fraction of the machine's memory that a soak may use."""
 
 EXIT_STOPPED = 130
-"""Ended by a signal before its time."""
+"""A signal ended the soak early."""
 
 
 @click.command()
@@ -31,21 +31,21 @@
     type=click.FloatRange(0, MAX_MINUTES, min_open=True),
     default=1.0,
     show_default=True,
-    help="How long faults go on; start and healing come on top.",
+    help="How long faults are injected; startup and recovery take extra time.",
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--seeds", "seed_range", metavar="FIRST-LAST", help="One soak after the other.")
+@click.option("--seeds", "seed_range", metavar="FIRST-LAST", help="Run one soak per seed.")
 @click.option("--nodes", type=click.IntRange(1), default=3, show_default=True)
 @click.option(
     "--schedule",
     "schedule_path",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="A schedule.json of an earlier soak, in place of seed, minutes and nodes.",
+    help="A schedule.json of an earlier soak; replaces seed, minutes and nodes.",
 )
 @click.option(
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for logs and histories; they are kept. By default only those of broken soaks are.",
+    help="Folder for logs and histories. By default only those of failed soaks are kept.",
 )
 @click.option("--show", is_flag=True, help="Print the schedule only.")
 def soak(
@@ -57,10 +57,10 @@
     out: Path | None,
     show: bool,
 ) -> None:
-    """Run serving nodes as processes under faults and check what they promise.
+    """Run serving nodes as processes under faults and check their guarantees.
 
-    Exit codes: 0 every promise was kept; 1 one was broken, logs and history are kept; 2 bad input;
-    130 stopped by a signal.
+    Exit codes: 0 no violation; 1 a guarantee was violated, logs and history are kept;
+    2 invalid input; 130 stopped by a signal.
 
     Example: cloverwalk soak --minutes 1 --seed 7 --nodes 4
     """
@@ -100,22 +100,22 @@
         return [draw_plan(seed, nodes, minutes)]
     found = re.fullmatch(r"(\d+)-(\d+)", seed_range)
     if found is None or int(found[1]) > int(found[2]):
-        raise SoakInputError(f"--seeds: {seed_range!r} is not FIRST-LAST")
+        raise SoakInputError(f"--seeds: {seed_range!r} is not a range FIRST-LAST")
     return [draw_plan(number, nodes, minutes) for number in range(int(found[1]), int(found[2]) + 1)]
 
 
 def check_memory(nodes: int) -> None:
-    """Raise SoakInputError when the machine has no memory for so many processes."""
+    """Raise SoakInputError if the machine lacks memory for ``nodes`` node processes."""
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
-    max_nodes = int(memory * MAX_MEMORY_FRACTION / NODE_MEMORY_BYTES)
+    max_nodes = int(memory * MAX_MEMORY_FRACTION / NODE_BYTES)
     if nodes > max_nodes:
         raise SoakInputError(
-            f"--nodes: this machine has memory for {max_nodes}, {nodes} are asked for"
+            f"--nodes: this machine has memory for {max_nodes} nodes, not for {nodes}"
         )
 
 
 def print_schedule(plan: Plan) -> None:
-    """Print the seed and the steps."""
+    """Print the seed and the steps of a plan."""
     click.echo(
         f"seed {plan.seed}: {plan.nodes} nodes, {plan.replicas} replicas,"
         f" {plan.duration_s:g} s, {len(plan.actions)} steps"
@@ -125,7 +125,7 @@
 
 
 def run_soak(plan: Plan, out: Path | None) -> SoakResult:
-    """Run one soak and print what came of it."""
+    """Run one soak and print its summary."""
     print_schedule(plan)
     if out is None:
         folder = Path(tempfile.mkdtemp(prefix=f"cloverwalk-soak-{plan.seed}-"))
--- a/src/cloverwalk/cli/table.py
+++ b/src/cloverwalk/cli/table.py
@@ -9,7 +9,7 @@
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
 
 version_option = click.option(
-    "--if-version", type=int, help="Edit only this version; somebody else's edit ends it (5)."
+    "--if-version", type=int, help="Edit only this version; exit code 5 if it is not current."
 )
 
 
@@ -29,7 +29,7 @@
 @node_option
 @json_option
 def show_command(nodes: tuple[str, ...], as_json: bool) -> None:
-    """Show the table in force.
+    """Show the current table.
 
     Example: cloverwalk table show
     """
--- a/src/cloverwalk/cli/tenants.py
+++ b/src/cloverwalk/cli/tenants.py
@@ -24,7 +24,7 @@
 
 @attrs.define
 class TenantUse:
-    """What one node tells of one tenant."""
+    """Request counts and quota of one tenant at one node."""
 
     tenant: str
     node: str
@@ -34,12 +34,12 @@
 
     @property
     def total(self) -> int:
-        """Ended requests."""
+        """Number of ended requests of all outcomes."""
         return sum(self.counts.values())
 
 
 def parse_metrics(node: str, text: str) -> list[TenantUse]:
-    """Return what a node's metrics tell of tenants.
+    """Return the tenants in the metrics text of a node.
 
     >>> text = 'cloverwalk_tenant_requests_total{tenant="quiz",outcome="answered"} 3.0'
     >>> parse_metrics("n1", text)[0].counts
@@ -68,9 +68,9 @@
 @click.option("--tenant", "only", help="Only this tenant.")
 @json_option
 def tenants(addresses: tuple[str, ...], only: str | None, as_json: bool) -> None:
-    """Tell use, quota and refusals by tenant and node, from the nodes' metrics addresses.
+    """Show requests, refusals and quota by tenant and node, read from the nodes' metrics.
 
-    A node names its 20 largest tenants; the others stand as one. Counts are since its start.
+    A node lists its 20 largest tenants and sums up the rest. Counts start when the node starts.
 
     Example: cloverwalk tenants 10.1.0.10:7735 10.2.0.11:7735
     """
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -40,9 +40,13 @@
     (tmp_path / "n2.log").write_text(NODE_2)
     logs = [str(tmp_path / "n2.log"), str(tmp_path / "n1.log")]
     result = CliRunner().invoke(cli, ["explain", "i1", *logs])
-    events = [line.split()[3] for line in result.output.splitlines()]
+    shown = result.output.splitlines()
+    events = [line.split()[3].removesuffix(":") for line in shown]
     expected = ["feed_lost", "job_taken", "item_started", "job_taken_over", "item_listed"]
     assert (result.exit_code, events) == (0, expected)
+    assert shown[0] == (
+        "9.000 n1 510 feed_lost: The changes of a store table can't be followed. (table=job)"
+    )
     assert "i2" not in result.output
 
 
@@ -93,7 +97,7 @@
     (tmp_path / "n1.log").write_text(NODE_1)
     result = CliRunner().invoke(cli, ["explain", "other", str(tmp_path / "n1.log")])
     assert result.exit_code == EXIT_USAGE
-    assert "other: no line of 4 names it" in result.output
+    assert "other: none of 4 log lines mentions it" in result.output
 
 
 def test_platform_check_prints_settings_or_the_invalid_field(tmp_path: Path) -> None:
--- a/tests/unit/test_load_sight.py
+++ b/tests/unit/test_load_sight.py
@@ -133,19 +133,18 @@
         {"at_s": 7, "seconds_by_use": {"online": 3.5, "idle": 1.0}},
         {"at_s": 8, "seconds_by_use": {"items": 2}},
     ]
-    table = CliRunner().invoke(report, [_log(tmp_path / "n1.log"), "--slots"])
-    assert [line.split() for line in table.output.splitlines()] == [
-        ["second", "online", "items", "idle"],
-        ["7", "3.5", "0.0", "1.0"],
-        ["8", "0.0", "2.0", "0.0"],
+    text = CliRunner().invoke(report, [_log(tmp_path / "n1.log"), "--slots"])
+    assert text.output.splitlines() == [
+        "second 7: the slots were used for online 3.5 s, items 0.0 s, idle 1.0 s",
+        "second 8: the slots were used for online 0.0 s, items 2.0 s, idle 0.0 s",
     ]
 
 
 def test_the_report_shows_causes_of_lateness(tmp_path: Path) -> None:
     shown = CliRunner().invoke(report, [_log(tmp_path / "n1.log"), "--late"])
-    assert [line.split() for line in shown.output.splitlines()[1:]] == [
-        ["7", "item", "gave_way", "1"],
-        ["7", "request", "no_slot", "1", "a"],
+    assert shown.output.splitlines() == [
+        "second 7: 1 item(s) late, cause gave_way",
+        "second 7: 1 request(s) of tenant a late, cause no_slot",
     ]
 
 
@@ -163,6 +162,11 @@
         (False, 1),
         (True, 1),
     ]
+    text = CliRunner().invoke(features, [str(path)])
+    assert text.output.splitlines() == [
+        "fair_shares is off at 1 node(s), reason: no tenants",
+        "fair_shares is on at 1 node(s), reason: tenants",
+    ]
     assert CliRunner().invoke(features, [_log(tmp_path / "n1.log")]).exit_code != 0
 
 
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -69,6 +69,11 @@
     assert by_stage["ready"] == (100, 200, 900)
     assert by_stage["replicas from peer"] == (900,)
     result = CliRunner().invoke(cli, ["report", "--starts", "--json", str(path)])
+    text = CliRunner().invoke(cli, ["report", "--starts", str(path)])
+    assert (
+        "ready: reached in 3 start(s) after 200 ms (p50), 830 ms (p95), 900 ms (slowest)"
+        in text.output.splitlines()
+    )
     (ready,) = [row for row in json.loads(result.output) if row["stage"] == "ready"]
     assert (ready["starts"], ready["p50_ms"], ready["last_ms"]) == (3, 200, 900)
 
--- a/tests/unit/test_timeline.py
+++ b/tests/unit/test_timeline.py
@@ -79,6 +79,11 @@
     answer = CliRunner().invoke(cli, ["report", str(log), "--json"])
     assert answer.exit_code == 0
     assert json.loads(answer.output)[0]["given_up"] == {"client_gone": 1}
+    text = CliRunner().invoke(cli, ["report", str(log)])
+    assert text.output.splitlines() == [
+        "second 3: 0 answered, first event p50 none, p95 none; 0 online, 0 batch in flight;"
+        " 0 unlisted; ended without an answer: 1 client_gone"
+    ]
     log.write_text("noise\n")
     refused = CliRunner().invoke(cli, ["report", str(log)])
     assert refused.exit_code == EXIT_USAGE
