--- a/src/cloverwalk/cli/batch.py
+++ b/src/cloverwalk/cli/batch.py
@@ -1,4 +1,4 @@
-"""``cloverwalk batch``."""
+"""``cloverwalk batch``: submits, shows and cancels batch jobs."""
 
 import sys
 import time
--- a/src/cloverwalk/cli/experiment.py
+++ b/src/cloverwalk/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``cloverwalk experiment``."""
+"""``cloverwalk experiment``: compares policies on a simulated fleet."""
 
 from pathlib import Path
 
--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -38,7 +38,8 @@
     history = request_history(lines, request_id)
     if not history:
         message = (
-            f"{request_id}: none of {len(lines)} log lines mentions it; no node may have got it"
+            f"{request_id}: none of {len(lines)} log lines mentions it;"
+            " it may not have reached a node"
         )
         raise CommandError(message, EXIT_USAGE, "not_logged")
     if as_json:
--- a/src/cloverwalk/cli/fleet.py
+++ b/src/cloverwalk/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``cloverwalk fleet``."""
+"""``cloverwalk fleet``: shows the fleet as one node sees it."""
 
 import click
 
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -44,8 +44,8 @@
     """Show what a fleet did in each second, from the logs of its nodes.
 
     Each second has the answered requests with their times to the first event, the work in flight
-    at replicas, the items whose results are not listed yet, and the requests that ended
-    without an answer by code.
+    at replicas, the items whose results are not listed yet, and, by code, the requests
+    that ended without an answer.
 
     Example: cloverwalk report node-*.log --plot day.png
     """
@@ -87,7 +87,7 @@
         times = ", ".join(
             f"{use.value} {second.seconds_by_use.get(use.value, 0.0):.1f} s" for use in uses
         )
-        click.echo(f"second {second.at_s}: the slots were used for {times}")
+        click.echo(f"second {second.at_s}: slot time was {times}")
 
 
 def _show_late(counts: list[LateCount], as_json: bool) -> None:
@@ -178,7 +178,7 @@
     )
     for quantile, label in ((0.5, "median"), (P95, "95th percentile")):
         first_event_axes.plot(
-            times, [one.first_event_quantile_ms(quantile) for one in seconds], label=label
+            times, [second.first_event_quantile_ms(quantile) for second in seconds], label=label
         )
     first_event_axes.set_ylabel("first event, ms")
     work_axes.plot(times, [second.online for second in seconds], label="online at replicas")
--- a/src/cloverwalk/cli/run.py
+++ b/src/cloverwalk/cli/run.py
@@ -34,7 +34,7 @@
 )
 
 
-def merged(
+def merge_settings(
     path: Path | None, part: str, flags: dict[str, Any], assignments: tuple[str, ...]
 ) -> dict[str, Any]:
     """Return one part of a settings file, overridden by flags and ``--set`` assignments."""
@@ -57,10 +57,10 @@
         target = target.setdefault(table, {})
         if not isinstance(target, dict):
             raise CommandError(f"--set: {table!r} in {key!r} is not a table", EXIT_USAGE)
-    target[last] = _value(text)
+    target[last] = _parse_value(text)
 
 
-def _value(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     for convert in (int, float):
         try:
             return convert(text)
@@ -100,7 +100,7 @@
     Example: cloverwalk node --settings node.toml --http-port 8081
     """
     flags["peers"] = list(flags["peers"]) or None
-    settings: NodeSettings = check(merged(path, "node", flags, assignments), NodeSettings)
+    settings: NodeSettings = check(merge_settings(path, "node", flags, assignments), NodeSettings)
     daemon = _listen_or_fail(lambda: NodeDaemon(settings))
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: daemon.request_stop())
@@ -134,7 +134,7 @@
     Example: cloverwalk emulator engine --replica-id r1 --zone levee --port 9201
     --platform 127.0.0.1:9100
     """
-    raw = merged(path, "engine", flags, assignments)
+    raw = merge_settings(path, "engine", flags, assignments)
     settings: EngineEmulatorSettings = check(raw, EngineEmulatorSettings)
     server = _listen_or_fail(lambda: EngineServer(settings))
     click.echo(f"engine {settings.replica_id} serves {server.address}", err=True)
@@ -151,7 +151,7 @@
 
     Example: cloverwalk emulator platform --port 9100
     """
-    raw = merged(path, "platform", flags, assignments)
+    raw = merge_settings(path, "platform", flags, assignments)
     settings: PlatformEmulatorSettings = check(raw, PlatformEmulatorSettings)
     server = _listen_or_fail(lambda: PlatformServer(settings))
     click.echo(f"platform serves {server.address}", err=True)
--- a/src/cloverwalk/cli/session.py
+++ b/src/cloverwalk/cli/session.py
@@ -1,4 +1,4 @@
-"""``cloverwalk session``."""
+"""``cloverwalk session``: opens, lists and closes sessions."""
 
 import click
 from msgspec import json
--- a/src/cloverwalk/cli/settings.py
+++ b/src/cloverwalk/cli/settings.py
@@ -1,4 +1,4 @@
-"""``cloverwalk settings``."""
+"""``cloverwalk settings``: checks and shows settings files."""
 
 from pathlib import Path
 
--- a/src/cloverwalk/cli/table.py
+++ b/src/cloverwalk/cli/table.py
@@ -1,4 +1,4 @@
-"""``cloverwalk table``."""
+"""``cloverwalk table``: shows and edits the table of weights and limits."""
 
 from pathlib import Path
 
--- a/src/cloverwalk/cli/tenants.py
+++ b/src/cloverwalk/cli/tenants.py
@@ -1,4 +1,4 @@
-"""``cloverwalk tenants``."""
+"""``cloverwalk tenants``: shows requests and quota by tenant, from the nodes' metrics."""
 
 import re
 
@@ -90,7 +90,7 @@
         click.echo(f"no answer from {problem}", err=True)
     if len(unreachable) == len(addresses):
         raise CommandError("no node answered", EXIT_UNREACHABLE)
-    _print([use for use in uses if only in (None, use.tenant)], as_json)
+    _print_uses([use for use in uses if only in (None, use.tenant)], as_json)
 
 
 async def _fetch(address: str) -> str:
@@ -102,7 +102,7 @@
     return response.body.decode()
 
 
-def _print(uses: list[TenantUse], as_json: bool) -> None:
+def _print_uses(uses: list[TenantUse], as_json: bool) -> None:
     uses.sort(key=lambda use: (-use.total, use.tenant, use.node))
     if as_json:
         print_json([attrs.asdict(use) for use in uses])
@@ -115,9 +115,9 @@
         )
         click.echo(
             f"{use.tenant:24}  {use.node:22}  {answered:8}  {over:10}  {ended:5}"
-            f"  {_limit(use.rate_per_s):>6}  {_limit(use.burst):>5}"
+            f"  {_format_limit(use.rate_per_s):>6}  {_format_limit(use.burst):>5}"
         )
 
 
-def _limit(value: float | None) -> str:
+def _format_limit(value: float | None) -> str:
     return "-" if value is None else f"{value:g}"
