--- a/src/cloverwalk/cli/settings.py
+++ b/src/cloverwalk/cli/settings.py
@@ -1,4 +1,4 @@
-"""``cloverwalk settings``."""
+"""``cloverwalk settings``: checks and shows settings files."""
 
 from pathlib import Path
 
@@ -20,7 +20,7 @@
 @settings.command("check")
 @click.argument("path", type=click.Path(path_type=Path))
 def check_command(path: Path) -> None:
-    """Check a file; every fault is printed, exit code 4.
+    """Check a file; if it is invalid, print every fault and exit with code 4.
 
     Example: cloverwalk settings check node.toml
     """
@@ -46,5 +46,5 @@
 
 def _lines(value: object, path: str) -> list[str]:
     if isinstance(value, dict):
-        return [line for key, one in value.items() for line in _lines(one, f"{path}{key}.")]
+        return [line for key, item in value.items() for line in _lines(item, f"{path}{key}.")]
     return [] if value is None else [f"{path.rstrip('.')} = {value!r}"]
