--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -1,4 +1,4 @@
-"""``cloverwalk explain``."""
+"""``cloverwalk explain``: prints the history of a request, item or job."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
     request_history,
 )
 
-NOTE_INDENT = "    "
+WORK_STATE_INDENT = "    "
 
 
 @click.command()
@@ -23,10 +23,10 @@
 )
 @json_option
 def explain(request_id: str, logs: tuple[Path, ...], as_json: bool) -> None:
-    """Print the story of a request, item or job from the logs of many nodes.
+    """Print the history of a request, item or job from the logs of many nodes.
 
-    Lines are in order of time; what the nodes learned meanwhile (configuration, replicas,
-    store, peers) stands between them. Below a refusal stands what was known of the work.
+    Log lines are sorted by time and include changes that the nodes saw meanwhile
+    (configuration, replicas, store, peers). Each refusal is followed by the state of the work.
 
     Example: cloverwalk explain 9c41d07be2a35f68 node-*.log
     """
@@ -34,9 +34,11 @@
     for path in logs:
         with path.open(encoding="utf-8", errors="replace") as file:
             lines += [line for text in file if (line := parse_line(text)) is not None]
-    story = request_history(lines, request_id)
-    if not story:
-        message = f"{request_id}: no line of {len(lines)} names it; it may have reached no node"
+    history = request_history(lines, request_id)
+    if not history:
+        message = (
+            f"{request_id}: none of {len(lines)} log lines mentions it; it may have reached no node"
+        )
         raise CommandError(message, EXIT_USAGE, "not_logged")
     if as_json:
         print_json(
@@ -48,12 +50,12 @@
                     "event": line.event,
                     **line.fields,
                 }
-                for line in story
+                for line in history
             ]
         )
         return
-    for line in story:
+    for line in history:
         click.echo(line.text())
-        known = describe_work_state(line)
-        if known:
-            click.echo(f"{NOTE_INDENT}{known}")
+        work_state = describe_work_state(line)
+        if work_state:
+            click.echo(f"{WORK_STATE_INDENT}{work_state}")
--- a/src/cloverwalk/cli/features.py
+++ b/src/cloverwalk/cli/features.py
@@ -1,4 +1,4 @@
-"""``cloverwalk features``."""
+"""``cloverwalk features``: shows which policy features are on, from the logs of nodes."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from cloverwalk.core import catalogue
 from cloverwalk.telemetry.request_history import LogLine, parse_line
 
-HEAD = "part              state  nodes  why"
+HEADINGS = "feature           state  nodes  reason"
 
 
 @click.command()
@@ -18,20 +18,22 @@
 )
 @json_option
 def features(logs: tuple[Path, ...], as_json: bool) -> None:
-    """Tell which parts of the policy are on, and why, from the logs of nodes.
+    """Show which policy features are on, and why, from the logs of nodes.
 
-    A part that only the coordinator decides by may be known to fewer nodes than others.
+    Features that only the coordinator uses may be reported by fewer nodes than others.
 
     Example: cloverwalk features node-*.log
     """
     rows = _last_states(_lines(logs))
     if not rows:
-        raise CommandError("the files name no part of the policy", EXIT_USAGE, "not_logged")
+        raise CommandError(
+            "the files contain no log line about a policy feature", EXIT_USAGE, "not_logged"
+        )
     if as_json:
         keys = ("feature", "is_on", "reason", "nodes")
-        print_json([dict(zip(keys, one, strict=True)) for one in rows])
+        print_json([dict(zip(keys, row, strict=True)) for row in rows])
         return
-    click.echo(HEAD)
+    click.echo(HEADINGS)
     for feature, is_on, reason, nodes in rows:
         click.echo(f"{feature:16}  {'on' if is_on else 'off':5}  {nodes:5}  {reason}")
 
@@ -45,14 +47,14 @@
 
 
 def _last_states(lines: list[LogLine]) -> list[tuple[str, bool, str, int]]:
-    """Return the last word of each node on each part, with how many nodes say the same."""
-    last: dict[tuple[str, str], tuple[bool, str]] = {}
+    """Return the last logged states of each feature, with the number of nodes in each state."""
+    last_state_by_feature: dict[tuple[str, str], tuple[bool, str]] = {}
     for line in lines:
         if line.number == catalogue.FEATURE_CHANGED:
             feature = str(line.fields.get("feature", ""))
             state = bool(line.fields.get("is_on")), str(line.fields.get("reason", ""))
-            last[feature, line.node] = state
+            last_state_by_feature[feature, line.node] = state
     counts: dict[tuple[str, bool, str], int] = {}
-    for (feature, _node), (is_on, reason) in last.items():
+    for (feature, _node), (is_on, reason) in last_state_by_feature.items():
         counts[feature, is_on, reason] = counts.get((feature, is_on, reason), 0) + 1
     return [(*key, count) for key, count in sorted(counts.items())]
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -1,4 +1,4 @@
-"""``cloverwalk report``."""
+"""``cloverwalk report``: prints statistics of a fleet from the logs of its nodes."""
 
 from pathlib import Path
 from typing import Any
@@ -19,9 +19,9 @@
 from cloverwalk.telemetry.startup_report import StageTimes, startup_stages
 from cloverwalk.telemetry.timeline import P95, SecondStats, timeline_of
 
-HEAD = "second  answered  first p50 ms  p95 ms  online  batch  unlisted  given up"
-LATE_HEAD = "second  kind     cause           count  tenant"
-STARTS_HEAD = f"{'stage':32}  starts  p50 ms  p95 ms  last ms"
+TIMELINE_HEADINGS = "second  answered  first p50 ms  p95 ms  online  batch  unlisted  not answered"
+LATE_HEADINGS = "second  kind     cause           count  tenant"
+STARTS_HEADINGS = f"{'stage':32}  starts  p50 ms  p95 ms   max ms"
 
 
 @click.command()
@@ -31,11 +31,11 @@
 @click.option(
     "--plot",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Also write a picture (PNG) here; needs matplotlib.",
+    help="Also write a plot (PNG) to this file; needs matplotlib.",
 )
-@click.option("--starts", is_flag=True, help="Tell how long starts of processes took instead.")
-@click.option("--slots", is_flag=True, help="Tell what replicas' slots were used for instead.")
-@click.option("--late", is_flag=True, help="Tell why requests and items were late instead.")
+@click.option("--starts", is_flag=True, help="Print how long processes took to start instead.")
+@click.option("--slots", is_flag=True, help="Print how replicas' slots were used instead.")
+@click.option("--late", is_flag=True, help="Print why requests and items were late instead.")
 @json_option
 def report(
     logs: tuple[Path, ...],
@@ -45,10 +45,11 @@
     late: bool,
     as_json: bool,
 ) -> None:
-    """Tell second by second what a fleet did, from the logs of its nodes.
+    """Print statistics of a fleet for each second, from the logs of its nodes.
 
-    Answers and their first events, work in flight at replicas, items that wait for their
-    results to be listed, and what was given up, by code.
+    Columns: answered requests, time to their first event, requests and items in flight at
+    replicas, items whose results are not listed yet, and requests that were refused or ended
+    without an answer, by code.
 
     Example: cloverwalk report node-*.log --plot day.png
     """
@@ -67,87 +68,96 @@
         return
     seconds = timeline_of(lines)
     if not seconds:
-        raise CommandError("the files hold no log line of a node", EXIT_USAGE, "not_logged")
+        raise CommandError("the files contain no log line of a node", EXIT_USAGE, "not_logged")
     if plot is not None:
         _plot(seconds, plot)
     if as_json:
-        print_json([_document(one) for one in seconds])
+        print_json([_second_to_json(second) for second in seconds])
         return
-    click.echo(HEAD)
-    for one in seconds:
-        click.echo(_row(one))
+    click.echo(TIMELINE_HEADINGS)
+    for second in seconds:
+        click.echo(_format_second(second))
 
 
 def _show_slots(seconds: list[SlotSecond], as_json: bool) -> None:
     if not seconds:
-        raise CommandError("the files hold no line of a coordinator", EXIT_USAGE, "not_logged")
+        raise CommandError(
+            "the files contain no slot times of a coordinator", EXIT_USAGE, "not_logged"
+        )
     if as_json:
-        print_json([attrs.asdict(one) for one in seconds])
+        print_json([attrs.asdict(second) for second in seconds])
         return
-    uses = [use for use in SlotUse if any(use.value in one.seconds_by_use for one in seconds)]
+    uses = [use for use in SlotUse if any(use.value in second.seconds_by_use for second in seconds)]
     click.echo("second  " + "  ".join(f"{use.value:>11}" for use in uses))
-    for one in seconds:
-        told = "  ".join(f"{one.seconds_by_use.get(use.value, 0.0):11.1f}" for use in uses)
-        click.echo(f"{one.at_s:6}  {told}")
+    for second in seconds:
+        cells = "  ".join(f"{second.seconds_by_use.get(use.value, 0.0):11.1f}" for use in uses)
+        click.echo(f"{second.at_s:6}  {cells}")
 
 
 def _show_late(counts: list[LateCount], as_json: bool) -> None:
     if as_json:
-        print_json([attrs.asdict(one) for one in counts])
+        print_json([attrs.asdict(late_count) for late_count in counts])
         return
-    click.echo(LATE_HEAD)
-    for one in counts:
-        kind = "item" if one.is_item else "request"
-        click.echo(f"{one.at_s:6}  {kind:7}  {one.cause:14}  {one.count:5}  {one.tenant}".rstrip())
+    click.echo(LATE_HEADINGS)
+    for late_count in counts:
+        kind = "item" if late_count.is_item else "request"
+        click.echo(
+            f"{late_count.at_s:6}  {kind:7}  {late_count.cause:14}  {late_count.count:5}"
+            f"  {late_count.tenant}".rstrip()
+        )
 
 
 def _show_starts(stages: list[StageTimes], as_json: bool) -> None:
     if not stages:
-        raise CommandError("the files hold no start of a node", EXIT_USAGE, "not_logged")
+        raise CommandError(
+            "the files contain no log line of a node start", EXIT_USAGE, "not_logged"
+        )
     if as_json:
-        print_json([_stage_document(one) for one in stages])
+        print_json([_stage_to_json(stage) for stage in stages])
         return
-    click.echo(STARTS_HEAD)
-    for one in stages:
+    click.echo(STARTS_HEADINGS)
+    for stage in stages:
         click.echo(
-            f"{one.stage:32}  {len(one.after_ms):6}  {one.quantile(0.5):6.0f}"
-            f"  {one.quantile(P95):6.0f}  {one.after_ms[-1]:7.0f}"
+            f"{stage.stage:32}  {len(stage.after_ms):6}  {stage.quantile(0.5):6.0f}"
+            f"  {stage.quantile(P95):6.0f}  {stage.after_ms[-1]:7.0f}"
         )
 
 
-def _stage_document(one: StageTimes) -> dict[str, Any]:
+def _stage_to_json(stage: StageTimes) -> dict[str, Any]:
     return {
-        "stage": one.stage,
-        "starts": len(one.after_ms),
-        "p50_ms": one.quantile(0.5),
-        "p95_ms": one.quantile(P95),
-        "last_ms": one.after_ms[-1],
+        "stage": stage.stage,
+        "starts": len(stage.after_ms),
+        "p50_ms": stage.quantile(0.5),
+        "p95_ms": stage.quantile(P95),
+        "last_ms": stage.after_ms[-1],
     }
 
 
-def _document(one: SecondStats) -> dict[str, Any]:
+def _second_to_json(second: SecondStats) -> dict[str, Any]:
     return {
-        "at_s": one.at_s,
-        "answered": one.answered,
-        "first_p50_ms": one.first_event_quantile_ms(0.5),
-        "first_p95_ms": one.first_event_quantile_ms(P95),
-        "online": one.online,
-        "batch": one.batch,
-        "unlisted": one.unlisted,
-        "given_up": dict(sorted(one.given_up_by_code.items())),
+        "at_s": second.at_s,
+        "answered": second.answered,
+        "first_p50_ms": second.first_event_quantile_ms(0.5),
+        "first_p95_ms": second.first_event_quantile_ms(P95),
+        "online": second.online,
+        "batch": second.batch,
+        "unlisted": second.unlisted,
+        "given_up": dict(sorted(second.given_up_by_code.items())),
     }
 
 
-def _row(one: SecondStats) -> str:
-    median, high = one.first_event_quantile_ms(0.5), one.first_event_quantile_ms(P95)
-    given_up = " ".join(f"{code}={count}" for code, count in sorted(one.given_up_by_code.items()))
+def _format_second(second: SecondStats) -> str:
+    p50_ms, high = second.first_event_quantile_ms(0.5), second.first_event_quantile_ms(P95)
+    counts_by_code = " ".join(
+        f"{code}={count}" for code, count in sorted(second.given_up_by_code.items())
+    )
     return (
-        f"{one.at_s:6}  {one.answered:8}  {_number(median):>12}  {_number(high):>6}"
-        f"  {one.online:6}  {one.batch:5}  {one.unlisted:8}  {given_up}"
+        f"{second.at_s:6}  {second.answered:8}  {_format_ms(p50_ms):>12}  {_format_ms(high):>6}"
+        f"  {second.online:6}  {second.batch:5}  {second.unlisted:8}  {counts_by_code}"
     ).rstrip()
 
 
-def _number(value: float | None) -> str:
+def _format_ms(value: float | None) -> str:
     return "-" if value is None else f"{value:.0f}"
 
 
@@ -160,19 +170,27 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    times = [one.at_s for one in seconds]
-    figure, (first, work, lost) = pyplot.subplots(3, 1, figsize=(9, 9), sharex=True)
-    for share, label in ((0.5, "median"), (P95, "95 in 100")):
-        first.plot(times, [one.first_event_quantile_ms(share) for one in seconds], label=label)
-    first.set_ylabel("first event, ms")
-    work.plot(times, [one.online for one in seconds], label="online at replicas")
-    work.plot(times, [one.batch for one in seconds], label="items at replicas")
-    work.plot(times, [one.unlisted for one in seconds], label="items not listed")
-    work.set_ylabel("in flight")
-    lost.bar(times, [one.given_up_by_code.total() for one in seconds], label="given up")
-    lost.set_ylabel("requests a second")
-    lost.set_xlabel("time, s")
-    for axes in (first, work, lost):
+    times = [second.at_s for second in seconds]
+    figure, (first_event_axes, in_flight_axes, not_answered_axes) = pyplot.subplots(
+        3, 1, figsize=(9, 9), sharex=True
+    )
+    for fraction, label in ((0.5, "median"), (P95, "95th percentile")):
+        first_event_axes.plot(
+            times, [second.first_event_quantile_ms(fraction) for second in seconds], label=label
+        )
+    first_event_axes.set_ylabel("first event, ms")
+    in_flight_axes.plot(times, [second.online for second in seconds], label="online at replicas")
+    in_flight_axes.plot(times, [second.batch for second in seconds], label="items at replicas")
+    in_flight_axes.plot(
+        times, [second.unlisted for second in seconds], label="items with unlisted results"
+    )
+    in_flight_axes.set_ylabel("in flight")
+    not_answered_axes.bar(
+        times, [second.given_up_by_code.total() for second in seconds], label="not answered"
+    )
+    not_answered_axes.set_ylabel("requests per second")
+    not_answered_axes.set_xlabel("time, s")
+    for axes in (first_event_axes, in_flight_axes, not_answered_axes):
         axes.legend()
     try:
         figure.savefig(path, dpi=110)
--- a/src/cloverwalk/telemetry/request_history.py
+++ b/src/cloverwalk/telemetry/request_history.py
@@ -63,29 +63,29 @@
 
     >>> fields = {"work": "may_have_begun", "tried": 2, "refused": 1, "status": 502}
     >>> describe_work_state(LogLine(1.0, "n1", 313, "request_ended", "warning", fields))
-    'the work may have begun: 2 replicas may have run it, 1 did not; 502 promises nothing'
+    'the work may have begun: 2 replicas may have run it, 1 did not; 502 does not rule out a run'
     >>> fields = {"work": "not_begun", "status": 503}
     >>> describe_work_state(LogLine(1.0, "n1", 314, "call_refused", "warning", fields))
-    'the work had not begun: nothing was sent; 503 promises that it never will'
+    'the work had not begun: nothing was sent; 503 guarantees that it never runs'
     """
     work = line.fields.get("work")
     if line.number not in REFUSAL_EVENTS or work is None:
         return ""
     may_have_begun = work != WorkState.NOT_BEGUN.value
     status = line.fields.get("status", 0)
-    promise = f"{status} promises nothing"
+    guarantee = f"{status} does not rule out a run"
     if status in NOT_RUN_STATUSES:
-        promise = f"{status} promises that it never will"
+        guarantee = f"{status} guarantees that it never runs"
     state = "may have begun" if may_have_begun else "had not begun"
-    return f"the work {state}: {_describe_attempts(line, may_have_begun)}; {promise}"
+    return f"the work {state}: {_describe_attempts(line, may_have_begun)}; {guarantee}"
 
 
 def _describe_attempts(line: LogLine, may_have_begun: bool) -> str:
     tried, refused = line.fields.get("tried", 0), line.fields.get("refused", 0)
     if not may_have_begun:
-        return f"{refused} replicas did not take it" if refused else "nothing was sent"
+        return f"{refused} replicas did not accept it" if refused else "nothing was sent"
     if not tried:
-        return "it was sent, and no final answer came"
+        return "it was sent, but no final answer was received"
     return f"{tried} replicas may have run it, {refused} did not"
 
 
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -57,9 +57,19 @@
 @pytest.mark.parametrize(
     ("request_id", "expected_state"),
     [
-        ("r1", "may have begun: 1 replicas may have run it, 2 did not; 502 promises nothing"),
-        ("r2", "had not begun: 2 replicas did not take it; 503 promises that it never will"),
-        ("j1", "may have begun: it was sent, and no final answer came; 504 promises nothing"),
+        (
+            "r1",
+            "may have begun: 1 replicas may have run it, 2 did not; 502 does not rule out a run",
+        ),
+        (
+            "r2",
+            "had not begun: 2 replicas did not accept it; 503 guarantees that it never runs",
+        ),
+        (
+            "j1",
+            "may have begun: it was sent, but no final answer was received; "
+            "504 does not rule out a run",
+        ),
         ("r3", ""),
     ],
 )
@@ -93,7 +103,7 @@
     (tmp_path / "n1.log").write_text(NODE_1)
     result = CliRunner().invoke(cli, ["explain", "other", str(tmp_path / "n1.log")])
     assert result.exit_code == EXIT_USAGE
-    assert "other: no line of 4 names it" in result.output
+    assert "other: none of 4 log lines mentions it" in result.output
 
 
 def test_platform_check_prints_settings_or_the_invalid_field(tmp_path: Path) -> None:
