--- a/src/cloverwalk/cli/api.py
+++ b/src/cloverwalk/cli/api.py
@@ -42,7 +42,8 @@
 ) -> HttpResponse:
     """Call the first node that can be reached.
 
-    Raises CommandError if none can be reached, or if the node returns an error."""
+    Raises CommandError if none can be reached, or if the node returns an error.
+    """
     problem = ""
     for address in nodes:
         if not _ADDRESS.match(address):
--- a/src/cloverwalk/cli/explain.py
+++ b/src/cloverwalk/cli/explain.py
@@ -25,8 +25,9 @@
 def explain(request_id: str, logs: tuple[Path, ...], as_json: bool) -> None:
     """Print the history of a request, item or job from the logs of many nodes.
 
-    Log lines are sorted by time and include changes that the nodes saw meanwhile
-    (configuration, replicas, store, peers). Each refusal is followed by the state of the work.
+    Lines are sorted by time. They include lines about configuration, replicas, store and peers
+    that the same nodes logged shortly before or meanwhile. Each refusal is followed by the
+    state of the work.
 
     Example: cloverwalk explain 9c41d07be2a35f68 node-*.log
     """
--- a/src/cloverwalk/cli/report.py
+++ b/src/cloverwalk/cli/report.py
@@ -48,8 +48,8 @@
     """Print statistics of a fleet for each second, from the logs of its nodes.
 
     Columns: answered requests, time to their first event, requests and items in flight at
-    replicas, items whose results are not listed yet, and requests that were refused or ended
-    without an answer, by code.
+    replicas, items whose results are not listed yet, and requests and jobs that were refused
+    or ended without an answer, by code.
 
     Example: cloverwalk report node-*.log --plot day.png
     """
@@ -113,23 +113,24 @@
             "the files contain no log line of a node start", EXIT_USAGE, "not_logged"
         )
     if as_json:
-        print_json([_stage_to_json(stage) for stage in stages])
+        print_json([_stage_to_json(stage_times) for stage_times in stages])
         return
     click.echo(STARTS_HEADINGS)
-    for stage in stages:
+    for stage_times in stages:
         click.echo(
-            f"{stage.stage:32}  {len(stage.after_ms):6}  {stage.quantile(0.5):6.0f}"
-            f"  {stage.quantile(P95):6.0f}  {stage.after_ms[-1]:7.0f}"
+            f"{stage_times.stage:32}  {len(stage_times.after_ms):6}"
+            f"  {stage_times.quantile(0.5):6.0f}  {stage_times.quantile(P95):6.0f}"
+            f"  {stage_times.after_ms[-1]:7.0f}"
         )
 
 
-def _stage_to_json(stage: StageTimes) -> dict[str, Any]:
+def _stage_to_json(stage_times: StageTimes) -> dict[str, Any]:
     return {
-        "stage": stage.stage,
-        "starts": len(stage.after_ms),
-        "p50_ms": stage.quantile(0.5),
-        "p95_ms": stage.quantile(P95),
-        "last_ms": stage.after_ms[-1],
+        "stage": stage_times.stage,
+        "starts": len(stage_times.after_ms),
+        "p50_ms": stage_times.quantile(0.5),
+        "p95_ms": stage_times.quantile(P95),
+        "last_ms": stage_times.after_ms[-1],
     }
 
 
@@ -147,12 +148,12 @@
 
 
 def _format_second(second: SecondStats) -> str:
-    p50_ms, high = second.first_event_quantile_ms(0.5), second.first_event_quantile_ms(P95)
+    p50_ms, p95_ms = second.first_event_quantile_ms(0.5), second.first_event_quantile_ms(P95)
     counts_by_code = " ".join(
         f"{code}={count}" for code, count in sorted(second.given_up_by_code.items())
     )
     return (
-        f"{second.at_s:6}  {second.answered:8}  {_format_ms(p50_ms):>12}  {_format_ms(high):>6}"
+        f"{second.at_s:6}  {second.answered:8}  {_format_ms(p50_ms):>12}  {_format_ms(p95_ms):>6}"
         f"  {second.online:6}  {second.batch:5}  {second.unlisted:8}  {counts_by_code}"
     ).rstrip()
 
--- a/src/cloverwalk/cli/run.py
+++ b/src/cloverwalk/cli/run.py
@@ -48,8 +48,8 @@
 
 
 def _assign(raw: dict[str, Any], assignment: str) -> None:
-    key, found, text = assignment.partition("=")
-    if not found:
+    key, separator, text = assignment.partition("=")
+    if not separator:
         raise CommandError(f"--set: {assignment!r} is not KEY=VALUE", EXIT_USAGE)
     target = raw
     *tables, last = key.split(".")
@@ -90,7 +90,7 @@
 @click.option("--node-id", help="Name of this node; must differ from all others.")
 @click.option("--zone", help="Zone of this node.")
 @click.option("--platform", help="Address of the platform's services.")
-@click.option("--host", help="IP number to listen on.")
+@click.option("--host", help="IP address to listen on.")
 @click.option("--http-port", type=int, help="Port for callers and operators.")
 @click.option("--peer-port", type=int, help="Port for other nodes.")
 @click.option("--peer", "peers", multiple=True, help="Peer address of another node.")
@@ -125,7 +125,7 @@
 @click.option("--replica-id", help="Name of the replica.")
 @click.option("--zone", help="Zone of the replica.")
 @click.option("--model", help="Model that the replica has loaded.")
-@click.option("--host", help="IP number to listen on.")
+@click.option("--host", help="IP address to listen on.")
 @click.option("--port", type=int, help="Port to listen on.")
 @click.option("--platform", help="Address of the platform emulator to register with.")
 def engine(path: Path | None, assignments: tuple[str, ...], **flags: Any) -> None:
@@ -144,7 +144,7 @@
 @emulator.command()
 @settings_option
 @set_option
-@click.option("--host", help="IP number to listen on.")
+@click.option("--host", help="IP address to listen on.")
 @click.option("--port", type=int, help="Port to listen on.")
 def platform(path: Path | None, assignments: tuple[str, ...], **flags: Any) -> None:
     """Run a platform emulator: tables, objects, weights, machine list.
--- a/src/cloverwalk/cli/soak.py
+++ b/src/cloverwalk/cli/soak.py
@@ -98,10 +98,13 @@
         return [load_plan(schedule_path)]
     if seed_range is None:
         return [draw_plan(seed, nodes, minutes)]
-    found = re.fullmatch(r"(\d+)-(\d+)", seed_range)
-    if found is None or int(found[1]) > int(found[2]):
+    seed_match = re.fullmatch(r"(\d+)-(\d+)", seed_range)
+    if seed_match is None or int(seed_match[1]) > int(seed_match[2]):
         raise SoakInputError(f"--seeds: {seed_range!r} is not a range FIRST-LAST")
-    return [draw_plan(number, nodes, minutes) for number in range(int(found[1]), int(found[2]) + 1)]
+    return [
+        draw_plan(number, nodes, minutes)
+        for number in range(int(seed_match[1]), int(seed_match[2]) + 1)
+    ]
 
 
 def check_memory(nodes: int) -> None:
--- a/src/cloverwalk/cli/tenants.py
+++ b/src/cloverwalk/cli/tenants.py
@@ -65,9 +65,9 @@
 
 @click.command()
 @click.argument("addresses", nargs=-1, required=True, metavar="HOST:PORT...")
-@click.option("--tenant", "only", help="Only this tenant.")
+@click.option("--tenant", "wanted_tenant", help="Show only this tenant.")
 @json_option
-def tenants(addresses: tuple[str, ...], only: str | None, as_json: bool) -> None:
+def tenants(addresses: tuple[str, ...], wanted_tenant: str | None, as_json: bool) -> None:
     """Show requests, refusals and quota by tenant and node, read from the nodes' metrics.
 
     A node lists its 20 largest tenants and sums up the rest. Counts start when the node starts.
@@ -90,7 +90,7 @@
         click.echo(f"no answer from {problem}", err=True)
     if len(unreachable) == len(addresses):
         raise CommandError("no node answered", EXIT_UNREACHABLE)
-    _print_uses([use for use in uses if only in (None, use.tenant)], as_json)
+    _print_uses([use for use in uses if wanted_tenant in (None, use.tenant)], as_json)
 
 
 async def _fetch(address: str) -> str:
@@ -109,12 +109,12 @@
         return
     click.echo(HEADINGS)
     for use in uses:
-        answered, over, ended = (
+        answered, over_quota, ended = (
             use.counts.get(outcome, 0)
             for outcome in (TenantOutcome.ANSWERED, TenantOutcome.OVER_QUOTA, TenantOutcome.ENDED)
         )
         click.echo(
-            f"{use.tenant:24}  {use.node:22}  {answered:8}  {over:10}  {ended:5}"
+            f"{use.tenant:24}  {use.node:22}  {answered:8}  {over_quota:10}  {ended:5}"
             f"  {_format_limit(use.rate_per_s):>6}  {_format_limit(use.burst):>5}"
         )
 
