--- a/src/cloverwalk/cli/table.py
+++ b/src/cloverwalk/cli/table.py
@@ -1,4 +1,4 @@
-"""``cloverwalk table``."""
+"""``cloverwalk table``: shows and edits the table of weights and limits."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from cloverwalk.cli.errors import EXIT_USAGE, CommandError
 
 version_option = click.option(
-    "--if-version", type=int, help="Edit only this version; somebody else's edit ends it (5)."
+    "--if-version", type=int, help="Edit only this version; exit code 5 if it is not current."
 )
 
 
@@ -21,7 +21,7 @@
     """
 
 
-def _match(if_version: int | None) -> dict[str, str]:
+def _if_match_header(if_version: int | None) -> dict[str, str]:
     return {} if if_version is None else {"If-Match": f'"{if_version}"'}
 
 
@@ -29,7 +29,7 @@
 @node_option
 @json_option
 def show_command(nodes: tuple[str, ...], as_json: bool) -> None:
-    """Show the table in force.
+    """Show the current table.
 
     Example: cloverwalk table show
     """
@@ -63,7 +63,7 @@
             raise CommandError(f"{cell!r} is not COLUMN=VALUE", EXIT_USAGE)
     values = dict(cell.split("=", 1) for cell in cells)
     body = json.encode({"session": session, "kind": kind, "cells": values})
-    answer = decode(call(nodes, "PATCH", "/v1/table", body, _match(if_version)))
+    answer = decode(call(nodes, "PATCH", "/v1/table", body, _if_match_header(if_version)))
     click.echo(f"version {answer['version']} is in force")
 
 
@@ -96,7 +96,7 @@
         body = path.read_bytes()
     except OSError as error:
         raise CommandError(f"{path}: {error.strerror}", EXIT_USAGE) from error
-    headers = {"Content-Type": "text/csv", **_match(if_version)}
+    headers = {"Content-Type": "text/csv", **_if_match_header(if_version)}
     answer = decode(call(nodes, "PUT", "/v1/table", body, headers))
     click.echo(f"version {answer['version']} is in force")
 
@@ -113,5 +113,5 @@
     if as_json:
         print_json(answer)
         return
-    for one in answer["versions"]:
-        click.echo(f"version {one['version']}: {one['rows']} rows")
+    for version in answer["versions"]:
+        click.echo(f"version {version['version']}: {version['rows']} rows")
