--- a/src/cloverwalk/emulator/engine_model.py
+++ b/src/cloverwalk/emulator/engine_model.py
@@ -286,7 +286,10 @@
         del self._load_history[:-100]
 
     def load(self, now: float) -> LoadReport:
-        """Return the load, including the leaving flag, as it was ``load_lag_s`` ago."""
+        """Return the load and the leaving flag as they were ``load_lag_s`` ago.
+
+        If the engine was idle then, the load is 0 and the flag is the current one.
+        """
         visible_until = now - self.settings.load_lag_s
         visible = [report for report in self._load_history if report.at <= visible_until]
         if not visible:
--- a/src/cloverwalk/emulator/engine_server.py
+++ b/src/cloverwalk/emulator/engine_server.py
@@ -35,7 +35,7 @@
 
 REGISTER_RETRY_DELAY_S = 0.5
 WEIGHTS_RETRY_DELAY_S = 2.0
-StreamKey = tuple[str, int]
+StreamKey = tuple[str, int]  # request id, attempt
 
 
 class KvBody(Struct, frozen=True):
@@ -63,7 +63,7 @@
         self.server = HttpServer(
             HttpSettings(), settings.host, settings.port, self._on_request, self._on_disconnect
         )
-        self._streams: dict[StreamKey, int] = {}
+        self._streams: dict[StreamKey, int] = {}  # connection number
         self._work_available = curio.Event()
 
     @property
@@ -207,7 +207,10 @@
         return True
 
     async def _weights_load_time_s(self) -> float:
-        """Return how long the weights take to load; 0 without a platform."""
+        """Return how long the weights take to load.
+
+        It is 0 without a platform, and ``WEIGHTS_RETRY_DELAY_S`` if the platform does not answer.
+        """
         if not self.settings.platform:
             return 0.0
         try:
--- a/src/cloverwalk/emulator/platform_model.py
+++ b/src/cloverwalk/emulator/platform_model.py
@@ -100,7 +100,11 @@
         return ObjectReply(body is not None, body or "")
 
     def weight_wait_s(self, size_bytes: float, now: float) -> float:
-        """Return the duration of a weight read; count it if the rate limit permits it now."""
+        """Count a weight read and return its duration.
+
+        Beyond the rate limit, the read is not counted, and the time until it would be permitted is
+        returned.
+        """
         wait_s = self._weights_bucket.wait_s(now, size_bytes)
         if wait_s == 0.0:
             self._weights_bucket.take(now, size_bytes)
--- a/src/cloverwalk/emulator/platform_replica.py
+++ b/src/cloverwalk/emulator/platform_replica.py
@@ -48,6 +48,8 @@
         """Slowdown that it reports, 100 for its baseline; None: not reported."""
 
         self.unproved_status = 503
+        """Status of the response in ``Misdeed.UNPROVED_REFUSAL``."""
+
         self.max_waiting: int | None = None
         """Maximum number of requests that wait for a slot; more are refused. None: slots do not
         limit requests, and all run concurrently."""
@@ -94,6 +96,7 @@
             await client.close()
 
     async def _serve_request(self, client: Any, http: h11.Connection) -> bool:
+        """Serve the next request; return whether the connection can be reused."""
         arrival = await self._read(client, http)
         if arrival is None:
             return False
@@ -305,7 +308,7 @@
         return f"id: {number}\ndata: {arrival.request_id}:{number}{run}{padding}\n\n".encode()
 
     async def _caller_disconnected(self, client: Any, wait_s: float) -> bool:
-        """Wait for ``wait_s``; return whether the caller closed the connection during it."""
+        """Wait up to ``wait_s`` for the caller to close the connection; return whether it did."""
         data: bytes | None = None
         async with curio.ignore_after(wait_s):
             with contextlib.suppress(ConnectionError):
@@ -342,6 +345,7 @@
 
 
 def _foreign_answer() -> bytes:
+    """Return an answer with the id of another request."""
     lines = [
         b"HTTP/1.1 200 OK",
         names.REQUEST_ID + b": another",
--- a/src/cloverwalk/emulator/platform_store_server.py
+++ b/src/cloverwalk/emulator/platform_store_server.py
@@ -42,7 +42,7 @@
         """Number of next writes that are applied but not answered."""
 
         self.applied_error_status = 0
-        """Status of the response to writes that are applied nevertheless; 0: none."""
+        """Error status in the response to writes, which are applied nevertheless; 0: no such error."""
 
         self.write_delay_s = 0.0
         """Delay between a write taking effect and its answer."""
--- a/src/cloverwalk/emulator/replica_runs.py
+++ b/src/cloverwalk/emulator/replica_runs.py
@@ -63,7 +63,7 @@
 
 
 class ReplicaObserver(Protocol):
-    """Is notified of runs; of their end before the last bytes of the answer are sent."""
+    """Is notified when a run begins, and when it ends: before the last bytes of its answer."""
 
     def began(self, replica_id: str, arrival: Arrival) -> None:
         """Called when the replica starts to process a request."""
--- a/src/cloverwalk/emulator/simulation.py
+++ b/src/cloverwalk/emulator/simulation.py
@@ -39,7 +39,12 @@
 
 
 class NetworkSettings(Struct, frozen=True):
-    """Delays in seconds; each message takes 0.5 to 1.5 times its delay."""
+    """Delays and faults of messages.
+
+    A message takes 0.5 to 1.5 times its delay in seconds, a response to a client exactly
+    ``client_s``. ``loss`` is the fraction of the messages between nodes that are lost, and
+    ``reorder_s`` the maximum extra delay of the others.
+    """
 
     local_s: float = 0.0003
     between_zones_s: float = 0.001
@@ -50,7 +55,10 @@
 
 
 class HttpAnswer(Struct):
-    """A simulated caller's response; ``cut``: the connection was closed before its end."""
+    """A response at a simulated client; ``cut``: the connection was closed before its end.
+
+    ``byte_times`` are the times at which parts of a stream arrived.
+    """
 
     status: int = 0
     headers: dict[str, str] = {}
@@ -60,7 +68,7 @@
 
     @property
     def retry_after_s(self) -> float:
-        """The Retry-After header, 1 when there is none."""
+        """Value of the Retry-After header, 1 without one."""
         return float(self.headers.get("retry-after", "1"))
 
 
@@ -70,7 +78,7 @@
     answer: HttpAnswer
     on_answer: Callable[[HttpAnswer], None]
     is_answered: bool = False  # the node has sent its answer to the end
-    is_done: bool = False
+    is_done: bool = False  # the client has received the whole answer or a cut
 
 
 class _ScheduledAction(NamedTuple):
@@ -87,8 +95,8 @@
         self.node = node
         self.alive = True
         self.paused = False
-        self.generation = 0
-        self.deferred: list[ev.Event] = []
+        self.generation = 0  # a kill increases it, which ends the ticks scheduled before
+        self.deferred: list[ev.Event] = []  # events that arrived during a pause
         self.stopped = False
         self.tick_scheduled = False
 
@@ -115,7 +123,7 @@
         self.nodes: dict[str, SimulatedNode] = {}
         self.engines: dict[str, SimulatedEngine] = {}
         self.platform = PlatformModel(PlatformEmulatorSettings(), Random(seed + 1))
-        self.cuts: set[frozenset[str]] = set()
+        self.cuts: set[frozenset[str]] = set()  # pairs of partitioned zones
         self.store_cuts: set[str] = set()  # zones that cannot reach the platform
         self.logs: list[tuple[float, str, ev.WriteLog]] = []
         self.on_instruction: Callable[[str, ev.Instruction], None] | None = None
@@ -124,7 +132,7 @@
         self._connections: dict[int, _Connection] = {}
         self._connection_count = 0
         self._last_arrival_at: dict[tuple[str, str], float] = {}
-        self.introduces_all = True
+        self.introduces_all = True  # a new node exchanges hello messages with all others
 
     # --- time ---
 
