--- a/src/cloverwalk/emulator/platform_store_server.py
+++ b/src/cloverwalk/emulator/platform_store_server.py
@@ -42,7 +42,7 @@
         """Number of next writes that are applied but not answered."""
 
         self.applied_error_status = 0
-        """Error status with which applied writes are answered; 0: they are answered normally."""
+        """Error status with which writes are answered after they took effect; 0: normal answers."""
 
         self.write_delay_s = 0.0
         """Delay between a write taking effect and its answer."""
